--- a/internal/bench/slope/fixture.go
+++ b/internal/bench/slope/fixture.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/flow/route"
+	"jacinthfront.dev/jacinthfront/internal/flow/policy"
 	"jacinthfront.dev/jacinthfront/internal/state/creds"
 	"jacinthfront.dev/jacinthfront/internal/state/fold"
 	"jacinthfront.dev/jacinthfront/internal/state/model"
@@ -77,10 +77,10 @@
 func (shape shape) encoded() ([]byte, error) { return codec.EncodeState(shape.state()) }
 
 // members returns the upstreams of a router.
-func members(count int) []route.Member {
-	list := make([]route.Member, 0, count)
+func members(count int) []policy.Member {
+	list := make([]policy.Member, 0, count)
 	for index := range count {
-		list = append(list, route.Member{ID: upstreamName(index), FailureDomain: domainName(index)})
+		list = append(list, policy.Member{ID: upstreamName(index), FailureDomain: domainName(index)})
 	}
 	return list
 }
--- a/internal/bench/slope/rows_quota.go
+++ b/internal/bench/slope/rows_quota.go
@@ -59,21 +59,21 @@
 
 // Draw implements quota.Source.
 func (source *instantSource) Draw(_ context.Context, _ int, want, _ model.Tokens) (quota.Grant, error) {
-	return quota.Grant{ID: source.next.Add(1), Tokens: want, Level: plenty / maxShards, Lifetime: quota.DefaultLifetime}, nil
+	return quota.Grant{ID: source.next.Add(1), Tokens: want, Level: plenty / maxShards, Lifetime: quota.DefaultGrantLifetime}, nil
 }
 
 // Return implements quota.Source.
 func (source *instantSource) Return(context.Context, int, quota.Refund) error { return nil }
 
-func newWallet(source quota.Source) *quota.Wallet {
-	return quota.NewWallet(quota.WalletConfig{Source: source, Shards: maxShards, Rate: plenty / 10, Burst: plenty})
+func newWallet(source quota.Transport) *quota.Client {
+	return quota.NewClient(quota.ClientConfig{Transport: source, ShardCount: maxShards, Rate: plenty / 10, Burst: plenty})
 }
 
 // walletMemory returns the bytes of wallets, one for each organisation.
 func walletMemory(_ context.Context, size float64) (float64, error) {
 	source := &instantSource{}
-	bytes, _, err := heapOf(func() ([]*quota.Wallet, error) {
-		wallets := make([]*quota.Wallet, int(size))
+	bytes, _, err := heapOf(func() ([]*quota.Client, error) {
+		wallets := make([]*quota.Client, int(size))
 		for index := range wallets {
 			wallets[index] = newWallet(source)
 		}
@@ -86,10 +86,10 @@
 // flight.
 func debitMemory(ctx context.Context, size float64) (float64, error) {
 	wallet := newWallet(&instantSource{})
-	bytes, _, err := heapOf(func() ([]quota.Debit, error) {
-		debits := make([]quota.Debit, int(size))
+	bytes, _, err := heapOf(func() ([]quota.Reservation, error) {
+		debits := make([]quota.Reservation, int(size))
 		for index := range debits {
-			debit, err := wallet.Take(ctx, grantTokens)
+			debit, err := wallet.Reserve(ctx, grantTokens)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/bench/slope/rows_route.go
+++ b/internal/bench/slope/rows_route.go
@@ -7,14 +7,14 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/flow/health"
-	"jacinthfront.dev/jacinthfront/internal/flow/place"
-	"jacinthfront.dev/jacinthfront/internal/flow/route"
+	"jacinthfront.dev/jacinthfront/internal/flow/policy"
+	"jacinthfront.dev/jacinthfront/internal/flow/ring"
 )
 
 // newRouter returns a router as the entry instance makes it, without expected
 // numbers of upstreams and adapters.
-func newRouter(upstreams int) (*route.Router, error) {
-	router, err := route.New(route.Config{FailureDomain: domainName(0), Seed: 1})
+func newRouter(upstreams int) (*policy.Router, error) {
+	router, err := policy.New(policy.Config{FailureDomain: domainName(0), Seed: 1})
 	if err != nil {
 		return nil, err
 	}
@@ -24,8 +24,8 @@
 
 func routerMemory(_ context.Context, size float64) (float64, error) {
 	list := members(int(size))
-	bytes, _, err := heapOf(func() (*route.Router, error) {
-		router, err := route.New(route.Config{FailureDomain: domainName(0), Seed: 1})
+	bytes, _, err := heapOf(func() (*policy.Router, error) {
+		router, err := policy.New(policy.Config{FailureDomain: domainName(0), Seed: 1})
 		if err == nil {
 			router.SetMembers(list, targetEntries)
 		}
@@ -38,8 +38,8 @@
 // popularityMemory returns the size of the table for a number of active
 // adapters. It doubles at powers of two, so that the line only bounds it.
 func popularityMemory(_ context.Context, size float64) (float64, error) {
-	bytes, _, err := heapOf(func() (*place.Popularity, error) {
-		return place.NewPopularity(place.PopularityConfig{Adapters: int(size), HalfLife: time.Minute, Start: time.Now()}), nil
+	bytes, _, err := heapOf(func() (*ring.Popularity, error) {
+		return ring.NewPopularity(ring.PopularityConfig{Adapters: int(size), HalfLife: time.Minute, Start: time.Now()}), nil
 	})
 	return bytes, err
 }
@@ -53,13 +53,13 @@
 	}
 	hashes := make([]uint64, targetAdapters)
 	for index := range hashes {
-		hashes[index] = place.AdapterHash(adapterName(index), 2)
+		hashes[index] = ring.AdapterHash(adapterName(index), 2)
 	}
 	random := rand.New(rand.NewPCG(1, 1))
 	now := time.Now()
 	return timePer(200_000, func(int) {
-		chosen, _ := router.Choose(now, route.Request{Adapter: hashes[random.IntN(len(hashes))], Tokens: 100})
-		router.Ended(chosen.Upstream)
+		chosen, _ := router.Choose(now, policy.Request{AdapterHash: hashes[random.IntN(len(hashes))], PromptTokens: 100})
+		router.RequestEnded(chosen.Upstream)
 	}), nil
 }
 
@@ -71,15 +71,15 @@
 	}
 	loaded := make([]uint64, 64)
 	for index := range loaded {
-		loaded[index] = place.AdapterHash(adapterName(index), 2)
+		loaded[index] = ring.AdapterHash(adapterName(index), 2)
 	}
 	names := make([]string, int(size))
 	for index := range names {
 		names[index] = upstreamName(index)
 	}
 	now := time.Now()
-	load := route.Load{Incarnation: 1, Running: 8, Slots: 64, Loaded: loaded}
-	return timePer(200_000, func(index int) { router.Report(now, names[index%len(names)], load) }), nil
+	load := policy.LoadReport{Incarnation: 1, Running: 8, Slots: 64, LoadedAdapters: loaded}
+	return timePer(200_000, func(index int) { router.UpdateLoad(now, names[index%len(names)], load) }), nil
 }
 
 // refresh returns the time in µs of comparing a router's members with the
@@ -102,7 +102,7 @@
 	key := make([]byte, 32)
 	return timePer(2000, func(index int) {
 		key[0], key[1] = byte(index), byte(index>>8)
-		place.Rendezvous(key, list, 0)
+		ring.Rendezvous(key, list, 0)
 	}) / 1e3, nil
 }
 
@@ -118,10 +118,10 @@
 // healthMemory returns the live heap of a service's health records.
 func healthMemory(_ context.Context, size float64) (float64, error) {
 	list := ids(int(size))
-	bytes, _, err := heapOf(func() (*health.Service, error) {
+	bytes, _, err := heapOf(func() (*health.Tracker, error) {
 		service, err := health.New(health.Config{})
 		if err == nil {
-			service.Follow(list)
+			service.SetUpstreams(list)
 		}
 		return service, err
 	})
@@ -136,7 +136,7 @@
 	if err != nil {
 		return 0, err
 	}
-	service.Follow(list)
+	service.SetUpstreams(list)
 	return timePer(200_000, func(index int) { service.State(list[index*7919%len(list)]) }), nil
 }
 
--- a/internal/daemon/entry/attempt.go
+++ b/internal/daemon/entry/attempt.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/flow/route"
+	"jacinthfront.dev/jacinthfront/internal/flow/policy"
 	"jacinthfront.dev/jacinthfront/internal/state/model"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
@@ -148,16 +148,16 @@
 
 func (attempt *attempt) report(load *wirepb.LoadReport) {
 	attempt.entry().config.Configs.Hint(load.GetConfigVersion())
-	attempt.job.service.policy.Report(time.Now(), attempt.upstream, route.Load{
-		Incarnation:  load.GetIncarnation(),
-		QueuedTokens: model.Tokens(load.GetQueuedTokens()),
-		Queued:       load.GetQueuedRequests(),
-		Running:      load.GetRunningRequests(),
-		Slots:        load.GetSlots(),
-		FreeSlots:    load.GetFreeSlots(),
-		ExpectedWait: time.Duration(load.GetExpectedWaitUs()) * time.Microsecond,
-		Loaded:       load.GetLoaded(),
-		Draining:     load.GetDraining(),
+	attempt.job.service.policy.UpdateLoad(time.Now(), attempt.upstream, policy.LoadReport{
+		Incarnation:    load.GetIncarnation(),
+		QueuedTokens:   model.Tokens(load.GetQueuedTokens()),
+		Queued:         load.GetQueuedRequests(),
+		Running:        load.GetRunningRequests(),
+		Slots:          load.GetSlots(),
+		FreeSlots:      load.GetFreeSlots(),
+		ExpectedWait:   time.Duration(load.GetExpectedWaitUs()) * time.Microsecond,
+		LoadedAdapters: load.GetLoaded(),
+		Draining:       load.GetDraining(),
 	})
 }
 
--- a/internal/daemon/entry/bench_test.go
+++ b/internal/daemon/entry/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/flow/route"
+	"jacinthfront.dev/jacinthfront/internal/flow/policy"
 )
 
 // BenchmarkRelay serves streamed answers of 100 tokens over pipes, the fake side
@@ -17,8 +17,8 @@
 		tokens[index] = " token"
 	}
 	world.set(act(script.started, chunks(0, tokens...), script.done))
-	world.config.NewPolicy = func(_ string, _ bool, health route.Health) route.Policy {
-		router, err := route.New(route.Config{Health: health, Start: time.Now()})
+	world.config.NewPolicy = func(_ string, _ bool, health policy.Health) policy.Policy {
+		router, err := policy.New(policy.Config{Health: health, Start: time.Now()})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/daemon/entry/choose.go
+++ b/internal/daemon/entry/choose.go
@@ -9,9 +9,9 @@
 	"go.uber.org/zap/zapcore"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/flow/once"
-	"jacinthfront.dev/jacinthfront/internal/flow/place"
-	"jacinthfront.dev/jacinthfront/internal/flow/route"
+	"jacinthfront.dev/jacinthfront/internal/flow/dedup"
+	"jacinthfront.dev/jacinthfront/internal/flow/policy"
+	"jacinthfront.dev/jacinthfront/internal/flow/ring"
 )
 
 // nextAttempt chooses the upstream of the next attempt.
@@ -27,7 +27,7 @@
 		}
 		instance, ok := entry.config.Roster.Side(decision.Upstream)
 		if !ok {
-			job.service.policy.Ended(decision.Upstream)
+			job.service.policy.RequestEnded(decision.Upstream)
 			job.tried = append(job.tried, decision.Upstream)
 			job.rank++
 			continue
@@ -48,14 +48,14 @@
 
 // expected returns the incarnation that the attempt is bound to. Work that may
 // run twice accepts any.
-func (job *job) expected(decision *route.Decision) uint64 {
+func (job *job) expected(decision *policy.Decision) uint64 {
 	if job.idempotent() {
 		return 0
 	}
 	return decision.Incarnation
 }
 
-func (job *job) choose() (route.Decision, bool) {
+func (job *job) choose() (policy.Decision, bool) {
 	now := time.Now()
 	job.routing.Avoid = job.tried
 	if len(job.claim) > 0 {
@@ -63,7 +63,7 @@
 	}
 	if job.resumeAt != "" {
 		pinned := job.routing
-		pinned.Only, pinned.Avoid = job.resumeAt, nil
+		pinned.RequiredUpstream, pinned.Avoid = job.resumeAt, nil
 		if decision, ok := job.service.policy.Choose(now, pinned); ok {
 			return decision, true
 		}
@@ -75,21 +75,21 @@
 // partition of the Idempotency-Key, so that copies of a request meet. The order
 // is that of the partition and not of the key, because whoever claims a key
 // reads the partition's whole stream.
-func (job *job) chooseByClaim(now time.Time) (route.Decision, bool) {
+func (job *job) chooseByClaim(now time.Time) (policy.Decision, bool) {
 	var ids []string
 	for _, spec := range job.service.specs {
 		if spec.Half.Shares(job.routing.Half) {
 			ids = append(ids, spec.ID)
 		}
 	}
-	partition := []byte(once.Stream(once.Partition(job.claim, once.DefaultPartitions)))
+	partition := []byte(dedup.StreamName(dedup.PartitionOf(job.claim, dedup.DefaultPartitions)))
 	for ; ; job.rank++ {
-		index := place.Rendezvous(partition, ids, job.rank)
+		index := ring.Rendezvous(partition, ids, job.rank)
 		if index < 0 {
-			return route.Decision{}, false
+			return policy.Decision{}, false
 		}
 		pinned := job.routing
-		pinned.Only, pinned.Avoid = ids[index], nil
+		pinned.RequiredUpstream, pinned.Avoid = ids[index], nil
 		if decision, ok := job.service.policy.Choose(now, pinned); ok {
 			return decision, true
 		}
@@ -115,7 +115,7 @@
 }
 
 // alternatives writes the scores of a decision to the log.
-type alternatives []route.Alternative
+type alternatives []policy.Candidate
 
 // MarshalLogArray implements zapcore.ArrayMarshaler.
 func (alternatives alternatives) MarshalLogArray(encoder zapcore.ArrayEncoder) error {
@@ -125,7 +125,7 @@
 	return nil
 }
 
-func (job *job) logDecision(decision *route.Decision, number uint32) {
+func (job *job) logDecision(decision *policy.Decision, number uint32) {
 	exchange := job.exchange
 	exchange.entry.config.Counters.Add("decisions-"+decision.Reason.String(), 1)
 	exchange.entry.config.Logger.Info("route: chose upstream",
@@ -133,7 +133,7 @@
 		zap.Uint32("attempt", number),
 		zap.String("upstream", decision.Upstream),
 		zap.Stringer("reason", decision.Reason),
-		zap.Array("scores", alternatives(decision.Alternatives())),
+		zap.Array("scores", alternatives(decision.Candidates())),
 		zap.String("adapter", exchange.adapter),
 		zap.Uint32("version", exchange.version),
 		zap.String("organisation", exchange.organisation.Name),
--- a/internal/daemon/entry/claim_test.go
+++ b/internal/daemon/entry/claim_test.go
@@ -5,23 +5,23 @@
 	"testing"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/flow/once"
-	"jacinthfront.dev/jacinthfront/internal/flow/route"
+	"jacinthfront.dev/jacinthfront/internal/flow/dedup"
+	"jacinthfront.dev/jacinthfront/internal/flow/policy"
 	"jacinthfront.dev/jacinthfront/internal/state/model"
 )
 
 // TestClaimsOfPartitionMeet guards against keys of one partition at several
 // side processes, each of which would read the partition's whole stream.
 func TestClaimsOfPartitionMeet(t *testing.T) {
-	policy := route.NewRoundRobin(route.Healthy{})
-	target := &service{name: "orders", policy: policy}
-	var members []route.Member
+	chooser := policy.NewRoundRobin(policy.NoEjection{})
+	target := &service{name: "orders", policy: chooser}
+	var members []policy.Member
 	for index := range 40 {
 		id := fmt.Sprintf("upstream-%d", index)
 		target.specs = append(target.specs, model.UpstreamSpec{ID: id})
-		members = append(members, route.Member{ID: id})
+		members = append(members, policy.Member{ID: id})
 	}
-	policy.SetMembers(members, 1)
+	chooser.SetMembers(members, 1)
 	owners, used := map[int]string{}, map[string]bool{}
 	for index := range 2000 {
 		claim := digest("organisation", fmt.Sprint(index))
@@ -30,7 +30,7 @@
 		if !ok {
 			t.Fatal("no upstream")
 		}
-		partition := once.Partition(claim, once.DefaultPartitions)
+		partition := dedup.PartitionOf(claim, dedup.DefaultPartitions)
 		if owner, known := owners[partition]; known && owner != decision.Upstream {
 			t.Fatalf("partition %d is at %s and %s", partition, owner, decision.Upstream)
 		}
--- a/internal/daemon/entry/completions.go
+++ b/internal/daemon/entry/completions.go
@@ -2,7 +2,7 @@
 
 import (
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/flow/place"
+	"jacinthfront.dev/jacinthfront/internal/flow/ring"
 	"jacinthfront.dev/jacinthfront/internal/state/model"
 )
 
@@ -52,10 +52,10 @@
 		prompt.maxTokens = fallbackMaxTokens
 	}
 	job.setTokens(prompt.tokens(), prompt.maxTokens)
-	job.routing.Adapter = place.AdapterHash(exchange.adapter, exchange.version)
-	job.routing.Prefix = prompt.prefixHash(job.routing.Adapter)
+	job.routing.AdapterHash = ring.AdapterHash(exchange.adapter, exchange.version)
+	job.routing.PrefixHash = prompt.prefixHash(job.routing.AdapterHash)
 	template := job.template
-	template.PrefixHash, template.Stream = job.routing.Prefix, prompt.stream
+	template.PrefixHash, template.Stream = job.routing.PrefixHash, prompt.stream
 	template.Method, template.Path = exchange.request.Method, "/v1/completions"
 	if chat {
 		template.Path = "/v1/chat/completions"
--- a/internal/daemon/entry/config.go
+++ b/internal/daemon/entry/config.go
@@ -7,7 +7,7 @@
 	"go.uber.org/zap"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/flow/route"
+	"jacinthfront.dev/jacinthfront/internal/flow/policy"
 	"jacinthfront.dev/jacinthfront/internal/state/model"
 )
 
@@ -47,7 +47,7 @@
 	// nothing.
 	NewHealth func(service string) Health
 	// NewPolicy returns the policy of a service.
-	NewPolicy func(service string, plain bool, health route.Health) route.Policy
+	NewPolicy func(service string, plain bool, health policy.Health) policy.Policy
 	// Logger defaults to none.
 	Logger *zap.Logger
 	// Counters defaults to none.
--- a/internal/daemon/entry/fleet.go
+++ b/internal/daemon/entry/fleet.go
@@ -6,14 +6,14 @@
 	"sync"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/flow/route"
+	"jacinthfront.dev/jacinthfront/internal/flow/policy"
 	"jacinthfront.dev/jacinthfront/internal/state/model"
 )
 
 // service is the view of one service's upstreams.
 type service struct {
 	name   string
-	policy route.Policy
+	policy policy.Policy
 	health Health
 	specs  []model.UpstreamSpec
 	ids    []string
@@ -94,8 +94,8 @@
 }
 
 // note remembers that a service has had a usable upstream.
-func (fleet *fleet) note(service *service, members []route.Member) {
-	if !slices.ContainsFunc(members, func(member route.Member) bool { return !member.Leaving }) {
+func (fleet *fleet) note(service *service, members []policy.Member) {
+	if !slices.ContainsFunc(members, func(member policy.Member) bool { return !member.Leaving }) {
 		return
 	}
 	fleet.mutex.Lock()
@@ -121,17 +121,17 @@
 		for _, spec := range specs {
 			group.ids = append(group.ids, spec.ID)
 		}
-		group.health.Follow(group.ids)
+		group.health.SetUpstreams(group.ids)
 		next[name] = group
 	}
 	fleet.services = next
 }
 
-func (fleet *fleet) members(service *service) []route.Member {
-	members := make([]route.Member, 0, len(service.specs))
+func (fleet *fleet) members(service *service) []policy.Member {
+	members := make([]policy.Member, 0, len(service.specs))
 	for _, spec := range service.specs {
 		instance, listed := fleet.config.Roster.Side(spec.ID)
-		members = append(members, route.Member{
+		members = append(members, policy.Member{
 			ID:            spec.ID,
 			FailureDomain: spec.FailureDomain,
 			Half:          spec.Half,
--- a/internal/daemon/entry/job.go
+++ b/internal/daemon/entry/job.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/flow/route"
+	"jacinthfront.dev/jacinthfront/internal/flow/policy"
 	"jacinthfront.dev/jacinthfront/internal/state/model"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
@@ -20,7 +20,7 @@
 	// template is the message for the side process, but for what differs from
 	// one attempt to the next.
 	template *wirepb.RunRequest
-	routing  route.Request
+	routing  policy.Request
 	// claim is the hash of the caller's Idempotency-Key, or empty.
 	claim []byte
 	// next is the index of the first token that the caller has not received.
@@ -45,7 +45,7 @@
 	}
 	spec := exchange.route
 	job := &job{exchange: exchange, ready: time.Now(), service: service, sink: sink}
-	job.routing = route.Request{Half: exchange.organisation.Half}
+	job.routing = policy.Request{Half: exchange.organisation.Half}
 	job.template = &wirepb.RunRequest{
 		ConfigVersion:  exchange.config.Version(),
 		Organisation:   exchange.organisation.Name,
@@ -112,5 +112,5 @@
 // setTokens sets what the work costs and what routing needs to know of it.
 func (job *job) setTokens(prompt, limit model.Tokens) {
 	job.template.PromptTokens, job.template.MaxTokens = int64(prompt), int64(limit)
-	job.routing.Tokens = prompt
+	job.routing.PromptTokens = prompt
 }
--- a/internal/daemon/entry/life_test.go
+++ b/internal/daemon/entry/life_test.go
@@ -217,11 +217,11 @@
 	followed int
 }
 
-func (healthLog *healthLog) Follow(upstreams []string) { healthLog.followed += len(upstreams) }
+func (healthLog *healthLog) SetUpstreams(upstreams []string) { healthLog.followed += len(upstreams) }
 
-func (healthLog *healthLog) Succeeded(upstream string) { healthLog.add(upstream, 1) }
+func (healthLog *healthLog) RecordSuccess(upstream string) { healthLog.add(upstream, 1) }
 
-func (healthLog *healthLog) Failed(upstream string) bool {
+func (healthLog *healthLog) RecordFailure(upstream string) bool {
 	healthLog.add(upstream, -1)
 	return false
 }
--- a/internal/daemon/entry/ports.go
+++ b/internal/daemon/entry/ports.go
@@ -8,7 +8,7 @@
 
 	"storj.io/drpc"
 
-	"jacinthfront.dev/jacinthfront/internal/flow/route"
+	"jacinthfront.dev/jacinthfront/internal/flow/policy"
 	"jacinthfront.dev/jacinthfront/internal/state/model"
 )
 
@@ -57,8 +57,8 @@
 
 // Budget bounds the retries.
 type Budget interface {
-	// Request counts a request.
-	Request()
+	// RecordRequest counts a request.
+	RecordRequest()
 	// Allow takes a retry from the budget if one is left.
 	Allow() bool
 	// Backoff returns the jittered pause before the given retry, from 1.
@@ -67,14 +67,14 @@
 
 // Health records the results of requests to the upstreams of one service.
 type Health interface {
-	route.Health
-	// Follow sets the upstreams of the service.
-	Follow(upstreams []string)
-	// Succeeded records an answer.
-	Succeeded(upstream string)
-	// Failed records a lost or failed answer, and reports whether it ejects
+	policy.Health
+	// SetUpstreams sets the upstreams of the service.
+	SetUpstreams(upstreams []string)
+	// RecordSuccess records an answer.
+	RecordSuccess(upstream string)
+	// RecordFailure records a lost or failed answer, and reports whether it ejects
 	// the upstream.
-	Failed(upstream string) bool
+	RecordFailure(upstream string) bool
 }
 
 // Counters counts events by kebab-case names. *expvar.Map implements it.
@@ -91,15 +91,15 @@
 
 type freeBudget struct{}
 
-func (freeBudget) Request()                  {}
+func (freeBudget) RecordRequest()            {}
 func (freeBudget) Allow() bool               { return true }
 func (freeBudget) Backoff(int) time.Duration { return 10 * time.Millisecond }
 
-type noHealth struct{ route.Healthy }
+type noHealth struct{ policy.NoEjection }
 
-func (noHealth) Follow([]string)    {}
-func (noHealth) Succeeded(string)   {}
-func (noHealth) Failed(string) bool { return false }
+func (noHealth) SetUpstreams([]string)     {}
+func (noHealth) RecordSuccess(string)      {}
+func (noHealth) RecordFailure(string) bool { return false }
 
 type noCounters struct{}
 
--- a/internal/daemon/entry/run.go
+++ b/internal/daemon/entry/run.go
@@ -22,7 +22,7 @@
 	limit := exchange.arrived.Add(exchange.entry.config.Limits.Request)
 	ctx, cancel := context.WithDeadline(exchange.request.Context(), limit)
 	defer cancel()
-	exchange.entry.config.Budget.Request()
+	exchange.entry.config.Budget.RecordRequest()
 	err := job.run(ctx)
 	if err == nil {
 		return nil
@@ -79,17 +79,17 @@
 
 // try makes one attempt and settles what is known of its effect.
 func (job *job) try(ctx context.Context, attempt *attempt) result {
-	defer job.service.policy.Ended(attempt.upstream)
+	defer job.service.policy.RequestEnded(attempt.upstream)
 	if !job.idempotent() && attempt.incarnation == 0 && !attempt.learnIncarnation(ctx) {
-		job.service.health.Failed(attempt.upstream)
+		job.service.health.RecordFailure(attempt.upstream)
 		return attempt.unreachableResult()
 	}
 	end := attempt.run(ctx)
 	switch {
 	case end.outcome == finished:
-		job.service.health.Succeeded(attempt.upstream)
+		job.service.health.RecordSuccess(attempt.upstream)
 	case end.unhealthy && ctx.Err() == nil:
-		job.service.health.Failed(attempt.upstream)
+		job.service.health.RecordFailure(attempt.upstream)
 	}
 	return attempt.settle(ctx, end)
 }
--- a/internal/daemon/entry/world_test.go
+++ b/internal/daemon/entry/world_test.go
@@ -19,7 +19,7 @@
 	"storj.io/drpc/drpcserver"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/flow/route"
+	"jacinthfront.dev/jacinthfront/internal/flow/policy"
 	"jacinthfront.dev/jacinthfront/internal/state/model"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
@@ -172,7 +172,7 @@
 	}
 	world.config = &Config{
 		Configs: world, Roster: world, Authenticate: authenticate, Sides: world.pipes, Logger: zap.New(core), Counters: world.counts,
-		NewPolicy: func(_ string, _ bool, health route.Health) route.Policy { return route.NewRoundRobin(health) },
+		NewPolicy: func(_ string, _ bool, health policy.Health) policy.Policy { return policy.NewRoundRobin(health) },
 		Limits:    DefaultLimits(),
 	}
 	return world
--- a/internal/daemon/loader/engine.go
+++ b/internal/daemon/loader/engine.go
@@ -6,12 +6,12 @@
 	"fmt"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/flow/stock"
+	"jacinthfront.dev/jacinthfront/internal/flow/lora"
 )
 
 // Report is what the engine says of itself.
 type Report struct {
-	stock.Engine
+	lora.EngineState
 	Running     int
 	Queued      int
 	UsedTokens  int64
@@ -28,14 +28,14 @@
 	ErrFenced = errors.New("the engine has seen a higher fencing token")
 )
 
-// RestError means that the engine did nothing and wants no call for a time.
-type RestError struct {
-	Length time.Duration
+// BackoffError means that the engine did nothing and wants no call for a time.
+type BackoffError struct {
+	Delay time.Duration
 }
 
 // Error implements error.
-func (err RestError) Error() string {
-	return fmt.Sprintf("the engine wants no calls for %v", err.Length)
+func (err BackoffError) Error() string {
+	return fmt.Sprintf("the engine wants no calls for %v", err.Delay)
 }
 
 // Engine is the engine beside this process. Errors that are a RestError mean
@@ -44,13 +44,13 @@
 	Report(ctx context.Context) (Report, error)
 	// Order gives an order to the engine with the given id. Errors other than
 	// ErrConflict, ErrFenced and a RestError leave open whether it is carried out.
-	Order(ctx context.Context, upstream string, order stock.Order, fence int64) error
+	Order(ctx context.Context, upstream string, order lora.Order, fence int64) error
 }
 
 // holds reports whether the adapter is loaded in the version or a newer one.
-func (report Report) holds(wanted stock.Adapter) bool {
+func (report Report) holds(wanted lora.Adapter) bool {
 	if wanted.Name == "" {
 		return len(report.Models) > 0
 	}
-	return stock.AnyServes(report.Resident, wanted)
+	return lora.AnySatisfies(report.Resident, wanted)
 }
--- a/internal/daemon/loader/exchange.go
+++ b/internal/daemon/loader/exchange.go
@@ -10,7 +10,7 @@
 
 	"jacinthfront.dev/jacinthfront/internal/base/telem"
 	"jacinthfront.dev/jacinthfront/internal/flow/admit"
-	"jacinthfront.dev/jacinthfront/internal/flow/stock"
+	"jacinthfront.dev/jacinthfront/internal/flow/lora"
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
@@ -22,14 +22,14 @@
 		return
 	}
 	loader.meet(demand.GetEntry(), demand.GetStart(), demand.GetFullSerial())
-	loader.planner.Demand(decodeDemand(demand))
-	loader.gate.Replace(demand.GetEntry(), admit.Shape{
-		Slots:       int(demand.GetSlots()),
-		EventTokens: int(demand.GetEventTokens()),
-		Gap:         time.Duration(demand.GetGapMs()) * time.Millisecond,
-		Typical:     codec.DecodePace(demand.GetTypical()),
+	loader.planner.SetDemand(decodeDemand(demand))
+	loader.gate.SetRequests(demand.GetEntry(), admit.EngineConfig{
+		Slots:        int(demand.GetSlots()),
+		EventTokens:  int(demand.GetEventTokens()),
+		MaxEventGap:  time.Duration(demand.GetGapMs()) * time.Millisecond,
+		TypicalSpeed: codec.DecodePace(demand.GetTypical()),
 	}, codec.DecodeAsks(demand.GetAsks()))
-	loader.gate.Measured(demand.GetEntry(), codec.DecodeReadings(demand.GetReadings()))
+	loader.gate.RecordMeasurements(demand.GetEntry(), codec.DecodeReadings(demand.GetReadings()))
 	wake(loader.turns)
 	for _, use := range demand.GetUses() {
 		if use.GetWaiting() > 0 {
@@ -62,7 +62,7 @@
 func (loader *Loader) meant(demand *wirepb.Demand) bool {
 	loader.mutex.Lock()
 	defer loader.mutex.Unlock()
-	if demand.GetBorn() != 0 && demand.GetBorn() < loader.report.Born {
+	if demand.GetBorn() != 0 && demand.GetBorn() < loader.report.StartedAt {
 		return false
 	}
 	loader.listed = demand.GetUpstream()
@@ -70,10 +70,10 @@
 	return true
 }
 
-func decodeDemand(demand *wirepb.Demand) stock.Demand {
-	return stock.Demand{
+func decodeDemand(demand *wirepb.Demand) lora.Demand {
+	return lora.Demand{
 		Entry: demand.GetEntry(), Model: demand.GetModel(), Uses: codec.DecodeUses(demand.GetUses()),
-		Slots: int(demand.GetAdapterSlots()), Elsewhere: int(demand.GetPendingElsewhere()),
+		Slots: int(demand.GetAdapterSlots()), PendingElsewhere: int(demand.GetPendingElsewhere()),
 	}
 }
 
@@ -93,7 +93,7 @@
 
 // sameHeld reports whether two reports name the same adapters and state.
 func sameHeld(a, b Report) bool {
-	return a.Born == b.Born && a.Draining == b.Draining && slices.Equal(a.Models, b.Models) &&
+	return a.StartedAt == b.StartedAt && a.Draining == b.Draining && slices.Equal(a.Models, b.Models) &&
 		slices.Equal(a.Resident, b.Resident) && slices.Equal(a.Pending, b.Pending)
 }
 
@@ -122,7 +122,7 @@
 			state = whole
 		case toldNothing:
 			state = proto.CloneOf(whole)
-			state.Dropped = codec.EncodeAdapters(loader.planner.Dropped())
+			state.Dropped = codec.EncodeAdapters(loader.planner.Evicted())
 		}
 		state.Granted = granted[address]
 		datagram := &wirepb.Datagram{Body: &wirepb.Datagram_EngineState{EngineState: state}}
@@ -138,24 +138,24 @@
 // to tell yet.
 func (loader *Loader) state(full bool, entries []string) *wirepb.EngineState {
 	backlog, late := loader.gate.Backlog()
-	free := loader.planner.Free()
-	pace, intake := loader.gate.Pace(), loader.gate.Intake()
-	reach := loader.planner.Reach()
+	free := loader.planner.FreeSlots()
+	pace, intake := loader.gate.Speed(), loader.gate.AdmissionRate()
+	reach := loader.planner.CacheCapacity()
 	loader.mutex.Lock()
 	defer loader.mutex.Unlock()
 	report := loader.report
-	if loader.listed == "" || report.Born == 0 && loader.misses == 0 {
+	if loader.listed == "" || report.StartedAt == 0 && loader.misses == 0 {
 		return nil
 	}
 	loader.serial++
 	state := &wirepb.EngineState{
-		Upstream: loader.listed, Born: report.Born, Serial: loader.serial,
+		Upstream: loader.listed, Born: report.StartedAt, Serial: loader.serial,
 		Running: uint32(report.Running), Queued: uint32(report.Queued),
 		UsedTokens: report.UsedTokens, TotalTokens: report.TotalTokens,
 		ModelLoaded: len(report.Models) > 0, Draining: report.Draining,
 		Unreachable:   loader.misses >= lostReports,
 		Silent:        loader.misses >= lostReports && loader.silent,
-		BacklogTokens: backlog, LateTokens: late, FreePlaces: uint32(free), LoadsQueued: uint32(loader.planner.Queue()),
+		BacklogTokens: backlog, LateTokens: late, FreePlaces: uint32(free), LoadsQueued: uint32(loader.planner.QueuedLoads()),
 		Brief: true, Pace: codec.EncodePace(pace), Intake: codec.EncodeRate(intake),
 		RecallReach: uint32(reach),
 	}
--- a/internal/daemon/loader/loader.go
+++ b/internal/daemon/loader/loader.go
@@ -17,7 +17,7 @@
 
 	"jacinthfront.dev/jacinthfront/internal/base/telem"
 	"jacinthfront.dev/jacinthfront/internal/flow/admit"
-	"jacinthfront.dev/jacinthfront/internal/flow/stock"
+	"jacinthfront.dev/jacinthfront/internal/flow/lora"
 	"jacinthfront.dev/jacinthfront/internal/link/gossip"
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 )
@@ -57,8 +57,8 @@
 
 // Messages of the lines for an order and for an adapter that has come.
 const (
-	LineOrder   = "loader: order given"
-	LineArrival = "loader: adapter came"
+	MessageOrder  = "loader: order given"
+	MessageLoaded = "loader: adapter came"
 )
 
 var counters = telem.Map("loader")
@@ -66,8 +66,8 @@
 // Loader keeps one engine's adapters.
 type Loader struct {
 	config  Config
-	planner *stock.Planner
-	gate    *admit.Gate
+	planner *lora.Planner
+	gate    *admit.Controller
 	// orders and turns wake the loops that give orders and grants.
 	orders chan struct{}
 	turns  chan struct{}
@@ -113,7 +113,7 @@
 	now := time.Now()
 	return &Loader{
 		config:   config,
-		planner:  stock.New(stock.Config{}),
+		planner:  lora.New(lora.Config{}),
 		gate:     admit.New(admit.Config{}),
 		orders:   make(chan struct{}, 1),
 		turns:    make(chan struct{}, 1),
@@ -160,9 +160,9 @@
 	backlog, late := loader.gate.Backlog()
 	telem.Gauge("loader", "backlog-tokens", backlog)
 	telem.Gauge("loader", "late-tokens", late)
-	telem.Gauge("loader", "free-places", int64(loader.planner.Free()))
+	telem.Gauge("loader", "free-places", int64(loader.planner.FreeSlots()))
 	telem.Gauge("loader", "reports-missed", int64(loader.misses))
-	telem.Gauge("loader", "intake-tokens", int64(codec.EncodeRate(loader.gate.Intake())))
+	telem.Gauge("loader", "intake-tokens", int64(codec.EncodeRate(loader.gate.AdmissionRate())))
 }
 
 // grant lets requests in when their turn comes.
@@ -182,7 +182,7 @@
 			told = backlog
 			loader.tell(granted, false)
 		}
-		timer.Reset(cmp.Or(loader.gate.Next(), idlePeriod))
+		timer.Reset(cmp.Or(loader.gate.NextTurn(), idlePeriod))
 	}
 }
 
--- a/internal/daemon/loader/loader_test.go
+++ b/internal/daemon/loader/loader_test.go
@@ -14,7 +14,7 @@
 
 	"go.uber.org/zap"
 
-	"jacinthfront.dev/jacinthfront/internal/flow/stock"
+	"jacinthfront.dev/jacinthfront/internal/flow/lora"
 	"jacinthfront.dev/jacinthfront/internal/link/gossip"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
@@ -24,7 +24,7 @@
 	mutex  sync.Mutex
 	report Report
 	err    error
-	orders []stock.Order
+	orders []lora.Order
 	fences []int64
 	answer error
 	// calls counts all calls.
@@ -38,7 +38,7 @@
 	return engine.report, engine.err
 }
 
-func (engine *engine) Order(_ context.Context, _ string, order stock.Order, fence int64) error {
+func (engine *engine) Order(_ context.Context, _ string, order lora.Order, fence int64) error {
 	engine.calls.Add(1)
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
@@ -55,7 +55,9 @@
 	return loader
 }
 
-func sound() Report { return Report{Engine: stock.Engine{Born: 1000, Models: []string{"m"}}} }
+func sound() Report {
+	return Report{EngineState: lora.EngineState{StartedAt: 1000, Models: []string{"m"}}}
+}
 
 // TestSilent guards against streams that are moved away from an engine that is
 // leaving, and against ones that stay at an engine that went dark.
@@ -208,7 +210,7 @@
 // at the engine's address, replacing those for the present one.
 func TestStaleDemand(t *testing.T) {
 	engine := &engine{report: sound()}
-	engine.report.Born = 2000
+	engine.report.StartedAt = 2000
 	loader := newLoader(engine)
 	loader.refresh(t.Context())
 	loader.heard("", &wirepb.Datagram{Body: &wirepb.Datagram_Demand{Demand: &wirepb.Demand{Entry: "10.0.0.1:7600", Upstream: "i-2", Born: 2000}}})
@@ -239,9 +241,9 @@
 func TestRestsAnew(t *testing.T) {
 	engine := &engine{report: sound()}
 	loader := newLoader(engine)
-	engine.err = RestError{Length: time.Hour}
+	engine.err = BackoffError{Delay: time.Hour}
 	loader.attend(t.Context())
-	engine.err, engine.report.Born = nil, 2000
+	engine.err, engine.report.StartedAt = nil, 2000
 	engine.calls.Store(0)
 	loader.attend(t.Context())
 	if engine.calls.Load() != 0 {
@@ -262,8 +264,8 @@
 		report error
 		order  error
 	}{
-		{name: "report", report: RestError{Length: 3 * time.Second}},
-		{name: "order", order: RestError{Length: 3 * time.Second}},
+		{name: "report", report: BackoffError{Delay: 3 * time.Second}},
+		{name: "order", order: BackoffError{Delay: 3 * time.Second}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/daemon/loader/orders.go
+++ b/internal/daemon/loader/orders.go
@@ -10,8 +10,8 @@
 
 	"jacinthfront.dev/jacinthfront/internal/base/telem"
 	"jacinthfront.dev/jacinthfront/internal/flow/admit"
-	"jacinthfront.dev/jacinthfront/internal/flow/avoid"
-	"jacinthfront.dev/jacinthfront/internal/flow/stock"
+	"jacinthfront.dev/jacinthfront/internal/flow/cordon"
+	"jacinthfront.dev/jacinthfront/internal/flow/lora"
 )
 
 const (
@@ -56,16 +56,16 @@
 
 // rests records that the engine wants no calls, if err says so.
 func (loader *Loader) rests(err error) bool {
-	var rest RestError
+	var rest BackoffError
 	if !errors.As(err, &rest) {
 		return false
 	}
 	loader.mutex.Lock()
 	defer loader.mutex.Unlock()
-	loader.restUntil = time.Now().Add(min(rest.Length, avoid.LongestRest))
-	loader.restBorn = max(loader.report.Born, loader.listedBorn)
+	loader.restUntil = time.Now().Add(min(rest.Delay, cordon.MaxBackoff))
+	loader.restBorn = max(loader.report.StartedAt, loader.listedBorn)
 	counters.Add("engine-rests", 1)
-	loader.config.Logger.Warn("loader: engine wants no calls", zap.Duration("rest", rest.Length))
+	loader.config.Logger.Warn("loader: engine wants no calls", zap.Duration("rest", rest.Delay))
 	return true
 }
 
@@ -83,23 +83,23 @@
 		loader.silent = !errors.Is(err, syscall.ECONNREFUSED) && !loader.report.Draining
 		if loader.misses == lostReports {
 			loader.config.Logger.Warn("loader: engine does not report", telem.Error(err))
-			loader.gate.Observe(admit.State{})
+			loader.gate.Observe(admit.EngineState{})
 		}
 		return false
 	}
-	if loader.misses >= lostReports || report.Born != loader.report.Born {
-		loader.config.Logger.Info("loader: engine reports", zap.Int64("born", report.Born),
+	if loader.misses >= lostReports || report.StartedAt != loader.report.StartedAt {
+		loader.config.Logger.Info("loader: engine reports", zap.Int64("born", report.StartedAt),
 			zap.Strings("models", report.Models), zap.Int("adapters", len(report.Resident)))
 	}
-	if report.Born != loader.report.Born {
-		loader.gate.Restarted()
+	if report.StartedAt != loader.report.StartedAt {
+		loader.gate.ResetSpeed()
 	}
 	loader.misses = 0
 	loader.report = report
-	for _, arrival := range loader.planner.Observe(report.Engine) {
+	for _, arrival := range loader.planner.Observe(report.EngineState) {
 		loader.logArrival(arrival)
 	}
-	loader.gate.Observe(admit.State{
+	loader.gate.Observe(admit.EngineState{
 		Running: report.Running + report.Queued, Queued: report.Queued, UsedTokens: report.UsedTokens, TotalTokens: report.TotalTokens,
 		Holds: report.holds,
 	})
@@ -127,9 +127,9 @@
 		counters.Add("orders-failed", 1)
 	}
 	if !errors.Is(err, ErrConflict) && !errors.Is(err, ErrFenced) && !loader.rests(err) {
-		loader.planner.Ordered(order)
+		loader.planner.RecordOrder(order)
 	}
-	loader.config.Logger.Info(LineOrder,
+	loader.config.Logger.Info(MessageOrder,
 		zap.String("operation", order.Operation.String()), zap.String("model", order.Model),
 		zap.String("adapter", order.Adapter.Name), zap.Uint32("version", order.Adapter.Version),
 		zap.Int64("sequence", order.Sequence), zap.Duration("took", time.Since(began)), telem.Error(err))
@@ -137,11 +137,11 @@
 }
 
 // logArrival writes how an adapter came.
-func (loader *Loader) logArrival(arrival stock.Arrival) {
+func (loader *Loader) logArrival(arrival lora.CompletedLoad) {
 	counters.Add("adapters-arrived", 1)
-	if arrival.Quick {
+	if arrival.FromCache {
 		counters.Add("adapters-recalled", 1)
 	}
-	loader.config.Logger.Info(LineArrival, zap.String("adapter", arrival.Adapter.Name), zap.Uint32("version", arrival.Adapter.Version),
-		zap.Duration("took", arrival.Took), zap.Int("depth", arrival.Depth), zap.Bool("quick", arrival.Quick))
+	loader.config.Logger.Info(MessageLoaded, zap.String("adapter", arrival.Adapter.Name), zap.Uint32("version", arrival.Adapter.Version),
+		zap.Duration("took", arrival.Took), zap.Int("depth", arrival.Depth), zap.Bool("quick", arrival.FromCache))
 }
--- a/internal/daemon/loader/tell.go
+++ b/internal/daemon/loader/tell.go
@@ -26,7 +26,7 @@
 // before. If it is due it counts as told.
 func (loader *Loader) due(entry string, entries int, granted bool, full uint64) (told informed, due bool) {
 	pause := min(time.Duration(max(entries-promptEntries, 0))*pausePerEntry, longestPause)
-	waits := granted || loader.gate.Waits(entry)
+	waits := granted || loader.gate.HasWaiting(entry)
 	loader.mutex.Lock()
 	defer loader.mutex.Unlock()
 	last := loader.tellings[entry]
--- a/internal/daemon/relay/belief.go
+++ b/internal/daemon/relay/belief.go
@@ -7,7 +7,7 @@
 
 	"go.uber.org/zap"
 
-	"jacinthfront.dev/jacinthfront/internal/daemon/follow"
+	"jacinthfront.dev/jacinthfront/internal/daemon/watch"
 	"jacinthfront.dev/jacinthfront/internal/flow/health"
 	"jacinthfront.dev/jacinthfront/internal/state/fleet"
 	"jacinthfront.dev/jacinthfront/internal/state/table"
@@ -40,7 +40,7 @@
 }
 
 // apply takes over changes; versions never go back.
-func (belief *belief) apply(changes []Change) {
+func (belief *belief) apply(changes []ConfigChange) {
 	for _, change := range changes {
 		if change.Table == nil {
 			belief.announce(change)
@@ -55,7 +55,7 @@
 	}
 }
 
-func (belief *belief) announce(change Change) {
+func (belief *belief) announce(change ConfigChange) {
 	belief.mutex.Lock()
 	defer belief.mutex.Unlock()
 	name := adapterName{change.Model, change.Adapter.Name}
@@ -69,35 +69,37 @@
 // confirmed reports whether the configuration was known to be the newest lately
 // enough to be trusted.
 func (relay *Relay) confirmed() bool {
-	at := relay.changes.Position().At
+	at := relay.changes.Position().ConfirmedAt
 	return !at.IsZero() && elapsed(at) < relay.trust()
 }
 
 // configAge returns the time since the configuration was known to be the newest.
-func (relay *Relay) configAge() time.Duration { return time.Since(relay.changes.Position().At) }
+func (relay *Relay) configAge() time.Duration {
+	return time.Since(relay.changes.Position().ConfirmedAt)
+}
 
 // newChanges returns the follower of what the operators write.
-func (relay *Relay) newChanges() *follow.Follower[Change] {
-	return follow.New(follow.Config[Change]{
-		Name: topicConfig, Source: relay.config.Changes, Logger: relay.config.Logger, Wait: configWait,
-		Apply: func(changes []Change, _ bool) []Change {
+func (relay *Relay) newChanges() *watch.Watcher[ConfigChange] {
+	return watch.New(watch.Config[ConfigChange]{
+		Name: topicConfig, Source: relay.config.ConfigSource, Logger: relay.config.Logger, LongPoll: configWait,
+		Apply: func(changes []ConfigChange, _ bool) []ConfigChange {
 			relay.belief.apply(changes)
 			if len(changes) > 0 {
 				relay.changed.fire()
 			}
 			return changes
 		},
-		Hint:    relay.configHint,
-		Changed: relay.spread,
-		Called:  func(err error) { relay.metrics.storeCalled(topicConfig, err) },
+		PeerUpdate: relay.configHint,
+		OnChange:   relay.spread,
+		OnCall:     func(err error) { relay.metrics.storeCalled(topicConfig, err) },
 	})
 }
 
 // newListings returns the follower of the instance list.
-func (relay *Relay) newListings() *follow.Follower[Listing] {
+func (relay *Relay) newListings() *watch.Watcher[Listing] {
 	list := relay.belief.list
-	return follow.New(follow.Config[Listing]{
-		Name: topicInstances, Source: relay.config.Listings, Logger: relay.config.Logger, Pause: listPause,
+	return watch.New(watch.Config[Listing]{
+		Name: topicInstances, Source: relay.config.InstanceSource, Logger: relay.config.Logger, Interval: listPause,
 		Apply: func(listings []Listing, complete bool) []Listing {
 			stamp := list.Stamp()
 			changes := relay.applyListings(listings, complete)
@@ -106,11 +108,11 @@
 			}
 			return changes
 		},
-		Hint:    relay.listHint,
-		Reached: func(time.Time) { list.Up() },
-		Changed: relay.spread,
-		Lost:    list.Down,
-		Called:  func(err error) { relay.metrics.storeCalled(topicInstances, err) },
+		PeerUpdate:  relay.listHint,
+		OnConfirmed: func(time.Time) { list.Up() },
+		OnChange:    relay.spread,
+		OnFailure:   list.Down,
+		OnCall:      func(err error) { relay.metrics.storeCalled(topicInstances, err) },
 	})
 }
 
@@ -161,7 +163,7 @@
 // relist makes the list's upstreams those that requests go to.
 func (relay *Relay) relist() {
 	upstreams := relay.belief.list.Upstreams()
-	relay.board.Follow(upstreams)
+	relay.board.SetUpstreams(upstreams)
 	relay.health.follow(upstreams)
 	relay.changed.fire()
 	relay.kick()
@@ -170,7 +172,7 @@
 // healths follows the upstreams of all services by how they answer.
 type healths struct {
 	mutex    sync.Mutex
-	services map[string]*health.Service
+	services map[string]*health.Tracker
 }
 
 // Usable implements steer.Health.
@@ -182,7 +184,7 @@
 	return known.State(id) != health.Ejected
 }
 
-func (healths *healths) service(name string) *health.Service {
+func (healths *healths) service(name string) *health.Tracker {
 	healths.mutex.Lock()
 	defer healths.mutex.Unlock()
 	return healths.services[name]
@@ -202,7 +204,7 @@
 			known, _ = health.New(health.Config{})
 			healths.services[service] = known
 		}
-		known.Follow(members)
+		known.SetUpstreams(members)
 	}
 }
 
@@ -213,9 +215,9 @@
 	case known == nil:
 		return false
 	case well:
-		known.Succeeded(id)
+		known.RecordSuccess(id)
 		return false
 	default:
-		return known.Failed(id)
+		return known.RecordFailure(id)
 	}
 }
--- a/internal/daemon/relay/exchange.go
+++ b/internal/daemon/relay/exchange.go
@@ -11,8 +11,8 @@
 
 	"jacinthfront.dev/jacinthfront/internal/base/telem"
 	"jacinthfront.dev/jacinthfront/internal/flow/admit"
-	"jacinthfront.dev/jacinthfront/internal/flow/steer"
-	"jacinthfront.dev/jacinthfront/internal/flow/stock"
+	"jacinthfront.dev/jacinthfront/internal/flow/lora"
+	"jacinthfront.dev/jacinthfront/internal/flow/picker"
 	"jacinthfront.dev/jacinthfront/internal/state/fleet"
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
@@ -25,7 +25,7 @@
 	idlePeriod = 500 * time.Millisecond
 	// restPerUpstream and longestRest stretch idlePeriod for loaders of which
 	// nothing is needed. Loaders forget an entry instance after
-	// stock.DefaultLinger.
+	// lora.DefaultLinger.
 	restPerUpstream = 10 * time.Millisecond
 	longestRest     = time.Second
 	// usagePeriod is the same for the other entry instances, which take an
@@ -65,7 +65,7 @@
 		}
 		relay.tellLoaders(told)
 		relay.settle()
-		statement := relay.ledger.Statement()
+		statement := relay.ledger.LocalUsage()
 		changed := relay.spending.changed(statement.Spent)
 		if time.Since(spent) >= usagePeriod || changed && time.Since(spent) >= usageSpacing(relay.peers.count()) {
 			spent = time.Now()
@@ -88,8 +88,8 @@
 
 // told is what a loader was told last.
 type told struct {
-	uses  []stock.Use
-	asks  []admit.Ask
+	uses  []lora.AdapterUse
+	asks  []admit.Request
 	stamp uint64
 	at    time.Time
 }
@@ -115,7 +115,7 @@
 	typical := make(map[string]*wirepb.Pace)
 	upstreams := relay.belief.list.Upstreams()
 	for _, upstream := range upstreams {
-		known, stamp := last[upstream.ID], relay.board.Stamp(upstream.ID)
+		known, stamp := last[upstream.ID], relay.board.DemandGeneration(upstream.ID)
 		if known.rests(stamp, len(upstreams)) {
 			continue
 		}
@@ -123,7 +123,7 @@
 		if !ok || service.Engine == nil || len(service.Engine.Models) == 0 {
 			continue
 		}
-		uses, asks := relay.board.Uses(upstream.ID), relay.board.Asks(upstream.ID)
+		uses, asks := relay.board.AdapterDemand(upstream.ID), relay.board.WaitingRequests(upstream.ID)
 		period := idlePeriod
 		switch {
 		case !slices.Equal(asks, known.asks):
@@ -137,11 +137,11 @@
 			continue
 		}
 		if typical[upstream.Service] == nil {
-			typical[upstream.Service] = codec.EncodePace(relay.board.Typical(upstream.Service))
+			typical[upstream.Service] = codec.EncodePace(relay.board.TypicalSpeed(upstream.Service))
 		}
 		last[upstream.ID] = told{uses: uses, asks: asks, stamp: stamp, at: time.Now()}
 		relay.tell(&wirepb.Datagram{Body: &wirepb.Datagram_Demand{Demand: &wirepb.Demand{
-			Entry:            relay.config.Address,
+			Entry:            relay.config.DatagramAddress,
 			Start:            relay.start.UnixNano(),
 			Model:            service.Engine.Models[0].Name,
 			AdapterSlots:     uint32(service.Engine.AdapterSlots),
@@ -151,10 +151,10 @@
 			EventTokens:      uint32(service.Engine.EventTokens),
 			GapMs:            uint32(config.TargetGap(service.Name).Milliseconds()),
 			Asks:             codec.EncodeAsks(asks),
-			Born:             upstream.Born,
+			Born:             upstream.StartedAt,
 			FullSerial:       relay.board.FullSerial(upstream.ID),
-			PendingElsewhere: uint32(relay.board.Coming(upstream.Service, upstream.ID)),
-			Readings:         codec.EncodeReadings(relay.board.TakeReadings(upstream.ID)),
+			PendingElsewhere: uint32(relay.board.PendingElsewhere(upstream.Service, upstream.ID)),
+			Readings:         codec.EncodeReadings(relay.board.TakeMeasurements(upstream.ID)),
 			Typical:          typical[upstream.Service],
 		}}}, relay.loaderAddress(upstream))
 	}
@@ -171,7 +171,7 @@
 	if err != nil {
 		return ""
 	}
-	return net.JoinHostPort(host, strconv.Itoa(int(relay.config.Port)))
+	return net.JoinHostPort(host, strconv.Itoa(int(relay.config.DatagramPort)))
 }
 
 // tell sends a datagram to other processes.
@@ -200,32 +200,32 @@
 	relay.peers.named(state.GetEntries())
 	relay.board.SetInstances(relay.peers.count())
 	relay.named.Store(true)
-	relay.board.Reported(state.GetUpstream(), steer.Report{
-		Unreachable: state.GetUnreachable(),
-		Silent:      state.GetSilent(),
-		Backlog:     state.GetBacklogTokens(),
-		Late:        state.GetLateTokens(),
-		Intake:      codec.DecodeRate(state.GetIntake()),
-		Pace:        codec.DecodePace(state.GetPace()),
-		Reach:       int(state.GetRecallReach()),
-		Dropped:     codec.DecodeAdapters(state.GetDropped()),
-		FreePlaces:  int(state.GetFreePlaces()),
-		Loads:       int(state.GetLoadsQueued()),
-		Brief:       state.GetBrief(),
-		FullSerial:  state.GetFullSerial(),
-		Born:        state.GetBorn(),
-		Serial:      state.GetSerial(),
-		Running:     int(state.GetRunning()),
-		Queued:      int(state.GetQueued()),
-		UsedTokens:  state.GetUsedTokens(),
-		TotalTokens: state.GetTotalTokens(),
-		ModelLoaded: state.GetModelLoaded(),
-		Draining:    state.GetDraining(),
-		Resident:    codec.DecodeAdapters(state.GetResident()),
-		Pending:     codec.DecodeAdapters(state.GetPending()),
+	relay.board.RecordReport(state.GetUpstream(), picker.Report{
+		Unreachable:      state.GetUnreachable(),
+		Unresponsive:     state.GetSilent(),
+		Backlog:          state.GetBacklogTokens(),
+		Late:             state.GetLateTokens(),
+		AdmissionRate:    codec.DecodeRate(state.GetIntake()),
+		Speed:            codec.DecodePace(state.GetPace()),
+		CacheCapacity:    int(state.GetRecallReach()),
+		Dropped:          codec.DecodeAdapters(state.GetDropped()),
+		FreeAdapterSlots: int(state.GetFreePlaces()),
+		QueuedLoads:      int(state.GetLoadsQueued()),
+		OmitsAdapters:    state.GetBrief(),
+		FullSerial:       state.GetFullSerial(),
+		StartedAt:        state.GetBorn(),
+		Serial:           state.GetSerial(),
+		Running:          int(state.GetRunning()),
+		Queued:           int(state.GetQueued()),
+		UsedTokens:       state.GetUsedTokens(),
+		TotalTokens:      state.GetTotalTokens(),
+		ModelLoaded:      state.GetModelLoaded(),
+		Draining:         state.GetDraining(),
+		Resident:         codec.DecodeAdapters(state.GetResident()),
+		Pending:          codec.DecodeAdapters(state.GetPending()),
 	})
-	relay.board.Granted(state.GetUpstream(), state.GetGranted())
-	if relay.board.Lost(state.GetUpstream()) {
+	relay.board.RecordGrants(state.GetUpstream(), state.GetGranted())
+	if relay.board.Gone(state.GetUpstream()) {
 		relay.abandon(state.GetUpstream())
 		relay.readList()
 	}
--- a/internal/daemon/relay/flight.go
+++ b/internal/daemon/relay/flight.go
@@ -16,7 +16,7 @@
 	"go.uber.org/zap"
 
 	"jacinthfront.dev/jacinthfront/internal/base/telem"
-	"jacinthfront.dev/jacinthfront/internal/flow/stock"
+	"jacinthfront.dev/jacinthfront/internal/flow/lora"
 	"jacinthfront.dev/jacinthfront/internal/link/hop"
 	"jacinthfront.dev/jacinthfront/internal/state/table"
 )
@@ -40,8 +40,8 @@
 	longestComeBack = 5 * time.Second
 )
 
-// LineAnswered is the message of the line for an answered request.
-const LineAnswered = "relay: request answered"
+// MessageAnswered is the message of the line for an answered request.
+const MessageAnswered = "relay: request answered"
 
 // refusal is a final answer of this instance's own.
 type refusal struct {
@@ -56,7 +56,7 @@
 	relay   *Relay
 	writer  http.ResponseWriter
 	request *http.Request
-	call    Call
+	call    RequestInfo
 	started time.Time
 	until   time.Time
 
@@ -64,7 +64,7 @@
 	organisation *table.Organisation
 	service      *table.Service
 	body         []byte
-	adapter      stock.Adapter
+	adapter      lora.Adapter
 
 	// tried holds the upstreams that are not to be tried again.
 	tried []string
@@ -111,7 +111,7 @@
 
 // serve handles one request of a caller.
 func (relay *Relay) serve(writer http.ResponseWriter, request *http.Request) {
-	flight := &flight{relay: relay, writer: writer, request: request, call: relay.config.Protocol.Call(request), started: time.Now()}
+	flight := &flight{relay: relay, writer: writer, request: request, call: relay.config.Protocol.ParseRequest(request), started: time.Now()}
 	relay.metrics.running.Add(1)
 	defer relay.metrics.running.Add(-1)
 	if relay.stopping.Load() {
@@ -177,7 +177,7 @@
 
 // patience returns how long the caller may be kept waiting.
 func (flight *flight) patience() time.Duration {
-	patience := flight.call.Patience
+	patience := flight.call.Timeout
 	if patience <= 0 {
 		patience = defaultPatience
 	}
@@ -257,7 +257,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	header := flight.writer.Header()
-	flight.relay.config.Protocol.Mark(header, flight.call)
+	flight.relay.config.Protocol.AddRequestID(header, flight.call)
 	if refused.after > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(refused.after.Seconds(), 'f', 3, 64))
 	}
--- a/internal/daemon/relay/metrics.go
+++ b/internal/daemon/relay/metrics.go
@@ -46,7 +46,7 @@
 // readsStore returns 1 if this instance reads the store for its failure domain,
 // else 0.
 func (relay *Relay) readsStore() int64 {
-	if reader, _ := relay.peers.reader(); reader == relay.config.Address {
+	if reader, _ := relay.peers.reader(); reader == relay.config.DatagramAddress {
 		return 1
 	}
 	return 0
@@ -54,7 +54,7 @@
 
 // setGauges brings the values that change without an event to the present.
 func (relay *Relay) setGauges() {
-	heard, silent := relay.ledger.Peers()
+	heard, silent := relay.ledger.CountPeers()
 	opened, reused := relay.config.Pool.Opened()
 	telem.Gauge("relay", "running", relay.metrics.running.Load())
 	telem.Gauge("relay", "entries-heard", int64(heard))
--- a/internal/daemon/relay/patience.go
+++ b/internal/daemon/relay/patience.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/flow/steer"
+	"jacinthfront.dev/jacinthfront/internal/flow/picker"
 )
 
 const (
@@ -55,30 +55,30 @@
 }
 
 // noteWait adds the time since the last look to what it was waited for.
-func (flight *flight) noteWait(choice steer.Choice) {
+func (flight *flight) noteWait(choice picker.Choice) {
 	now := time.Now()
-	if !flight.lookedAt.IsZero() && choice.Result == steer.Absent {
+	if !flight.lookedAt.IsZero() && choice.Result == picker.AdapterMissing {
 		flight.waitedAdapter += now.Sub(flight.lookedAt)
 	}
 	flight.lookedAt = now
 }
 
 // impatient returns the refusal of a request that has waited long enough.
-func (flight *flight) impatient(ctx context.Context, choice steer.Choice, waited time.Duration) *refusal {
+func (flight *flight) impatient(ctx context.Context, choice picker.Choice, waited time.Duration) *refusal {
 	if ctx.Err() != nil {
 		return &refusal{http.StatusServiceUnavailable, "the time ran out before an upstream took the request", comeBackFull}
 	}
 	switch {
-	case choice.Result == steer.None && choice.Rest > flight.restLimit():
+	case choice.Result == picker.NoUpstream && choice.RetryAfter > flight.restLimit():
 		// Another instance may be served sooner.
-		return &refusal{http.StatusServiceUnavailable, "the upstreams take nothing for a time", min(choice.Rest, longestComeBack)}
+		return &refusal{http.StatusServiceUnavailable, "the upstreams take nothing for a time", min(choice.RetryAfter, longestComeBack)}
 	case flight.begun:
 		// The caller has a part of the answer and cannot come back for the rest
 		// sooner than it can go on.
 		return nil
-	case choice.Result == steer.None && waited > flight.route.Target/placePart:
+	case choice.Result == picker.NoUpstream && waited > flight.route.Target/placePart:
 		return &refusal{http.StatusServiceUnavailable, "no upstream is ready", comeBackFull}
-	case flight.service.Engine == nil && choice.Result == steer.Full && waited > flight.route.Target/placePart:
+	case flight.service.Engine == nil && choice.Result == picker.Full && waited > flight.route.Target/placePart:
 		return &refusal{http.StatusServiceUnavailable, "all upstreams are full", comeBackFull}
 	case flight.service.Engine != nil && flight.left() <= 0:
 		return inVain(choice)
@@ -87,13 +87,13 @@
 }
 
 // inVain returns the refusal of a request that waits in vain.
-func inVain(choice steer.Choice) *refusal {
+func inVain(choice picker.Choice) *refusal {
 	switch choice.Result {
-	case steer.Starting:
+	case picker.Starting:
 		return &refusal{http.StatusServiceUnavailable, "the engines are still loading their model", comeBackStarting}
-	case steer.Absent:
+	case picker.AdapterMissing:
 		return &refusal{http.StatusServiceUnavailable, "the adapter could not be loaded in time", comeBackFull}
-	case steer.Found:
+	case picker.Found:
 		return &refusal{http.StatusServiceUnavailable, "the turn could not come in time", comeBackFull}
 	default:
 		return &refusal{http.StatusServiceUnavailable, "all upstreams are full", comeBackFull}
--- a/internal/daemon/relay/peers.go
+++ b/internal/daemon/relay/peers.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/flow/elect"
+	"jacinthfront.dev/jacinthfront/internal/flow/rank"
 )
 
 const (
@@ -133,5 +133,5 @@
 			others = append(others, address)
 		}
 	}
-	return elect.First("store", append([]string{peers.own}, others...)), others
+	return rank.First("store", append([]string{peers.own}, others...)), others
 }
--- a/internal/daemon/relay/place.go
+++ b/internal/daemon/relay/place.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/flow/admit"
-	"jacinthfront.dev/jacinthfront/internal/flow/steer"
+	"jacinthfront.dev/jacinthfront/internal/flow/picker"
 )
 
 // stayTime is how long a request waits at an upstream before it looks for a
@@ -15,21 +15,21 @@
 type place struct {
 	flight *flight
 	number uint64
-	choice steer.Choice
+	choice picker.Choice
 	taken  time.Time
-	need   steer.Need
+	need   picker.Request
 }
 
 // choose returns the upstream to wait for. The one where the request waits
 // already stays for a while, so that its turn can come.
-func (place *place) choose() steer.Choice {
+func (place *place) choose() picker.Choice {
 	flight := place.flight
 	need := flight.need()
 	kept := place.choice.Upstream.ID != "" && need.Adapter == place.need.Adapter && time.Since(place.taken) < stayTime
-	if kept && flight.relay.board.Turn(place.choice.Upstream.ID, place.number) != steer.Lost {
+	if kept && flight.relay.board.GrantState(place.choice.Upstream.ID, place.number) != picker.Unusable {
 		return place.choice
 	}
-	need.At = place.choice.Upstream.ID
+	need.WaitingAt = place.choice.Upstream.ID
 	choice := flight.relay.board.Choose(need)
 	if !need.Engine || choice.Upstream.ID == "" {
 		return choice
@@ -48,14 +48,14 @@
 }
 
 // take moves the request to an upstream, unless it waits there already.
-func (place *place) take(choice steer.Choice, need steer.Need) {
+func (place *place) take(choice picker.Choice, need picker.Request) {
 	moved := choice.Upstream.ID != place.choice.Upstream.ID || need.Adapter != place.need.Adapter
 	if moved {
 		place.flight.moves++
 		place.leave()
-		place.flight.relay.board.Place(choice.Upstream.ID, admit.Ask{
+		place.flight.relay.board.AddWaiting(choice.Upstream.ID, admit.Request{
 			ID: place.number, Adapter: need.Adapter, Priority: place.flight.rank(),
-			Prompt: place.flight.call.Prompt, Output: place.flight.call.Output,
+			PromptTokens: place.flight.call.PromptTokens, OutputTokens: place.flight.call.MaxOutputTokens,
 			Waited: time.Since(place.flight.started),
 		}, place.flight.goal())
 		place.flight.relay.kick()
@@ -66,24 +66,24 @@
 // leave ends the waiting.
 func (place *place) leave() {
 	if place.choice.Upstream.ID != "" {
-		place.flight.relay.board.Withdraw(place.choice.Upstream.ID, place.number)
+		place.flight.relay.board.RemoveWaiting(place.choice.Upstream.ID, place.number)
 	}
 }
 
 // start reports whether the request may be sent to the chosen upstream, and the
 // number of the turn that has come, 0 if none is needed.
-func (place *place) start(choice steer.Choice) (turn uint64, ok bool) {
+func (place *place) start(choice picker.Choice) (turn uint64, ok bool) {
 	if choice.Upstream.ID == "" {
 		return 0, false
 	}
 	if !place.need.Engine {
-		return 0, choice.Result == steer.Found
+		return 0, choice.Result == picker.Found
 	}
-	switch place.flight.relay.board.Turn(choice.Upstream.ID, place.number) {
-	case steer.Come:
+	switch place.flight.relay.board.GrantState(choice.Upstream.ID, place.number) {
+	case picker.Granted:
 		return place.number, true
-	case steer.Unruled:
-		return 0, choice.Result == steer.Found
+	case picker.NoLoader:
+		return 0, choice.Result == picker.Found
 	default:
 		return 0, false
 	}
--- a/internal/daemon/relay/relay.go
+++ b/internal/daemon/relay/relay.go
@@ -19,11 +19,11 @@
 
 	"jacinthfront.dev/jacinthfront/internal/base/setup"
 	"jacinthfront.dev/jacinthfront/internal/base/telem"
-	"jacinthfront.dev/jacinthfront/internal/daemon/follow"
-	"jacinthfront.dev/jacinthfront/internal/flow/avoid"
+	"jacinthfront.dev/jacinthfront/internal/daemon/watch"
+	"jacinthfront.dev/jacinthfront/internal/flow/bucket"
+	"jacinthfront.dev/jacinthfront/internal/flow/cordon"
 	"jacinthfront.dev/jacinthfront/internal/flow/health"
-	"jacinthfront.dev/jacinthfront/internal/flow/share"
-	"jacinthfront.dev/jacinthfront/internal/flow/steer"
+	"jacinthfront.dev/jacinthfront/internal/flow/picker"
 	"jacinthfront.dev/jacinthfront/internal/link/gossip"
 	"jacinthfront.dev/jacinthfront/internal/link/hop"
 	"jacinthfront.dev/jacinthfront/internal/state/fleet"
@@ -32,29 +32,29 @@
 // Config configures a Relay.
 type Config struct {
 	FailureDomain string
-	// Callers is where requests come in, Probes where readiness is asked, and
+	// CallerListener is where requests come in, Probes where readiness is asked, and
 	// Metrics where metrics are read.
-	Callers net.Listener
-	Probes  net.Listener
-	Metrics net.Listener
+	CallerListener  net.Listener
+	ProbeListener   net.Listener
+	MetricsListener net.Listener
 	// ReadyPath is the path of the readiness probe.
 	ReadyPath string
 	Protocol  Protocol
-	// Changes and Listings are followed on the platform's store.
-	Changes  follow.Source[Change]
-	Listings follow.Source[Listing]
+	// ConfigSource and Listings are followed on the platform's store.
+	ConfigSource   watch.Source[ConfigChange]
+	InstanceSource watch.Source[Listing]
 	// Datagrams reaches the loaders and the other entry instances; Port is the
 	// port of all of them.
 	Datagrams *gossip.Conn
-	// Address is this instance's own datagram address.
-	Address string
-	Port    uint16
-	Pool    *hop.Pool
-	Logger  *zap.Logger
-	Bounds  Bounds
-	// Reloads delivers bounds that were changed while the instance runs. It may
+	// DatagramAddress is this instance's own datagram address.
+	DatagramAddress string
+	DatagramPort    uint16
+	Pool            *hop.Pool
+	Logger          *zap.Logger
+	Bounds          Bounds
+	// BoundsUpdates delivers bounds that were changed while the instance runs. It may
 	// be nil.
-	Reloads <-chan Bounds
+	BoundsUpdates <-chan Bounds
 }
 
 // Bounds holds what the users promise their callers.
@@ -92,15 +92,15 @@
 type Relay struct {
 	config Config
 	belief *belief
-	board  *steer.Board
+	board  *picker.Picker
 	health *healths
-	ledger *share.Ledger
+	ledger *bucket.Limiter
 	budget *budget
 	peers  *peers
 	// spending is used by the loop that tells the others only.
 	spending *spending
 	// avoided holds what upstreams said of themselves in their answers.
-	avoided *avoid.Set
+	avoided *cordon.Set
 	spans   *spans
 	start   time.Time
 	wake    chan struct{}
@@ -108,9 +108,9 @@
 	sends   *sends
 	// listings follows the instance list; wokenAt is when it was last read out
 	// of turn, in Unix milliseconds.
-	listings *follow.Follower[Listing]
+	listings *watch.Watcher[Listing]
 	// changes follows what the operators write.
-	changes *follow.Follower[Change]
+	changes *watch.Watcher[ConfigChange]
 	words   words
 	wokenAt atomic.Int64
 	metrics metrics
@@ -132,20 +132,20 @@
 func New(config Config) *Relay {
 	relay := &Relay{
 		config:   config,
-		health:   &healths{services: make(map[string]*health.Service)},
-		ledger:   share.New(share.Config{}),
-		peers:    newPeers(config.Address, config.FailureDomain),
+		health:   &healths{services: make(map[string]*health.Tracker)},
+		ledger:   bucket.New(bucket.Config{}),
+		peers:    newPeers(config.DatagramAddress, config.FailureDomain),
 		start:    time.Now(),
 		wake:     make(chan struct{}, 1),
 		changed:  newSignal(),
 		spending: newSpending(),
-		avoided:  avoid.New(avoid.Config{}),
+		avoided:  cordon.New(cordon.Config{}),
 		spans:    newSpans(),
 		callers:  newConnections(),
 		sends:    newSends(),
 	}
 	relay.asks.Store(rand.Uint64())
-	relay.board = steer.New(steer.Config{FailureDomain: config.FailureDomain, Health: relay.health, Avoided: relay.avoided})
+	relay.board = picker.New(picker.Config{FailureDomain: config.FailureDomain, Health: relay.health, Avoided: relay.avoided})
 	relay.belief = newBelief(fleet.New(fleet.Config{}), config.Logger)
 	relay.bounds.Store(&config.Bounds)
 	relay.budget = newBudget(func() Bounds { return *relay.bounds.Load() }, relay.peers.count)
@@ -171,16 +171,16 @@
 	group, running := errgroup.WithContext(context.Background())
 	running, cancel := context.WithCancel(running)
 	defer cancel()
-	group.Go(func() error { return ended(relay.server.Serve(relay.config.Callers)) })
-	group.Go(func() error { return ended(relay.probes.Serve(relay.config.Probes)) })
-	group.Go(func() error { return ended(relay.reads.Serve(relay.config.Metrics)) })
+	group.Go(func() error { return ended(relay.server.Serve(relay.config.CallerListener)) })
+	group.Go(func() error { return ended(relay.probes.Serve(relay.config.ProbeListener)) })
+	group.Go(func() error { return ended(relay.reads.Serve(relay.config.MetricsListener)) })
 	group.Go(func() error { return relay.config.Datagrams.Serve(running, relay.heard) })
 	group.Go(func() error { relay.changes.Run(running); return nil })
 	group.Go(func() error { relay.listings.Run(running); return nil })
 	group.Go(func() error { relay.exchange(running); return nil })
 	group.Go(func() error { relay.expire(running); return nil })
 	group.Go(func() error { relay.reload(running); return nil })
-	relay.config.Logger.Info("relay: started", zap.String("address", relay.config.Address))
+	relay.config.Logger.Info("relay: started", zap.String("address", relay.config.DatagramAddress))
 	select {
 	case <-ctx.Done():
 		relay.drain()
@@ -225,7 +225,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case bounds := <-relay.config.Reloads:
+		case bounds := <-relay.config.BoundsUpdates:
 			before := relay.bounds.Swap(&bounds)
 			relay.config.Logger.Info("settings: bounds in force", zap.Any("bounds", bounds), zap.Bool("changed", *before != bounds))
 		}
--- a/internal/daemon/relay/run.go
+++ b/internal/daemon/relay/run.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/base/telem"
-	"jacinthfront.dev/jacinthfront/internal/flow/steer"
+	"jacinthfront.dev/jacinthfront/internal/flow/picker"
 	"jacinthfront.dev/jacinthfront/internal/state/fleet"
 	"jacinthfront.dev/jacinthfront/internal/state/table"
 )
@@ -105,17 +105,17 @@
 
 // need returns what the request asks of an upstream now. The newest version of
 // the adapter counts, also if it was announced while the request waited.
-func (flight *flight) need() steer.Need {
-	need := steer.Need{
-		Service: flight.service.Name,
-		Engine:  flight.service.Engine != nil,
-		Tokens:  flight.call.Prompt + flight.call.Output,
-		Exclude: flight.tried,
-		Urgent:  flight.begun || flight.priority() == 0,
-		Late:    flight.late(),
+func (flight *flight) need() picker.Request {
+	need := picker.Request{
+		Service:  flight.service.Name,
+		Engine:   flight.service.Engine != nil,
+		KVTokens: flight.call.PromptTokens + flight.call.MaxOutputTokens,
+		Exclude:  flight.tried,
+		Urgent:   flight.begun || flight.priority() == 0,
+		Late:     flight.late(),
 	}
 	if !flight.begun && !need.Late {
-		need.Limit = flight.route.Target
+		need.MaxWait = flight.route.Target
 	}
 	if need.Engine && flight.call.Adapter != "" {
 		flight.adapter.Name = flight.call.Adapter
@@ -127,7 +127,7 @@
 
 // choose returns an upstream that can take the request now. At an engine it
 // waits for its turn, and for the adapter to be brought.
-func (flight *flight) choose(ctx context.Context) (steer.Choice, *refusal) {
+func (flight *flight) choose(ctx context.Context) (picker.Choice, *refusal) {
 	began := time.Now()
 	place := &place{flight: flight, number: flight.relay.asks.Add(1)}
 	defer func() {
@@ -156,10 +156,10 @@
 	}
 }
 
-func (flight *flight) found(choice steer.Choice) {
+func (flight *flight) found(choice picker.Choice) {
 	flight.upstream, flight.load, flight.backlog = choice.Upstream.ID, choice.Load, choice.Backlog
-	if choice.Copy.ID != "" {
-		flight.relay.bringCopy(choice.Copy, flight)
+	if choice.CopyTo.ID != "" {
+		flight.relay.bringCopy(choice.CopyTo, flight)
 	}
 }
 
@@ -168,7 +168,7 @@
 func (relay *Relay) bringCopy(target fleet.Upstream, flight *flight) {
 	adapter := flight.adapter
 	relay.metrics.count("copies-asked")
-	relay.board.Want(target.ID, adapter)
+	relay.board.RequestCopy(target.ID, adapter)
 	relay.kick()
-	time.AfterFunc(copyTime, func() { relay.board.Unwant(target.ID, adapter) })
+	time.AfterFunc(copyTime, func() { relay.board.CancelCopy(target.ID, adapter) })
 }
--- a/internal/daemon/relay/run_test.go
+++ b/internal/daemon/relay/run_test.go
@@ -5,7 +5,7 @@
 	"testing/synctest"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/flow/steer"
+	"jacinthfront.dev/jacinthfront/internal/flow/picker"
 	"jacinthfront.dev/jacinthfront/internal/state/table"
 )
 
@@ -37,7 +37,7 @@
 				}
 				flight.learn()
 				began := time.Now()
-				for flight.impatient(t.Context(), steer.Choice{Result: steer.Absent}, time.Since(began)) == nil {
+				for flight.impatient(t.Context(), picker.Choice{Result: picker.AdapterMissing}, time.Since(began)) == nil {
 					time.Sleep(10 * time.Millisecond)
 				}
 				if got := time.Since(began); got != test.want {
--- a/internal/daemon/relay/send.go
+++ b/internal/daemon/relay/send.go
@@ -30,19 +30,19 @@
 		defer done()
 		ctx = watched
 	}
-	relay.board.Sent(upstream.ID, flight.adapter)
+	relay.board.RecordSent(upstream.ID, flight.adapter)
 	flight.sentAt, flight.pauses = time.Now(), nil
-	defer relay.board.Ended(upstream.ID, flight.adapter)
+	defer relay.board.RecordEnded(upstream.ID, flight.adapter)
 	response, err := relay.config.Pool.Do(ctx, upstream.Address, flight.outgoing(upstream))
 	if err != nil {
 		return flight.unanswered(ctx, upstream, err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	flight.sends++
-	answer := relay.config.Protocol.Answer(response.Status, response.Header)
+	answer := relay.config.Protocol.ParseResponse(response.Status, response.Header)
 	flight.heed(upstream, answer)
 	if answer.Load >= 0 {
-		relay.board.Answered(upstream.ID, answer.Load)
+		relay.board.RecordLoad(upstream.ID, answer.Load)
 	}
 	switch {
 	case answer.ID != "" && answer.ID != flight.call.ID, answer.ID == "" && !answer.NotRun:
@@ -68,11 +68,11 @@
 }
 
 func (flight *flight) outgoing(upstream fleet.Upstream) hop.Request {
-	send := Send{
-		Upstream: upstream.ID,
-		Left:     time.Until(flight.until),
-		Priority: flight.priority(),
-		Resume:   flight.lastEvent,
+	send := ForwardInfo{
+		Upstream:    upstream.ID,
+		Remaining:   time.Until(flight.until),
+		Priority:    flight.priority(),
+		LastEventID: flight.lastEvent,
 	}
 	if flight.organisation != nil {
 		send.Organisation = flight.organisation.Name
@@ -81,7 +81,7 @@
 		Method:  flight.request.Method,
 		Target:  flight.request.RequestURI,
 		Host:    flight.request.Host,
-		Header:  flight.relay.config.Protocol.Forward(flight.request, send),
+		Header:  flight.relay.config.Protocol.UpstreamHeader(flight.request, send),
 		Body:    flight.body,
 		HasBody: flight.request.ContentLength != 0 || flight.request.Method == http.MethodPost,
 	}
@@ -124,7 +124,7 @@
 	if response.Status == http.StatusMisdirectedRequest {
 		flight.relay.readList()
 		if flight.adapter.Name != "" {
-			flight.relay.board.Absent(upstream.ID, flight.adapter)
+			flight.relay.board.RecordMissing(upstream.ID, flight.adapter)
 		}
 	}
 	flight.relay.metrics.count("turned-away-" + strconv.Itoa(response.Status))
@@ -195,7 +195,7 @@
 // head passes on the headers of an answer.
 func (flight *flight) head(response *hop.Response) {
 	header := flight.writer.Header()
-	for name, values := range flight.relay.config.Protocol.Reply(response.Header) {
+	for name, values := range flight.relay.config.Protocol.CallerHeader(response.Header) {
 		header[name] = values
 	}
 }
@@ -205,5 +205,5 @@
 	if flight.sends == 1 {
 		flight.relay.spans.ended(flight.route.Name, time.Since(flight.sentAt))
 	}
-	flight.log(LineAnswered, zap.Int("status", status))
+	flight.log(MessageAnswered, zap.Int("status", status))
 }
--- a/internal/daemon/relay/spans.go
+++ b/internal/daemon/relay/spans.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/flow/pace"
+	"jacinthfront.dev/jacinthfront/internal/flow/speed"
 )
 
 const (
@@ -40,7 +40,7 @@
 	spans.mutex.Lock()
 	defer spans.mutex.Unlock()
 	known := spans.route(route)
-	known.first = pace.KeepNewest(append(known.first, took), mostSpans)
+	known.first = speed.KeepNewest(append(known.first, took), mostSpans)
 }
 
 // ended records the time from a send to the end of the answer.
@@ -48,7 +48,7 @@
 	spans.mutex.Lock()
 	defer spans.mutex.Unlock()
 	known := spans.route(route)
-	known.whole = pace.KeepNewest(append(known.whole, took), mostSpans)
+	known.whole = speed.KeepNewest(append(known.whole, took), mostSpans)
 }
 
 // usual returns a route's usual times, 0 if they are not known.
@@ -59,7 +59,7 @@
 	if !ok {
 		return 0, 0
 	}
-	return pace.Quantile(known.first, usualPart), pace.Median(known.whole)
+	return speed.Quantile(known.first, usualPart), speed.Median(known.whole)
 }
 
 func (spans *spans) route(name string) *routeSpans {
--- a/internal/daemon/relay/spending.go
+++ b/internal/daemon/relay/spending.go
@@ -5,7 +5,7 @@
 
 	"go.uber.org/zap"
 
-	"jacinthfront.dev/jacinthfront/internal/flow/share"
+	"jacinthfront.dev/jacinthfront/internal/flow/bucket"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
@@ -51,11 +51,11 @@
 
 // tellPeers tells the other entry instances what was spent: all that changed
 // lately, and from time to time all.
-func (relay *Relay) tellPeers(statement share.Statement) {
-	heard, engines := relay.board.Heard()
+func (relay *Relay) tellPeers(statement bucket.Usage) {
+	heard, engines := relay.board.CountReporting()
 	addresses, gone := relay.peers.addresses(2*heard > engines)
 	for _, address := range gone {
-		relay.ledger.Gone(address)
+		relay.ledger.RemovePeer(address)
 		relay.config.Logger.Info("relay: entry instance is gone", zap.String("address", address))
 	}
 	var whole, partial []string
@@ -72,18 +72,18 @@
 
 // tellUsage tells entry instances a statement, or the part of it that concerns
 // some organisations.
-func (relay *Relay) tellUsage(statement share.Statement, only map[string]bool, addresses []string) {
+func (relay *Relay) tellUsage(statement bucket.Usage, only map[string]bool, addresses []string) {
 	if len(addresses) > 0 {
 		relay.tell(&wirepb.Datagram{Body: &wirepb.Datagram_Usage{Usage: relay.usage(statement, only)}}, addresses...)
 	}
 }
 
 // usage encodes a statement, or the part of it that concerns some organisations.
-func (relay *Relay) usage(statement share.Statement, only map[string]bool) *wirepb.Usage {
+func (relay *Relay) usage(statement bucket.Usage, only map[string]bool) *wirepb.Usage {
 	usage := &wirepb.Usage{
-		Entry: relay.config.Address, Start: relay.start.UnixNano(), FailureDomain: relay.config.FailureDomain,
-		UptimeMs: statement.Uptime.Milliseconds(), Settled: statement.Settled, Partial: only != nil,
-		Leaving: encodeLeaving(relay.avoided.News()),
+		Entry: relay.config.DatagramAddress, Start: relay.start.UnixNano(), FailureDomain: relay.config.FailureDomain,
+		UptimeMs: statement.Uptime.Milliseconds(), Settled: statement.Initialised, Partial: only != nil,
+		Leaving: encodeLeaving(relay.avoided.RecentlyDraining()),
 	}
 	for organisation, spent := range statement.Spent {
 		if only != nil && !only[organisation] {
@@ -97,19 +97,19 @@
 }
 
 func (relay *Relay) heardPeer(usage *wirepb.Usage) {
-	statement := share.Statement{
+	statement := bucket.Usage{
 		Partial: usage.GetPartial(),
-		Start:   usage.GetStart(), Uptime: time.Duration(usage.GetUptimeMs()) * time.Millisecond, Settled: usage.GetSettled(),
+		Start:   usage.GetStart(), Uptime: time.Duration(usage.GetUptimeMs()) * time.Millisecond, Initialised: usage.GetSettled(),
 		Spent: make(map[string]float64), Levels: make(map[string]float64),
 	}
 	for _, organisation := range usage.GetOrganisations() {
 		statement.Spent[organisation.GetOrganisation()] = organisation.GetSpent()
-		if statement.Settled {
+		if statement.Initialised {
 			statement.Levels[organisation.GetOrganisation()] = organisation.GetLevel()
 		}
 	}
 	relay.peers.spoke(usage.GetEntry(), usage.GetFailureDomain(), usage.GetStart())
-	relay.ledger.Heard(usage.GetEntry(), statement)
+	relay.ledger.MergeUsage(usage.GetEntry(), statement)
 	relay.heardLeaving(usage)
 }
 
--- a/internal/daemon/relay/stream.go
+++ b/internal/daemon/relay/stream.go
@@ -11,7 +11,7 @@
 
 	"jacinthfront.dev/jacinthfront/internal/base/telem"
 	"jacinthfront.dev/jacinthfront/internal/flow/admit"
-	"jacinthfront.dev/jacinthfront/internal/flow/pace"
+	"jacinthfront.dev/jacinthfront/internal/flow/speed"
 	"jacinthfront.dev/jacinthfront/internal/link/hop"
 	"jacinthfront.dev/jacinthfront/internal/state/fleet"
 )
@@ -94,7 +94,7 @@
 	switch {
 	case flight.ask == 0:
 	case last.IsZero():
-		flight.relay.board.Measured(upstream.ID, admit.Reading{Ask: flight.ask, First: now.Sub(flight.sentAt)})
+		flight.relay.board.RecordMeasurement(upstream.ID, admit.Measurement{RequestID: flight.ask, FirstEvent: now.Sub(flight.sentAt)})
 	case len(flight.pauses) < measuredPauses:
 		flight.pauses = append(flight.pauses, now.Sub(*last))
 		if len(flight.pauses) == measuredPauses {
@@ -114,7 +114,7 @@
 
 // measurePause notes the usual pause between a stream's events.
 func (flight *flight) measurePause(upstream fleet.Upstream) {
-	flight.relay.board.Measured(upstream.ID, admit.Reading{Ask: flight.ask, Pause: pace.Median(flight.pauses)})
+	flight.relay.board.RecordMeasurement(upstream.ID, admit.Measurement{RequestID: flight.ask, EventInterval: speed.Median(flight.pauses)})
 }
 
 // passed notes when an event was passed on.
--- a/internal/daemon/relay/word.go
+++ b/internal/daemon/relay/word.go
@@ -6,7 +6,7 @@
 
 	"go.uber.org/zap"
 
-	"jacinthfront.dev/jacinthfront/internal/daemon/follow"
+	"jacinthfront.dev/jacinthfront/internal/daemon/watch"
 	"jacinthfront.dev/jacinthfront/internal/state/fleet"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
@@ -39,8 +39,8 @@
 	// asked is when the ask with that number was sent, and reader to whom.
 	asked   time.Time
 	reader  string
-	changes follow.Hint[Change]
-	list    follow.Hint[Listing]
+	changes watch.Update[ConfigChange]
+	list    watch.Update[Listing]
 }
 
 // follow makes an entry instance the one whose words count, and reports whether
@@ -51,7 +51,7 @@
 	if words.reader == reader {
 		return false
 	}
-	words.reader, words.changes, words.list = reader, follow.Hint[Change]{}, follow.Hint[Listing]{}
+	words.reader, words.changes, words.list = reader, watch.Update[ConfigChange]{}, watch.Update[Listing]{}
 	return true
 }
 
@@ -74,22 +74,22 @@
 		return
 	}
 	for _, topic := range word.GetTopics() {
-		position := follow.Position{
-			Next: topic.GetNext(), Changed: topic.GetChanged(),
-			At: words.asked.Add(-time.Duration(topic.GetAgeMs()) * time.Millisecond),
+		position := watch.Position{
+			Next: topic.GetNext(), ChangedNext: topic.GetChanged(),
+			ConfirmedAt: words.asked.Add(-time.Duration(topic.GetAgeMs()) * time.Millisecond),
 		}
 		switch topic.GetTopic() {
 		case topicConfig:
 			if !answer {
-				position.At = words.changes.At
+				position.ConfirmedAt = words.changes.ConfirmedAt
 			}
-			words.changes = follow.Hint[Change]{Position: position}
+			words.changes = watch.Update[ConfigChange]{Position: position}
 		case topicInstances:
 			if !answer {
-				position.At = words.list.At
+				position.ConfirmedAt = words.list.ConfirmedAt
 			}
-			words.list = follow.Hint[Listing]{
-				Position: position, News: decodeListings(topic.GetListings()), From: topic.GetFrom(), Complete: topic.GetComplete(),
+			words.list = watch.Update[Listing]{
+				Position: position, Changes: decodeListings(topic.GetListings()), From: topic.GetFrom(), Complete: topic.GetComplete(),
 			}
 		}
 	}
@@ -103,16 +103,16 @@
 }
 
 // configHint and listHint are the followers' hints.
-func (relay *Relay) configHint() (follow.Hint[Change], bool) {
+func (relay *Relay) configHint() (watch.Update[ConfigChange], bool) {
 	relay.words.mutex.Lock()
 	defer relay.words.mutex.Unlock()
-	return relay.words.changes, elapsed(relay.words.changes.At) < configHintAge
+	return relay.words.changes, elapsed(relay.words.changes.ConfirmedAt) < configHintAge
 }
 
-func (relay *Relay) listHint() (follow.Hint[Listing], bool) {
+func (relay *Relay) listHint() (watch.Update[Listing], bool) {
 	relay.words.mutex.Lock()
 	defer relay.words.mutex.Unlock()
-	return relay.words.list, elapsed(relay.words.list.At) < listHintAge
+	return relay.words.list, elapsed(relay.words.list.ConfirmedAt) < listHintAge
 }
 
 // askReader asks the entry instance that reads the store, if that is not this
@@ -123,11 +123,11 @@
 		relay.config.Logger.Info("relay: reader of the store chosen", zap.String("reader", reader),
 			zap.Int("others", len(others)), zap.Duration("config-age", relay.configAge()))
 	}
-	if reader == relay.config.Address {
+	if reader == relay.config.DatagramAddress {
 		return
 	}
 	relay.tell(&wirepb.Datagram{Body: &wirepb.Datagram_StoreAsk{StoreAsk: &wirepb.StoreAsk{
-		Entry: relay.config.Address, Number: relay.words.ask(), InstancesNext: relay.listings.Position().Next,
+		Entry: relay.config.DatagramAddress, Number: relay.words.ask(), InstancesNext: relay.listings.Position().Next,
 	}}}, reader)
 }
 
@@ -141,20 +141,20 @@
 // instance reads for them.
 func (relay *Relay) spread() {
 	reader, others := relay.peers.reader()
-	if reader == relay.config.Address {
+	if reader == relay.config.DatagramAddress {
 		relay.tell(relay.word(0, relay.listings.Latest()), others...)
 	}
 }
 
-func (relay *Relay) word(number uint64, list follow.Hint[Listing]) *wirepb.Datagram {
-	word := &wirepb.StoreWord{Entry: relay.config.Address, Number: number}
-	if changes := relay.changes.Position(); !changes.At.IsZero() {
+func (relay *Relay) word(number uint64, list watch.Update[Listing]) *wirepb.Datagram {
+	word := &wirepb.StoreWord{Entry: relay.config.DatagramAddress, Number: number}
+	if changes := relay.changes.Position(); !changes.ConfirmedAt.IsZero() {
 		word.Topics = append(word.Topics, encodePosition(topicConfig, changes))
 	}
-	if !list.At.IsZero() {
+	if !list.ConfirmedAt.IsZero() {
 		topic := encodePosition(topicInstances, list.Position)
 		topic.From, topic.Complete = list.From, list.Complete
-		for _, listing := range list.News {
+		for _, listing := range list.Changes {
 			topic.Listings = append(topic.Listings, encodeListing(listing))
 		}
 		word.Topics = append(word.Topics, topic)
@@ -162,9 +162,9 @@
 	return &wirepb.Datagram{Body: &wirepb.Datagram_StoreWord{StoreWord: word}}
 }
 
-func encodePosition(topic string, position follow.Position) *wirepb.TopicPosition {
+func encodePosition(topic string, position watch.Position) *wirepb.TopicPosition {
 	return &wirepb.TopicPosition{
-		Topic: topic, Next: position.Next, Changed: position.Changed, AgeMs: uint32(elapsed(position.At).Milliseconds() + 1),
+		Topic: topic, Next: position.Next, Changed: position.ChangedNext, AgeMs: uint32(elapsed(position.ConfirmedAt).Milliseconds() + 1),
 	}
 }
 
@@ -172,7 +172,7 @@
 	encoded := &wirepb.Listing{Id: listing.ID}
 	if upstream := listing.Upstream; upstream != nil {
 		encoded.Service, encoded.Address, encoded.FailureDomain = upstream.Service, upstream.Address, upstream.FailureDomain
-		encoded.Slots, encoded.Draining, encoded.Born = uint32(max(upstream.Slots, 0)), upstream.Draining, upstream.Born
+		encoded.Slots, encoded.Draining, encoded.Born = uint32(max(upstream.Slots, 0)), upstream.Draining, upstream.StartedAt
 		encoded.RemainingMs = uint32(max(upstream.Remaining, 0).Milliseconds())
 	}
 	return encoded
@@ -185,7 +185,7 @@
 		if entry.GetAddress() != "" {
 			listing.Upstream = &fleet.Upstream{
 				ID: entry.GetId(), Service: entry.GetService(), Address: entry.GetAddress(), FailureDomain: entry.GetFailureDomain(),
-				Slots: int(entry.GetSlots()), Draining: entry.GetDraining(), Born: entry.GetBorn(),
+				Slots: int(entry.GetSlots()), Draining: entry.GetDraining(), StartedAt: entry.GetBorn(),
 				Remaining: time.Duration(entry.GetRemainingMs()) * time.Millisecond,
 			}
 		}
--- a/internal/daemon/relay/word_test.go
+++ b/internal/daemon/relay/word_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"jacinthfront.dev/jacinthfront/internal/daemon/follow"
-	"jacinthfront.dev/jacinthfront/internal/flow/elect"
+	"jacinthfront.dev/jacinthfront/internal/daemon/watch"
+	"jacinthfront.dev/jacinthfront/internal/flow/rank"
 	"jacinthfront.dev/jacinthfront/internal/state/fleet"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
@@ -70,11 +70,11 @@
 				time.Sleep(test.delay)
 				words.heard(test.word(number))
 				position := words.changes.Position
-				ok := elapsed(position.At) < configHintAge
+				ok := elapsed(position.ConfirmedAt) < configHintAge
 				if ok != test.ok {
 					t.Fatalf("%s: hint given %v, want %v", test.guards, ok, test.ok)
 				}
-				want := follow.Position{Next: 9, Changed: 7, At: time.Now().Add(-test.age)}
+				want := watch.Position{Next: 9, ChangedNext: 7, ConfirmedAt: time.Now().Add(-test.age)}
 				if diff := cmp.Diff(want, position); ok && diff != "" {
 					t.Errorf("%s: position (-want +got):\n%s", test.guards, diff)
 				}
@@ -94,7 +94,7 @@
 		time.Sleep(time.Second)
 		upstream := &fleet.Upstream{
 			ID: "i-1", Service: "advisor", Address: "10.0.0.9:80", FailureDomain: "hall-a", Slots: 16,
-			Draining: true, Remaining: 2 * time.Second, Born: 1700,
+			Draining: true, Remaining: 2 * time.Second, StartedAt: 1700,
 		}
 		news := wordOf(readerAddr, 0, 0)
 		news.Topics[0].Changed = 12
@@ -103,18 +103,18 @@
 			Listings: []*wirepb.Listing{encodeListing(Listing{ID: "i-1", Upstream: upstream}), encodeListing(Listing{ID: "i-2"})},
 		})
 		words.heard(news)
-		if diff := cmp.Diff(follow.Position{Next: 9, Changed: 12, At: asked}, words.changes.Position); diff != "" {
+		if diff := cmp.Diff(watch.Position{Next: 9, ChangedNext: 12, ConfirmedAt: asked}, words.changes.Position); diff != "" {
 			t.Errorf("position (-want +got):\n%s", diff)
 		}
-		want := follow.Hint[Listing]{
-			Position: follow.Position{Next: 20, Changed: 20}, From: 18, Complete: true,
-			News: []Listing{{ID: "i-1", Upstream: upstream}, {ID: "i-2"}},
+		want := watch.Update[Listing]{
+			Position: watch.Position{Next: 20, ChangedNext: 20}, From: 18, Complete: true,
+			Changes: []Listing{{ID: "i-1", Upstream: upstream}, {ID: "i-2"}},
 		}
 		if diff := cmp.Diff(want, words.list); diff != "" {
 			t.Errorf("list (-want +got):\n%s", diff)
 		}
 		words.follow("10.0.0.3:7600")
-		if !words.changes.At.IsZero() || !words.list.At.IsZero() {
+		if !words.changes.ConfirmedAt.IsZero() || !words.list.ConfirmedAt.IsZero() {
 			t.Error("the word of an earlier reader counts")
 		}
 	})
@@ -138,13 +138,13 @@
 		peers.spoke(readerAddr, "hall-b", 1)
 		expect("in another failure domain", ownAddress)
 		members := []string{ownAddress, readerAddr}
-		for elect.First("store", members) == ownAddress {
+		for rank.First("store", members) == ownAddress {
 			members = append(members, fmt.Sprintf("10.0.0.%d:7600", 2+len(members)))
 		}
 		for _, address := range members[1:] {
 			peers.spoke(address, "hall-a", 1)
 		}
-		expect("another ranks first", elect.First("store", members))
+		expect("another ranks first", rank.First("store", members))
 		time.Sleep(livePeriod)
 		expect("all silent", ownAddress)
 	})
--- a/internal/daemon/side/answer.go
+++ b/internal/daemon/side/answer.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/flow/once"
+	"jacinthfront.dev/jacinthfront/internal/flow/dedup"
 	"jacinthfront.dev/jacinthfront/internal/state/model"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
@@ -85,7 +85,7 @@
 
 // replayed begins the answer of an earlier run, which may have been of another
 // version than the one that is the default now.
-func (answer *answer) replayed(ticket *ticket, outcome *once.Outcome, headers []Header) error {
+func (answer *answer) replayed(ticket *ticket, outcome *dedup.Outcome, headers []Header) error {
 	return answer.send(&wirepb.RunEvent{Event: &wirepb.RunEvent_Started{Started: &wirepb.Started{
 		Adapter: ticket.ref.Adapter, AdapterVersion: outcome.AdapterVersion, Incarnation: answer.server.config.Incarnation,
 		Status: outcome.Status, Headers: wireHeaders(headers), Replayed: true,
@@ -124,11 +124,11 @@
 		QueuedRequests:  uint32(server.queue.Len()),
 		RunningRequests: uint32(len(server.running)),
 		Slots:           uint32(server.table.Size()),
-		FreeSlots:       uint32(server.table.Free()),
-		ExpectedWaitUs:  server.queue.Estimate(time.Now(), "", model.Interactive, 0).Microseconds(),
+		FreeSlots:       uint32(server.table.FreeSlots()),
+		ExpectedWaitUs:  server.queue.EstimateWait(time.Now(), "", model.Interactive, 0).Microseconds(),
 		Draining:        server.draining,
 	}
-	for _, ref := range server.table.Loaded(maxReported) {
+	for _, ref := range server.table.LoadedAdapters(maxReported) {
 		report.Loaded = append(report.Loaded, ref.Hash())
 	}
 	return report
--- a/internal/daemon/side/cancel.go
+++ b/internal/daemon/side/cancel.go
@@ -5,14 +5,14 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/flow/once"
-	"jacinthfront.dev/jacinthfront/internal/flow/queue"
+	"jacinthfront.dev/jacinthfront/internal/flow/dedup"
+	"jacinthfront.dev/jacinthfront/internal/flow/fairq"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
 // Cancel implements wirepb.DRPCSideServer.
 func (server *Server) Cancel(_ context.Context, request *wirepb.CancelRequest) (*wirepb.CancelResponse, error) {
-	attempt := once.Attempt{RequestID: request.GetRequestId(), Number: request.GetAttempt()}
+	attempt := dedup.Attempt{RequestID: request.GetRequestId(), Number: request.GetAttempt()}
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	ran := server.records.Cancel(time.Now(), attempt, request.GetIncarnation())
@@ -24,9 +24,9 @@
 }
 
 // pull takes a cancelled attempt out of the queue.
-func (server *Server) pull(attempt once.Attempt) {
+func (server *Server) pull(attempt dedup.Attempt) {
 	var waiting *ticket
-	server.queue.All(func(entry *queue.Entry[*ticket]) bool {
+	server.queue.All(func(entry *fairq.Entry[*ticket]) bool {
 		if entry.Value.attempt == attempt {
 			waiting = entry.Value
 		}
@@ -45,7 +45,7 @@
 	}
 	return &wirepb.OutcomeResponse{
 		Ran:     wireRan(record.Ran),
-		Running: record.Phase == once.Waiting || record.Phase == once.Running,
+		Running: record.Phase == dedup.Waiting || record.Phase == dedup.Running,
 		Status:  record.Status,
 	}, nil
 }
--- a/internal/daemon/side/claims.go
+++ b/internal/daemon/side/claims.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/flow/once"
+	"jacinthfront.dev/jacinthfront/internal/flow/dedup"
 )
 
 const (
@@ -35,7 +35,7 @@
 	stream string
 	// busy is held during log calls.
 	busy chan struct{}
-	fold *once.Claims
+	fold *dedup.Claims
 	// pending are outcomes and releases that are not on the log yet.
 	pending [][]byte
 }
@@ -45,13 +45,13 @@
 }
 
 func (claimer *claimer) partition(hash []byte) *partition {
-	index := once.Partition(hash, claimer.config.Partitions)
+	index := dedup.PartitionOf(hash, claimer.config.Partitions)
 	claimer.mu.Lock()
 	defer claimer.mu.Unlock()
 	known, ok := claimer.byIndex[index]
 	if !ok {
 		known = &partition{
-			stream: once.Stream(index), busy: make(chan struct{}, 1), fold: once.NewClaims(claimer.config.ClaimWindow),
+			stream: dedup.StreamName(index), busy: make(chan struct{}, 1), fold: dedup.NewClaims(claimer.config.ClaimWindow),
 		}
 		claimer.byIndex[index] = known
 	}
@@ -73,7 +73,7 @@
 // the stored outcome of an earlier run, or why the request does not run; with
 // neither, the key is claimed for this run. Requests that admit refuses are not
 // claimed.
-func (claimer *claimer) claim(ctx context.Context, ticket *ticket, admit func() *fault.Fault) (*once.Outcome, *fault.Fault) {
+func (claimer *claimer) claim(ctx context.Context, ticket *ticket, admit func() *fault.Fault) (*dedup.Outcome, *fault.Fault) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	partition := claimer.partition(ticket.request.GetIdempotencyKeyHash())
@@ -82,7 +82,7 @@
 	}
 	defer partition.unlock()
 	organisation, hash := ticket.organisation, ticket.request.GetIdempotencyKeyHash()
-	if holder, ok := partition.fold.Holder(time.Now(), organisation, hash); ok && holder.Outcome != nil {
+	if holder, ok := partition.fold.ActiveClaim(time.Now(), organisation, hash); ok && holder.Outcome != nil {
 		return judge(ticket, holder)
 	}
 	if claimer.config.Log == nil {
@@ -91,11 +91,11 @@
 	if err := claimer.settlePending(ctx, partition); err != nil {
 		return nil, logUnavailable()
 	}
-	if _, ok := partition.fold.Holder(time.Now(), organisation, hash); ok {
+	if _, ok := partition.fold.ActiveClaim(time.Now(), organisation, hash); ok {
 		if err := claimer.readAll(ctx, partition); err != nil {
 			return nil, logUnavailable()
 		}
-		if holder, ok := partition.fold.Holder(time.Now(), organisation, hash); ok {
+		if holder, ok := partition.fold.ActiveClaim(time.Now(), organisation, hash); ok {
 			return judge(ticket, holder)
 		}
 	}
@@ -106,13 +106,13 @@
 }
 
 // append writes the claim and reads the stream up to it; the first claim wins.
-func (claimer *claimer) append(ctx context.Context, partition *partition, ticket *ticket) (*once.Outcome, *fault.Fault) {
+func (claimer *claimer) append(ctx context.Context, partition *partition, ticket *ticket) (*dedup.Outcome, *fault.Fault) {
 	hash := ticket.request.GetIdempotencyKeyHash()
-	ticket.claim = once.Holder{
-		RequestID: ticket.attempt.RequestID, Digest: ticket.request.GetRequestDigest(),
+	ticket.claim = dedup.Claim{
+		RequestID: ticket.attempt.RequestID, RequestDigest: ticket.request.GetRequestDigest(),
 		Claimant: fmt.Sprintf("%s/%d/%d", claimer.config.Upstream, claimer.config.Incarnation, claimer.sequence.Add(1)),
 	}
-	record, err := once.ClaimRecord(ticket.organisation, hash, ticket.claim)
+	record, err := dedup.ClaimRecord(ticket.organisation, hash, ticket.claim)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.NotRun)
 	}
@@ -128,7 +128,7 @@
 		claimer.abandon(partition, ticket)
 		return nil, logUnavailable()
 	}
-	holder, ok := partition.fold.Winner(ticket.organisation, hash)
+	holder, ok := partition.fold.FirstClaim(ticket.organisation, hash)
 	if !ok {
 		return nil, outcomeUnknown()
 	}
@@ -139,9 +139,9 @@
 }
 
 // judge answers a request whose key is held by an earlier claim.
-func judge(ticket *ticket, holder once.Holder) (*once.Outcome, *fault.Fault) {
+func judge(ticket *ticket, holder dedup.Claim) (*dedup.Outcome, *fault.Fault) {
 	switch {
-	case !holder.Bound(ticket.request.GetRequestDigest()):
+	case !holder.MatchesRequest(ticket.request.GetRequestDigest()):
 		return nil, keyReused()
 	case holder.Outcome != nil:
 		return holder.Outcome, nil
@@ -158,7 +158,7 @@
 
 // settle stores how the run of a claim ended. A request that did not run gives
 // its claim up; one whose end is unknown keeps it without an outcome.
-func (claimer *claimer) settle(ticket *ticket, outcome *once.Outcome, reason *fault.Fault) {
+func (claimer *claimer) settle(ticket *ticket, outcome *dedup.Outcome, reason *fault.Fault) {
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
 	hash := ticket.request.GetIdempotencyKeyHash()
@@ -171,8 +171,8 @@
 		}
 		claimer.abandon(partition, ticket)
 	} else {
-		partition.fold.Settle(ticket.organisation, hash, ticket.attempt.RequestID, *outcome)
-		record, err := once.OutcomeRecord(ticket.organisation, hash, ticket.attempt.RequestID, *outcome)
+		partition.fold.StoreOutcome(ticket.organisation, hash, ticket.attempt.RequestID, *outcome)
+		record, err := dedup.OutcomeRecord(ticket.organisation, hash, ticket.attempt.RequestID, *outcome)
 		if err == nil {
 			partition.pending = append(partition.pending, record)
 		}
@@ -182,7 +182,7 @@
 
 // abandon plans the release of a claim whose request did not run.
 func (claimer *claimer) abandon(partition *partition, ticket *ticket) {
-	record, err := once.ReleaseRecord(ticket.organisation, ticket.request.GetIdempotencyKeyHash(), ticket.claim)
+	record, err := dedup.ReleaseRecord(ticket.organisation, ticket.request.GetIdempotencyKeyHash(), ticket.claim)
 	if err == nil {
 		partition.pending = append(partition.pending, record)
 	}
--- a/internal/daemon/side/claims_test.go
+++ b/internal/daemon/side/claims_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"jacinthfront.dev/jacinthfront/internal/flow/once"
+	"jacinthfront.dev/jacinthfront/internal/flow/dedup"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
@@ -28,13 +28,13 @@
 func refused(kind string) result { return result{Refused: kind, Ran: wirepb.Ran_RAN_NOT_RUN} }
 
 // claimElsewhere appends a claim of another side process.
-func (rig *rig) claimElsewhere(outcome *once.Outcome) {
-	hash, holder := []byte("key-hash"), once.Holder{RequestID: "r0", Claimant: "other/1/1", Digest: []byte("x")}
-	claim, _ := once.ClaimRecord("oak", hash, holder)
-	stream := once.Stream(once.Partition(hash, defaultPartitions))
+func (rig *rig) claimElsewhere(outcome *dedup.Outcome) {
+	hash, holder := []byte("key-hash"), dedup.Claim{RequestID: "r0", Claimant: "other/1/1", RequestDigest: []byte("x")}
+	claim, _ := dedup.ClaimRecord("oak", hash, holder)
+	stream := dedup.StreamName(dedup.PartitionOf(hash, defaultPartitions))
 	_, _ = rig.log.Append(rig.ctx, stream, claim)
 	if outcome != nil {
-		record, _ := once.OutcomeRecord("oak", hash, "r0", *outcome)
+		record, _ := dedup.OutcomeRecord("oak", hash, "r0", *outcome)
 		_, _ = rig.log.Append(rig.ctx, stream, record)
 	}
 }
@@ -77,7 +77,7 @@
 		}},
 		{"claimed elsewhere", []step{{func(rig *rig) { rig.claimElsewhere(nil) }, "x", unknown, 0}}},
 		{"claimed elsewhere for another request", []step{{func(rig *rig) { rig.claimElsewhere(nil) }, "y", refused("idempotency-key-reused"), 0}}},
-		{"run elsewhere", []step{{func(rig *rig) { rig.claimElsewhere(&once.Outcome{Status: 201, Body: []byte("booked")}) }, "x", booked, 0}}},
+		{"run elsewhere", []step{{func(rig *rig) { rig.claimElsewhere(&dedup.Outcome{Status: 201, Body: []byte("booked")}) }, "x", booked, 0}}},
 		{"run failed", []step{
 			{func(rig *rig) { rig.fake.call = func(context.Context, Call) (*Reply, error) { return nil, errCut } }, "x",
 				result{Failed: "upstream-failed", Ran: wirepb.Ran_RAN_UNKNOWN}, 1},
@@ -162,9 +162,9 @@
 		size            int
 		replayed, after int
 	}{
-		{once.LogBody, once.LogBody, once.LogBody},
-		{once.MemoryBody, once.MemoryBody, 0},
-		{once.MemoryBody + 1, 0, 0},
+		{dedup.MaxLogBody, dedup.MaxLogBody, dedup.MaxLogBody},
+		{dedup.MaxMemoryBody, dedup.MaxMemoryBody, 0},
+		{dedup.MaxMemoryBody + 1, 0, 0},
 	}
 	for _, test := range tests {
 		t.Run(fmt.Sprint(test.size), func(t *testing.T) {
--- a/internal/daemon/side/dispatch.go
+++ b/internal/daemon/side/dispatch.go
@@ -7,7 +7,7 @@
 	"go.uber.org/zap"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/flow/once"
+	"jacinthfront.dev/jacinthfront/internal/flow/dedup"
 )
 
 // dispatch passes a committed ticket through the last gate. It returns false
@@ -124,7 +124,7 @@
 }
 
 // lookup returns what is known of a request.
-func (server *Server) lookup(requestID string) (once.Record, bool) {
+func (server *Server) lookup(requestID string) (dedup.AttemptRecord, bool) {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	return server.records.Lookup(requestID)
--- a/internal/daemon/side/fakes_test.go
+++ b/internal/daemon/side/fakes_test.go
@@ -96,8 +96,8 @@
 	epoch   string
 	slots   int
 	fence   uint64
-	loaded  map[slots.Ref]bool
-	inUse   map[slots.Ref]int
+	loaded  map[slots.AdapterRef]bool
+	inUse   map[slots.AdapterRef]int
 	running int
 	// reports are the running requests over time; State lags behind.
 	reports []report
@@ -136,7 +136,7 @@
 
 func newFakeEngine() *fakeEngine {
 	return &fakeEngine{
-		epoch: "e1", slots: 2, loaded: map[slots.Ref]bool{}, inUse: map[slots.Ref]int{},
+		epoch: "e1", slots: 2, loaded: map[slots.AdapterRef]bool{}, inUse: map[slots.AdapterRef]int{},
 		loadTime: 100 * time.Millisecond, afterlife: 300 * time.Millisecond, tokens: 3, pace: 10 * time.Millisecond,
 	}
 }
@@ -200,7 +200,7 @@
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	if err == nil {
-		engine.loaded[slots.Ref{Adapter: adapter, Version: version}] = true
+		engine.loaded[slots.AdapterRef{Adapter: adapter, Version: version}] = true
 	}
 	if len(engine.loaded) > engine.slots {
 		engine.faults = append(engine.faults, "too many adapters")
@@ -211,7 +211,7 @@
 func (engine *fakeEngine) Unload(_ context.Context, adapter string, version uint32) error {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	ref := slots.Ref{Adapter: adapter, Version: version}
+	ref := slots.AdapterRef{Adapter: adapter, Version: version}
 	if engine.refusals--; engine.refusals >= 0 {
 		return errCut
 	}
--- a/internal/daemon/side/flights.go
+++ b/internal/daemon/side/flights.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/flow/once"
+	"jacinthfront.dev/jacinthfront/internal/flow/dedup"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
@@ -19,7 +19,7 @@
 	digest []byte
 	over   chan struct{}
 	// outcome or reason is set when over is closed.
-	outcome *once.Outcome
+	outcome *dedup.Outcome
 	reason  *fault.Fault
 }
 
@@ -38,7 +38,7 @@
 
 func (recorder *recorder) write(data []byte) {
 	recorder.digest.write(data)
-	if recorder.oversize || len(recorder.body)+len(data) > once.MemoryBody {
+	if recorder.oversize || len(recorder.body)+len(data) > dedup.MaxMemoryBody {
 		recorder.oversize, recorder.body = true, nil
 		return
 	}
@@ -54,11 +54,11 @@
 }
 
 // outcome returns the recorded answer, or nil if there is none that is whole.
-func (recorder *recorder) outcome() *once.Outcome {
+func (recorder *recorder) outcome() *dedup.Outcome {
 	if !recorder.complete {
 		return nil
 	}
-	outcome := &once.Outcome{
+	outcome := &dedup.Outcome{
 		Status: recorder.status, Body: recorder.body, FinishReason: recorder.ending.GetFinishReason(),
 		AdapterVersion: recorder.ending.GetAdapterVersion(),
 		PromptTokens:   recorder.ending.GetPromptTokens(), GeneratedTokens: recorder.ending.GetGeneratedTokens(),
@@ -152,7 +152,7 @@
 
 // replay answers with a stored outcome. Of an answer that was too large, only
 // the status and the digest are left, which are no answer of a model.
-func (server *Server) replay(ticket *ticket, answer *answer, outcome *once.Outcome) error {
+func (server *Server) replay(ticket *ticket, answer *answer, outcome *dedup.Outcome) error {
 	server.count("replayed")
 	server.mu.Lock()
 	server.records.End(time.Now(), ticket.attempt, fault.DidRun, outcome.Status)
--- a/internal/daemon/side/linger.go
+++ b/internal/daemon/side/linger.go
@@ -11,7 +11,7 @@
 // before the engine confirmed its end.
 type linger struct {
 	requestID  string
-	ref        slots.Ref
+	ref        slots.AdapterRef
 	generation uint64
 	ended      time.Time
 	// inherited says that a predecessor of this process may have sent requests
@@ -28,7 +28,7 @@
 // inherit keeps the adapters that the engine held before this process began,
 // until its reports show no more requests than this process sent: a killed
 // predecessor's requests may still run.
-func (server *Server) inherit(now time.Time, loaded []slots.Ref) {
+func (server *Server) inherit(now time.Time, loaded []slots.AdapterRef) {
 	for _, ref := range loaded {
 		if server.table.Pin(now, ref) {
 			server.lingers = append(server.lingers, linger{ref: ref, generation: server.engine.generation, ended: now, inherited: true})
--- a/internal/daemon/side/loads.go
+++ b/internal/daemon/side/loads.go
@@ -8,7 +8,7 @@
 	"go.uber.org/zap"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/flow/queue"
+	"jacinthfront.dev/jacinthfront/internal/flow/fairq"
 	"jacinthfront.dev/jacinthfront/internal/flow/slots"
 )
 
@@ -38,9 +38,9 @@
 	now := time.Now()
 	giveUp := false
 	if errors.Is(err, errNotEvicted) {
-		server.table.Refused(now, order)
+		server.table.EvictionRefused(now, order)
 	} else {
-		giveUp = server.table.Finish(now, order.Load, err)
+		giveUp = server.table.LoadFinished(now, order.Load, err)
 	}
 	if held != nil && held.Epoch == server.engine.epoch {
 		server.table.Reconcile(now, held.Loaded)
@@ -68,18 +68,18 @@
 func (server *Server) give(ctx context.Context, order slots.Order, generation uint64) error {
 	server.mu.Lock()
 	current := generation == server.engine.generation
-	server.table.Start(time.Now(), order.Load)
+	server.table.LoadStarted(time.Now(), order.Load)
 	server.mu.Unlock()
 	if !current {
 		return errOvertaken
 	}
-	if order.Evict != (slots.Ref{}) {
+	if order.Evict != (slots.AdapterRef{}) {
 		server.count("evictions")
 		if err := server.config.Engine.Unload(ctx, order.Evict.Adapter, order.Evict.Version); err != nil {
 			return errors.Join(errNotEvicted, err)
 		}
 	}
-	if order.Load == (slots.Ref{}) {
+	if order.Load == (slots.AdapterRef{}) {
 		return nil
 	}
 	server.count("loads")
@@ -89,7 +89,7 @@
 // logOrder logs an order to the engine and its end.
 func (server *Server) logOrder(order slots.Order, took time.Duration, err error) {
 	fields := []zap.Field{zap.Stringer("adapter", order.Load), zap.Duration("took", took), zap.String("upstream", server.config.Upstream)}
-	if order.Evict != (slots.Ref{}) {
+	if order.Evict != (slots.AdapterRef{}) {
 		fields = append(fields, zap.Stringer("evicted", order.Evict))
 	}
 	if err != nil {
@@ -101,8 +101,8 @@
 }
 
 // noteLoaded attributes the wait of the waiting requests to the load.
-func (server *Server) noteLoaded(now time.Time, ref slots.Ref) {
-	server.queue.All(func(entry *queue.Entry[*ticket]) bool {
+func (server *Server) noteLoaded(now time.Time, ref slots.AdapterRef) {
+	server.queue.All(func(entry *fairq.Entry[*ticket]) bool {
 		if entry.Value.ref == ref {
 			entry.Value.loadWait = now.Sub(entry.Value.arrived)
 		}
@@ -117,15 +117,15 @@
 
 // giveUp hands the requests that wait for an adapter back to their entry
 // instances.
-func (server *Server) giveUp(ref slots.Ref) {
+func (server *Server) giveUp(ref slots.AdapterRef) {
 	var waiting []*ticket
-	server.queue.All(func(entry *queue.Entry[*ticket]) bool {
+	server.queue.All(func(entry *fairq.Entry[*ticket]) bool {
 		if entry.Value.ref == ref {
 			waiting = append(waiting, entry.Value)
 		}
 		return true
 	})
-	after, _ := server.table.Refuses(time.Now(), ref)
+	after, _ := server.table.RejectFor(time.Now(), ref)
 	for _, ticket := range waiting {
 		server.refuse(ticket, loadFailed(ticket).WithRetryAfter(after))
 	}
--- a/internal/daemon/side/loads_test.go
+++ b/internal/daemon/side/loads_test.go
@@ -74,7 +74,7 @@
 		rig.do(rig.ctx, rig.request())
 		rig.fake.set(func() { rig.fake.refusals = 1; rig.fake.loadErr = errCut })
 		time.AfterFunc(time.Millisecond, func() { rig.fake.set(func() { rig.fake.loadErr = nil }) })
-		if got := rig.do(rig.ctx, rig.request(adapter("b"))); !got.Done || rig.table.Concurrency() < 2 {
+		if got := rig.do(rig.ctx, rig.request(adapter("b"))); !got.Done || rig.table.LoadConcurrency() < 2 {
 			t.Errorf("result %+v", got)
 		}
 	})
--- a/internal/daemon/side/partition.go
+++ b/internal/daemon/side/partition.go
@@ -47,7 +47,7 @@
 
 // readTo folds the stream up to and including an offset.
 func (claimer *claimer) readTo(ctx context.Context, partition *partition, offset uint64) error {
-	for partition.fold.Next() <= offset {
+	for partition.fold.NextOffset() <= offset {
 		if _, err := claimer.readPage(ctx, partition); err != nil {
 			return err
 		}
@@ -69,13 +69,13 @@
 	if err := ctx.Err(); err != nil {
 		return 0, err
 	}
-	page, err := claimer.config.Log.Read(ctx, partition.stream, partition.fold.Next(), readWait)
+	page, err := claimer.config.Log.Read(ctx, partition.stream, partition.fold.NextOffset(), readWait)
 	if err != nil {
 		return 0, err
 	}
-	partition.fold.Skip(page.First)
+	partition.fold.SkipTo(page.First)
 	for _, record := range page.Records {
-		partition.fold.Fold(record.Offset, record.Time, record.Data)
+		partition.fold.Apply(record.Offset, record.Time, record.Data)
 	}
 	return len(page.Records), nil
 }
@@ -85,7 +85,7 @@
 	if err := claimer.readAll(ctx, partition); err != nil {
 		return errors.Join(cause, err)
 	}
-	if _, ok := partition.fold.Winner(ticket.organisation, ticket.request.GetIdempotencyKeyHash()); !ok {
+	if _, ok := partition.fold.FirstClaim(ticket.organisation, ticket.request.GetIdempotencyKeyHash()); !ok {
 		return errors.Join(cause, errNotOnLog)
 	}
 	return nil
--- a/internal/daemon/side/pump.go
+++ b/internal/daemon/side/pump.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/flow/queue"
+	"jacinthfront.dev/jacinthfront/internal/flow/fairq"
 	"jacinthfront.dev/jacinthfront/internal/flow/slots"
 )
 
@@ -36,7 +36,7 @@
 	demands := server.planLoads(now)
 	// Plan opens adapters again that were kept for a request which is gone.
 	server.startWaiting(now)
-	server.queue.SetBusy(now, len(server.running) >= server.config.MaxRunning && server.queue.Len() > 0)
+	server.queue.SetSaturated(now, len(server.running) >= server.config.MaxRunning && server.queue.Len() > 0)
 	server.schedule(now, demands)
 }
 
@@ -52,8 +52,8 @@
 }
 
 // ready reports whether a waiting request could be sent at once.
-func (server *Server) ready(entry *queue.Entry[*ticket]) bool {
-	if server.taking[entry.Organisation] > 0 && server.queue.Starved(entry.Organisation) {
+func (server *Server) ready(entry *fairq.Entry[*ticket]) bool {
+	if server.taking[entry.Organisation] > 0 && server.queue.RateLimited(entry.Organisation) {
 		// One request at a time tries whether there are tokens again.
 		return false
 	}
@@ -103,10 +103,10 @@
 	for _, demand := range byRef {
 		list = append(list, demand.Demand)
 	}
-	orders, more := server.table.PlanLoads(now, list, server.permits.take(now))
+	orders, more := server.table.PlanAtMost(now, list, server.permits.take(now))
 	for _, order := range orders {
 		if demand, ok := byRef[order.Load]; ok {
-			server.queue.Charge(demand.organisation, queue.LoadCost)
+			server.queue.Charge(demand.organisation, fairq.AdapterLoadCost)
 			server.permits.held--
 		}
 		server.loads.Add(1)
@@ -120,25 +120,25 @@
 
 // demands returns what requests wait for, except for organisations that have
 // no tokens at present.
-func (server *Server) demands(now time.Time) map[slots.Ref]*demand {
-	byRef := map[slots.Ref]*demand{}
-	server.queue.All(func(entry *queue.Entry[*ticket]) bool {
+func (server *Server) demands(now time.Time) map[slots.AdapterRef]*demand {
+	byRef := map[slots.AdapterRef]*demand{}
+	server.queue.All(func(entry *fairq.Entry[*ticket]) bool {
 		ticket := entry.Value
 		if ticket.plain || server.starved(ticket) {
 			return true
 		}
 		known, ok := byRef[ticket.ref]
 		if !ok {
-			known = &demand{Demand: slots.Demand{Ref: ticket.ref, Class: entry.Class, Oldest: ticket.arrived}}
+			known = &demand{Demand: slots.Demand{Ref: ticket.ref, Class: entry.Class, OldestArrival: ticket.arrived}}
 			known.organisation = ticket.organisation
 			byRef[ticket.ref] = known
 		}
-		known.Waiters++
-		if entry.Urgent(now) {
+		known.WaitingRequests++
+		if entry.HighPriority(now) {
 			known.Class = 0
 		}
-		if ticket.arrived.Before(known.Oldest) {
-			known.Oldest, known.organisation = ticket.arrived, ticket.organisation
+		if ticket.arrived.Before(known.OldestArrival) {
+			known.OldestArrival, known.organisation = ticket.arrived, ticket.organisation
 		}
 		return true
 	})
@@ -149,14 +149,14 @@
 // is not needed yet. That of the request next in turn is loaded meanwhile.
 func (server *Server) starved(ticket *ticket) bool {
 	gathering := server.gathering[ticket.organisation]
-	return server.queue.Starved(ticket.organisation) && ticket.debit == nil && (gathering == nil || gathering.ticket != ticket)
+	return server.queue.RateLimited(ticket.organisation) && ticket.debit == nil && (gathering == nil || gathering.ticket != ticket)
 }
 
 // schedule sets the timer for the next moment at which the pump may do more
 // although nothing happened.
 func (server *Server) schedule(now time.Time, demands []slots.Demand) {
 	next, ok := server.queue.NextUnblock(now)
-	if plan, planned := server.table.NextPlan(now, demands); planned && (!ok || plan.Before(next)) {
+	if plan, planned := server.table.NextPlanTime(now, demands); planned && (!ok || plan.Before(next)) {
 		next, ok = plan, true
 	}
 	if ok {
@@ -169,7 +169,7 @@
 func (server *Server) review() {
 	var refused []*ticket
 	var reasons []*fault.Fault
-	server.queue.All(func(entry *queue.Entry[*ticket]) bool {
+	server.queue.All(func(entry *fairq.Entry[*ticket]) bool {
 		if reason := server.gate(entry.Value); reason != nil {
 			refused, reasons = append(refused, entry.Value), append(reasons, reason)
 		}
--- a/internal/daemon/side/run.go
+++ b/internal/daemon/side/run.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/flow/once"
-	"jacinthfront.dev/jacinthfront/internal/flow/queue"
+	"jacinthfront.dev/jacinthfront/internal/flow/dedup"
+	"jacinthfront.dev/jacinthfront/internal/flow/fairq"
 	"jacinthfront.dev/jacinthfront/internal/state/model"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
@@ -62,12 +62,12 @@
 		return fault.New(fault.Overloaded, fault.NotRun,
 			"too many recent requests are remembered; come back after the time in retry-after").WithRetryAfter(time.Second)
 	}
-	switch server.records.Begin(ticket.attempt, ticket.organisation, ticket.repeat()) {
-	case once.Tombstoned:
+	switch server.records.Register(ticket.attempt, ticket.organisation, ticket.repeat()) {
+	case dedup.Tombstoned:
 		return fault.New(fault.Cancelled, fault.NotRun, "the attempt was cancelled; send the request anew")
-	case once.Duplicate, once.Spent:
+	case dedup.Duplicate, dedup.AlreadyRan:
 		return fault.New(fault.OutcomeUnknown, fault.Unknown, "the request was dispatched before; query its outcome by its id")
-	case once.Fresh:
+	case dedup.Accepted:
 	}
 	return nil
 }
@@ -153,21 +153,21 @@
 	if refusal := server.gate(ticket); refusal != nil {
 		return refusal
 	}
-	if after, failed := server.table.Refuses(now, ticket.ref); failed && !ticket.plain {
+	if after, failed := server.table.RejectFor(now, ticket.ref); failed && !ticket.plain {
 		return loadFailed(ticket).WithRetryAfter(after)
 	}
-	return server.queue.Admit(now, ticket.entry, server.share(ticket.organisation))
+	return server.queue.CheckAdmission(now, ticket.entry, server.share(ticket.organisation))
 }
 
 // share returns what the organisation's requests may use.
-func (server *Server) share(name string) queue.Share {
+func (server *Server) share(name string) fairq.RateLimit {
 	if server.config.FirstCome {
-		return queue.Share{}
+		return fairq.RateLimit{}
 	}
 	organisation, _ := server.current().Organisation(name)
-	share := queue.Share{Rate: organisation.Rate, Burst: organisation.Burst}
+	share := fairq.RateLimit{Rate: organisation.Rate, Burst: organisation.Burst}
 	if estimator, ok := server.config.Limiter.(Estimator); ok {
-		share.Wait = func(tokens model.Tokens) time.Duration { return estimator.EstimateWait(name, tokens) }
+		share.EstimateWait = func(tokens model.Tokens) time.Duration { return estimator.EstimateWait(name, tokens) }
 	}
 	return share
 }
--- a/internal/daemon/side/side.go
+++ b/internal/daemon/side/side.go
@@ -11,8 +11,8 @@
 	"go.uber.org/zap"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/flow/once"
-	"jacinthfront.dev/jacinthfront/internal/flow/queue"
+	"jacinthfront.dev/jacinthfront/internal/flow/dedup"
+	"jacinthfront.dev/jacinthfront/internal/flow/fairq"
 	"jacinthfront.dev/jacinthfront/internal/flow/slots"
 	"jacinthfront.dev/jacinthfront/internal/state/model"
 )
@@ -36,9 +36,9 @@
 
 	// Incarnation is the start time in ms; it is the first fencing token too.
 	Incarnation uint64
-	Queue       queue.Config
+	Queue       fairq.Config
 	Slots       slots.Config
-	Records     once.RecordsConfig
+	Records     dedup.AttemptsConfig
 	// FirstCome serves requests in the order of their arrival, whatever their
 	// organisation and class. It is for comparison.
 	FirstCome bool
@@ -131,10 +131,10 @@
 	shards *shards
 
 	mu      sync.Mutex
-	queue   *queue.Queue[*ticket]
+	queue   *fairq.Queue[*ticket]
 	table   *slots.Table
 	permits permits
-	records *once.Records
+	records *dedup.Attempts
 	flights map[flightKey]*flight
 	engine  engineView
 	lingers []linger
@@ -176,9 +176,9 @@
 		config:     config,
 		claims:     newClaimer(config),
 		shards:     newShards(config),
-		queue:      queue.New[*ticket](config.Queue),
+		queue:      fairq.New[*ticket](config.Queue),
 		table:      slots.New(config.Slots),
-		records:    once.NewRecords(config.Records),
+		records:    dedup.NewAttempts(config.Records),
 		flights:    map[flightKey]*flight{},
 		running:    map[*ticket]bool{},
 		taking:     map[string]int{},
--- a/internal/daemon/side/status.go
+++ b/internal/daemon/side/status.go
@@ -39,7 +39,7 @@
 		Running:  len(server.running),
 		Slots:    server.table.Size(),
 	}
-	for _, ref := range server.table.Loaded(maxReported) {
+	for _, ref := range server.table.LoadedAdapters(maxReported) {
 		status.Loaded = append(status.Loaded, ref.String())
 	}
 	slices.Sort(status.Loaded)
--- a/internal/daemon/side/succession_test.go
+++ b/internal/daemon/side/succession_test.go
@@ -52,7 +52,7 @@
 	inRig(t, func(config *Config) {
 		engine := config.Engine.(*fakeEngine)
 		engine.slots = 1
-		engine.loaded[slots.Ref{Adapter: "old", Version: 1}] = true
+		engine.loaded[slots.AdapterRef{Adapter: "old", Version: 1}] = true
 		engine.work(1)
 	}, func(rig *rig) {
 		done := make(chan result, 1)
--- a/internal/daemon/side/ticket.go
+++ b/internal/daemon/side/ticket.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/flow/once"
-	"jacinthfront.dev/jacinthfront/internal/flow/queue"
+	"jacinthfront.dev/jacinthfront/internal/flow/dedup"
+	"jacinthfront.dev/jacinthfront/internal/flow/fairq"
 	"jacinthfront.dev/jacinthfront/internal/flow/slots"
 	"jacinthfront.dev/jacinthfront/internal/state/model"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
@@ -15,10 +15,10 @@
 // server's lock guards its mutable fields.
 type ticket struct {
 	request      *wirepb.RunRequest
-	attempt      once.Attempt
+	attempt      dedup.Attempt
 	organisation string
 	route        model.RouteSpec
-	ref          slots.Ref
+	ref          slots.AdapterRef
 	plain        bool
 	idempotent   bool
 	maxTokens    model.Tokens
@@ -26,7 +26,7 @@
 	arrived      time.Time
 	longest      time.Duration
 
-	entry *queue.Entry[*ticket]
+	entry *fairq.Entry[*ticket]
 	// verdict tells the waiting handler to go on, or why not.
 	verdict   chan *fault.Fault
 	committed bool
@@ -37,7 +37,7 @@
 	debit Debit
 	sent  bool
 	// claim is what this process put on the log for an idempotency key.
-	claim once.Holder
+	claim dedup.Claim
 	// waited is the time until the dispatch; loadWait is the part of it until
 	// the adapter was loaded.
 	waited   time.Duration
@@ -50,11 +50,11 @@
 	now := time.Now()
 	ticket := &ticket{
 		request:      request,
-		attempt:      once.Attempt{RequestID: request.GetRequestId(), Number: request.GetAttempt()},
+		attempt:      dedup.Attempt{RequestID: request.GetRequestId(), Number: request.GetAttempt()},
 		organisation: request.GetOrganisation(),
 		route:        route,
 		plain:        route.Plain,
-		ref:          slots.Ref{Adapter: request.GetAdapter(), Version: request.GetAdapterVersion()},
+		ref:          slots.AdapterRef{Adapter: request.GetAdapter(), Version: request.GetAdapterVersion()},
 		idempotent:   request.GetIdempotent() && route.Idempotent && len(request.GetIdempotencyKeyHash()) == 0,
 		arrived:      now,
 		longest:      shorter(time.Duration(request.GetWaitBudgetUs())*time.Microsecond, route.LongestWait),
@@ -81,10 +81,10 @@
 }
 
 // newEntry returns the entry with which a ticket waits.
-func newEntry(value *ticket) *queue.Entry[*ticket] {
-	return &queue.Entry[*ticket]{
+func newEntry(value *ticket) *fairq.Entry[*ticket] {
+	return &fairq.Entry[*ticket]{
 		Organisation: value.organisation, Class: class(value.request.GetClass()), Cost: value.cost,
-		Arrived: value.arrived, Longest: value.longest, Value: value,
+		Arrived: value.arrived, MaxWait: value.longest, Value: value,
 	}
 }
 
@@ -107,14 +107,14 @@
 func (ticket *ticket) keyed() bool { return len(ticket.request.GetIdempotencyKeyHash()) > 0 }
 
 // repeat tells how often the request may run.
-func (ticket *ticket) repeat() once.Repeat {
+func (ticket *ticket) repeat() dedup.RunLimit {
 	switch {
 	case ticket.idempotent:
-		return once.Freely
+		return dedup.Unlimited
 	case ticket.keyed():
-		return once.ByClaim
+		return dedup.OncePerClaim
 	default:
-		return once.AtMostOnce
+		return dedup.AtMostOnce
 	}
 }
 
--- a/internal/daemon/side/tokens.go
+++ b/internal/daemon/side/tokens.go
@@ -79,7 +79,7 @@
 func (server *Server) overtake(ticket *ticket) {
 	gathering := server.gathering[ticket.organisation]
 	now := time.Now()
-	if gathering != nil && ticket.entry.Urgent(now) && !gathering.ticket.entry.Urgent(now) {
+	if gathering != nil && ticket.entry.HighPriority(now) && !gathering.ticket.entry.HighPriority(now) {
 		gathering.cancel()
 	}
 }
--- a/internal/daemon/side/upstream.go
+++ b/internal/daemon/side/upstream.go
@@ -23,7 +23,7 @@
 	// Epoch changes when the engine starts anew.
 	Epoch   string
 	Slots   int
-	Loaded  []slots.Ref
+	Loaded  []slots.AdapterRef
 	Fence   uint64
 	Running int
 	Waiting int
@@ -40,7 +40,7 @@
 	RequestID    string
 	Attempt      uint32
 	Organisation string
-	Ref          slots.Ref
+	Ref          slots.AdapterRef
 	Class        model.Class
 	MaxTokens    model.Tokens
 	// ResumeFrom is the index of the first token to send.
--- a/internal/daemon/start/entry.go
+++ b/internal/daemon/start/entry.go
@@ -14,8 +14,8 @@
 	"jacinthfront.dev/jacinthfront/internal/base/setup"
 	"jacinthfront.dev/jacinthfront/internal/base/telem"
 	"jacinthfront.dev/jacinthfront/internal/daemon/entry"
+	"jacinthfront.dev/jacinthfront/internal/flow/policy"
 	"jacinthfront.dev/jacinthfront/internal/flow/retry"
-	"jacinthfront.dev/jacinthfront/internal/flow/route"
 	"jacinthfront.dev/jacinthfront/internal/link/roster"
 	"jacinthfront.dev/jacinthfront/internal/state/creds"
 	"jacinthfront.dev/jacinthfront/internal/state/model"
@@ -88,13 +88,13 @@
 }
 
 // newPolicy returns the policy of each service by the settings.
-func newPolicy(settings setup.Entry, parts *parts) func(string, bool, route.Health) route.Policy {
-	return func(service string, _ bool, health route.Health) route.Policy {
+func newPolicy(settings setup.Entry, parts *parts) func(string, bool, policy.Health) policy.Policy {
+	return func(service string, _ bool, health policy.Health) policy.Policy {
 		if settings.Routing.Policy == "naive" {
-			return route.NewRoundRobin(health)
+			return policy.NewRoundRobin(health)
 		}
-		router, err := route.New(route.Config{
-			Weights:       route.Profiles[settings.Routing.Profile](),
+		router, err := policy.New(policy.Config{
+			Weights:       policy.Profiles[settings.Routing.Profile](),
 			FailureDomain: settings.FailureDomain,
 			Health:        health,
 			Seed:          routeSeed(settings) + xxh3.HashString(service),
@@ -102,7 +102,7 @@
 		if err != nil {
 			// The profiles' weights are constants that pass every check.
 			parts.logger.Error("route: weights refused, routing in rotation", zap.Error(err))
-			return route.NewRoundRobin(health)
+			return policy.NewRoundRobin(health)
 		}
 		return router
 	}
--- a/internal/daemon/start/health.go
+++ b/internal/daemon/start/health.go
@@ -6,7 +6,7 @@
 )
 
 // serviceHealth implements entry.Health.
-type serviceHealth struct{ *health.Service }
+type serviceHealth struct{ *health.Tracker }
 
 func newHealth(string) entry.Health {
 	// The defaults pass every check.
--- a/internal/daemon/start/health_test.go
+++ b/internal/daemon/start/health_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"jacinthfront.dev/jacinthfront/internal/flow/health"
-	"jacinthfront.dev/jacinthfront/internal/flow/route"
+	"jacinthfront.dev/jacinthfront/internal/flow/policy"
 )
 
 // TestProbes guards against an ejected upstream that gets more than one request
@@ -22,31 +22,31 @@
 		succeed bool
 		want    int
 	}{
-		{"ejected", "a request to an ejected upstream", health.DefaultFirst / 2, false, 0},
-		{"probed", "several requests before the probe's answer", health.DefaultFirst, false, 1},
-		{"recovered", "an upstream that stays ejected after its probe", health.DefaultFirst, true, 5},
+		{"ejected", "a request to an ejected upstream", health.DefaultInitialEjection / 2, false, 0},
+		{"probed", "several requests before the probe's answer", health.DefaultInitialEjection, false, 1},
+		{"recovered", "an upstream that stays ejected after its probe", health.DefaultInitialEjection, true, 5},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				known := newHealth("advisor")
-				policy := route.NewRoundRobin(known)
-				known.Follow([]string{"a", "b"})
-				policy.SetMembers([]route.Member{{ID: "a"}, {ID: "b"}}, 1)
-				for range health.DefaultFailures {
-					known.Failed("a")
+				chooser := policy.NewRoundRobin(known)
+				known.SetUpstreams([]string{"a", "b"})
+				chooser.SetMembers([]policy.Member{{ID: "a"}, {ID: "b"}}, 1)
+				for range health.DefaultMaxFailures {
+					known.RecordFailure("a")
 				}
 				time.Sleep(test.wait)
 				sent := 0
 				for range 10 {
-					decision, ok := policy.Choose(time.Now(), route.Request{})
+					decision, ok := chooser.Choose(time.Now(), policy.Request{})
 					if !ok {
 						t.Fatal("no upstream chosen although b is healthy")
 					}
 					if decision.Upstream == "a" {
 						sent++
 						if test.succeed {
-							known.Succeeded("a")
+							known.RecordSuccess("a")
 						}
 					}
 				}
--- a/internal/daemon/start/limiter.go
+++ b/internal/daemon/start/limiter.go
@@ -28,7 +28,7 @@
 
 // walletEntry is a wallet with the limits that it was given last.
 type walletEntry struct {
-	wallet *quota.Wallet
+	wallet *quota.Client
 	limits limits
 }
 
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, err
 	}
-	taken, err := wallet.Take(ctx, tokens)
+	taken, err := wallet.Reserve(ctx, tokens)
 	if err != nil {
 		return nil, err
 	}
@@ -96,7 +96,7 @@
 	closing.Wait()
 }
 
-func (limiter *limiter) wallet(organisation string) (*quota.Wallet, error) {
+func (limiter *limiter) wallet(organisation string) (*quota.Client, error) {
 	limits, ok := limiter.limits(organisation)
 	if !ok {
 		return nil, fault.New(fault.Unauthenticated, fault.NotRun, "organisation %q is not configured; use a valid key", organisation)
@@ -116,20 +116,20 @@
 	return found.wallet, nil
 }
 
-func (limiter *limiter) newWallet(organisation string, limits limits) *quota.Wallet {
+func (limiter *limiter) newWallet(organisation string, limits limits) *quota.Client {
 	var own []int
 	for index, host := range limits.hosts {
 		if host == limiter.upstream {
 			own = append(own, index)
 		}
 	}
-	return quota.NewWallet(quota.WalletConfig{
-		Source: shardSource{limiter: limiter, organisation: organisation},
-		Shards: len(limits.hosts),
-		Own:    own,
-		Rate:   limits.rate,
-		Burst:  limits.burst,
-		Seed:   xxh3.HashString(limiter.parts.settings.Instance + organisation),
+	return quota.NewClient(quota.ClientConfig{
+		Transport:   shardSource{limiter: limiter, organisation: organisation},
+		ShardCount:  len(limits.hosts),
+		LocalShards: own,
+		Rate:        limits.rate,
+		Burst:       limits.burst,
+		Seed:        xxh3.HashString(limiter.parts.settings.Instance + organisation),
 	})
 }
 
@@ -147,8 +147,8 @@
 
 // debit implements side.Debit.
 type debit struct {
-	wallet *quota.Wallet
-	taken  quota.Debit
+	wallet *quota.Client
+	taken  quota.Reservation
 }
 
 // Commit counts the request as dispatched now.
--- a/internal/daemon/start/naive.go
+++ b/internal/daemon/start/naive.go
@@ -18,11 +18,11 @@
 	config.Limiter = nil
 	// Use counts that decay at once leave the last use to decide on evictions,
 	// and demands that are late at once leave their age to decide on loads.
-	config.Slots = slots.Config{HalfLife: time.Nanosecond, SwitchDeferral: time.Nanosecond}
+	config.Slots = slots.Config{HalfLife: time.Nanosecond, MaxLoadDeferral: time.Nanosecond}
 }
 
 // staticShares implements entry.Admission by static division.
-type staticShares struct{ *quota.Static }
+type staticShares struct{ *quota.StaticLimiter }
 
 // Admit takes tokens from this instance's part.
 func (shares staticShares) Admit(now time.Time, entries int, organisation model.OrganisationSpec, tokens model.Tokens) (time.Duration, bool) {
@@ -31,7 +31,7 @@
 
 func newAdmission(policy string) entry.Admission {
 	if policy == "naive" {
-		return staticShares{quota.NewStatic()}
+		return staticShares{quota.NewStaticLimiter()}
 	}
 	return nil
 }
--- a/internal/daemon/start/side.go
+++ b/internal/daemon/start/side.go
@@ -10,7 +10,7 @@
 	"jacinthfront.dev/jacinthfront/internal/base/setup"
 	"jacinthfront.dev/jacinthfront/internal/base/telem"
 	"jacinthfront.dev/jacinthfront/internal/daemon/side"
-	"jacinthfront.dev/jacinthfront/internal/flow/queue"
+	"jacinthfront.dev/jacinthfront/internal/flow/fairq"
 	"jacinthfront.dev/jacinthfront/internal/flow/quota"
 	"jacinthfront.dev/jacinthfront/internal/flow/slots"
 	"jacinthfront.dev/jacinthfront/internal/link/engine"
@@ -53,7 +53,7 @@
 		NewShard:     newShard,
 		Metrics:      telem.Map("side"),
 		Logger:       parts.logger,
-		Queue:        queue.Config{Requests: settings.Queue.Requests, Tokens: model.Tokens(settings.Queue.Tokens)},
+		Queue:        fairq.Config{MaxRequests: settings.Queue.Requests, MaxTokens: model.Tokens(settings.Queue.Tokens)},
 		Slots:        slots.Config{Seed: settings.Seed},
 		MaxRunning:   settings.Upstream.Concurrency,
 		Partitions:   settings.Claims.Partitions,
--- a/internal/daemon/start/upstream.go
+++ b/internal/daemon/start/upstream.go
@@ -27,7 +27,7 @@
 		Epoch: state.Epoch, Slots: state.Slots, Fence: state.Fence, Running: state.Running, Waiting: state.Waiting,
 	}
 	for _, ref := range state.Loaded {
-		result.Loaded = append(result.Loaded, slots.Ref{Adapter: ref.Adapter, Version: ref.Version})
+		result.Loaded = append(result.Loaded, slots.AdapterRef{Adapter: ref.Adapter, Version: ref.Version})
 	}
 	return result, nil
 }
--- a/internal/daemon/follow/news.go
+++ b/internal/daemon/watch/news.go
@@ -1,4 +1,4 @@
-package follow
+package watch
 
 import "time"
 
@@ -9,18 +9,18 @@
 type Position struct {
 	// Next is the offset to read on from, and Changed the one after the last
 	// record that changed anything.
-	Next    uint64
-	Changed uint64
-	// At is when the process knew that there was nothing after Next.
-	At time.Time
+	Next        uint64
+	ChangedNext uint64
+	// ConfirmedAt is when the process knew that there was nothing after Next.
+	ConfirmedAt time.Time
 }
 
-// Hint is what another process read.
-type Hint[Record any] struct {
+// Update is what another process read.
+type Update[Record any] struct {
 	Position
-	// News holds what changed anything after the offset From, in its order, if
+	// Changes holds what changed anything after the offset From, in its order, if
 	// Complete. Else it has to be read.
-	News     []Record
+	Changes  []Record
 	From     uint64
 	Complete bool
 }
@@ -67,21 +67,21 @@
 
 // Since returns how far the topic was read, and what changed anything after an
 // offset, if that is still known.
-func (follower *Follower[Record]) Since(next uint64) Hint[Record] {
+func (follower *Watcher[Record]) Since(next uint64) Update[Record] {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	records, complete := follower.kept.since(next)
-	return Hint[Record]{Position: follower.position, News: records, From: next, Complete: complete}
+	return Update[Record]{Position: follower.position, Changes: records, From: next, Complete: complete}
 }
 
 // Latest returns how far the topic was read, and the last news.
-func (follower *Follower[Record]) Latest() Hint[Record] {
+func (follower *Watcher[Record]) Latest() Update[Record] {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	hint := Hint[Record]{Position: follower.position}
+	hint := Update[Record]{Position: follower.position}
 	if count := len(follower.kept.batches); count > 0 {
 		last := follower.kept.batches[count-1]
-		hint.News, hint.From, hint.Complete = last.records, last.from, true
+		hint.Changes, hint.From, hint.Complete = last.records, last.from, true
 	}
 	return hint
 }
--- a/internal/daemon/follow/follow.go
+++ b/internal/daemon/watch/watch.go
@@ -1,7 +1,7 @@
-// Package follow keeps a process current with a keyed topic of the platform's
+// Package watch keeps a process current with a keyed topic of the platform's
 // store: it reads all newest records once, then what comes after them, and
 // starts over when records were dropped before they were read.
-package follow
+package watch
 
 import (
 	"cmp"
@@ -31,8 +31,8 @@
 
 // Source reads a topic as decoded records.
 type Source[Record any] interface {
-	// Newest returns the newest record of each key and where to read on.
-	Newest(ctx context.Context) (records []Record, next uint64, err error)
+	// Snapshot returns the newest record of each key and where to read on.
+	Snapshot(ctx context.Context) (records []Record, next uint64, err error)
 	// Read returns the records from an offset on. It waits for the first one,
 	// and returns nothing if none comes.
 	Read(ctx context.Context, from uint64, wait time.Duration) (records []Record, next uint64, err error)
@@ -43,10 +43,10 @@
 	Name   string
 	Source Source[Record]
 	Logger *zap.Logger
-	// Wait is how long a call waits for a record.
-	Wait time.Duration
-	// Pause is the time between two calls.
-	Pause time.Duration
+	// LongPoll is how long a call waits for a record.
+	LongPoll time.Duration
+	// Interval is the time between two calls.
+	Interval time.Duration
 	// CallTime is the longest time for a call, beside Wait.
 	CallTime time.Duration
 	// First is the pause after a failed call. It doubles up to Longest.
@@ -55,21 +55,21 @@
 	// Apply takes over records and returns those that changed anything. complete
 	// means that keys not among them were removed.
 	Apply func(records []Record, complete bool) []Record
-	// Hint may be nil. It says what another process read lately, if that is
+	// PeerUpdate may be nil. It says what another process read lately, if that is
 	// known; a call that would return nothing more is left out then.
-	Hint func() (Hint[Record], bool)
-	// Reached is called after Apply with the time at which the call was made.
-	Reached func(called time.Time)
-	// Changed may be nil. It is called after a call that changed something.
-	Changed func()
-	// Lost is called when calls begin to fail.
-	Lost func()
-	// Called is called after each call with its error.
-	Called func(err error)
+	PeerUpdate func() (Update[Record], bool)
+	// OnConfirmed is called after Apply with the time at which the call was made.
+	OnConfirmed func(called time.Time)
+	// OnChange may be nil. It is called after a call that changed something.
+	OnChange func()
+	// OnFailure is called when calls begin to fail.
+	OnFailure func()
+	// OnCall is called after each call with its error.
+	OnCall func(err error)
 }
 
-// Follower follows one topic.
-type Follower[Record any] struct {
+// Watcher follows one topic.
+type Watcher[Record any] struct {
 	config Config[Record]
 	wake   chan struct{}
 
@@ -86,7 +86,7 @@
 }
 
 // Position returns how far the topic was read. Its time is zero if it was not.
-func (follower *Follower[Record]) Position() Position {
+func (follower *Watcher[Record]) Position() Position {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	return follower.position
@@ -94,41 +94,41 @@
 
 // advance records that everything before next is known, and what of it changed
 // anything.
-func (follower *Follower[Record]) advance(next uint64, changes []Record) {
+func (follower *Watcher[Record]) advance(next uint64, changes []Record) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	if len(changes) > 0 {
 		follower.kept.add(follower.position.Next, next, changes)
-		follower.position.Changed = next
+		follower.position.ChangedNext = next
 	}
 	follower.position.Next = next
 }
 
 // place records that all was read anew.
-func (follower *Follower[Record]) place(next uint64) {
+func (follower *Watcher[Record]) place(next uint64) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	follower.kept.reset(next)
-	follower.position.Next, follower.position.Changed = next, next
+	follower.position.Next, follower.position.ChangedNext = next, next
 }
 
 // confirm records when it was known that there was nothing more to read.
-func (follower *Follower[Record]) confirm(at time.Time) {
+func (follower *Watcher[Record]) confirm(at time.Time) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	follower.position.At = at
+	follower.position.ConfirmedAt = at
 }
 
 // New returns a Follower that has read nothing.
-func New[Record any](config Config[Record]) *Follower[Record] {
+func New[Record any](config Config[Record]) *Watcher[Record] {
 	config.CallTime = cmp.Or(config.CallTime, DefaultCallTime)
 	config.First = cmp.Or(config.First, DefaultFirst)
 	config.Longest = cmp.Or(config.Longest, DefaultLongest)
-	return &Follower[Record]{config: config, wake: make(chan struct{}, 1)}
+	return &Watcher[Record]{config: config, wake: make(chan struct{}, 1)}
 }
 
 // Run follows the topic until ctx ends.
-func (follower *Follower[Record]) Run(ctx context.Context) {
+func (follower *Watcher[Record]) Run(ctx context.Context) {
 	backoff := follower.config.First
 	for ctx.Err() == nil {
 		called := time.Now()
@@ -136,15 +136,15 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if follower.config.Called != nil {
-			follower.config.Called(err)
+		if follower.config.OnCall != nil {
+			follower.config.OnCall(err)
 		}
 		switch {
 		case err == nil:
 			backoff = follower.config.First
 			follower.reached(called)
-			if follower.config.Changed != nil && follower.news {
-				follower.config.Changed()
+			if follower.config.OnChange != nil && follower.news {
+				follower.config.OnChange()
 			}
 			follower.rest(ctx)
 			follower.restOnHints(ctx)
@@ -160,7 +160,7 @@
 }
 
 // Wake ends the present pause between two calls.
-func (follower *Follower[Record]) Wake() {
+func (follower *Watcher[Record]) Wake() {
 	select {
 	case follower.wake <- struct{}{}:
 	default:
@@ -168,11 +168,11 @@
 }
 
 // rest waits between two calls, unless it is woken.
-func (follower *Follower[Record]) rest(ctx context.Context) {
-	if follower.config.Pause <= 0 {
+func (follower *Watcher[Record]) rest(ctx context.Context) {
+	if follower.config.Interval <= 0 {
 		return
 	}
-	timer := time.NewTimer(follower.config.Pause)
+	timer := time.NewTimer(follower.config.Interval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -183,7 +183,7 @@
 
 // restOnHints waits for as long as another process says that there is nothing
 // new.
-func (follower *Follower[Record]) restOnHints(ctx context.Context) {
+func (follower *Watcher[Record]) restOnHints(ctx context.Context) {
 	for ctx.Err() == nil && follower.takeHint() {
 		follower.hinted = true
 		select {
@@ -196,34 +196,34 @@
 
 // takeHint takes over what another process read. It reports whether there is
 // nothing more to read.
-func (follower *Follower[Record]) takeHint() bool {
-	if follower.config.Hint == nil {
+func (follower *Watcher[Record]) takeHint() bool {
+	if follower.config.PeerUpdate == nil {
 		return false
 	}
-	hint, ok := follower.config.Hint()
+	hint, ok := follower.config.PeerUpdate()
 	own := follower.Position()
-	if !ok || hint.Changed > own.Next && (!hint.Complete || hint.From > own.Next) {
+	if !ok || hint.ChangedNext > own.Next && (!hint.Complete || hint.From > own.Next) {
 		return false
 	}
 	if hint.Next > own.Next {
 		var changes []Record
-		if hint.Changed > own.Next {
-			changes = follower.config.Apply(hint.News, false)
+		if hint.ChangedNext > own.Next {
+			changes = follower.config.Apply(hint.Changes, false)
 		}
 		follower.advance(hint.Next, changes)
 	}
-	if hint.At.After(own.At) {
-		follower.reached(hint.At)
+	if hint.ConfirmedAt.After(own.ConfirmedAt) {
+		follower.reached(hint.ConfirmedAt)
 	}
 	return true
 }
 
 // step makes one call.
-func (follower *Follower[Record]) step(ctx context.Context) error {
+func (follower *Watcher[Record]) step(ctx context.Context) error {
 	if !follower.placed {
 		ctx, cancel := context.WithTimeout(ctx, follower.config.CallTime)
 		defer cancel()
-		records, next, err := follower.config.Source.Newest(ctx)
+		records, next, err := follower.config.Source.Snapshot(ctx)
 		if err != nil {
 			return err
 		}
@@ -232,7 +232,7 @@
 		follower.placed, follower.news = true, true
 		return nil
 	}
-	wait := follower.config.Wait
+	wait := follower.config.LongPoll
 	if follower.down || follower.hinted {
 		// After an outage, or when no hint comes any more, what is known must be
 		// confirmed at once.
@@ -251,25 +251,25 @@
 	return nil
 }
 
-func (follower *Follower[Record]) reached(called time.Time) {
+func (follower *Watcher[Record]) reached(called time.Time) {
 	if follower.down {
 		follower.down = false
 		follower.config.Logger.Info("follow: topic is read again", zap.String("topic", follower.config.Name))
 	}
 	follower.confirm(called)
-	if follower.config.Reached != nil {
-		follower.config.Reached(called)
+	if follower.config.OnConfirmed != nil {
+		follower.config.OnConfirmed(called)
 	}
 }
 
-func (follower *Follower[Record]) lost(err error) {
+func (follower *Watcher[Record]) lost(err error) {
 	if follower.down {
 		return
 	}
 	follower.down = true
 	follower.config.Logger.Warn("follow: topic cannot be read", zap.String("topic", follower.config.Name), telem.Error(err))
-	if follower.config.Lost != nil {
-		follower.config.Lost()
+	if follower.config.OnFailure != nil {
+		follower.config.OnFailure()
 	}
 }
 
--- a/internal/daemon/follow/follow_test.go
+++ b/internal/daemon/watch/watch_test.go
@@ -1,4 +1,4 @@
-package follow
+package watch
 
 import (
 	"context"
@@ -23,7 +23,7 @@
 
 var errDown = errors.New("the store is down")
 
-func (topic *topic) Newest(context.Context) ([]string, uint64, error) {
+func (topic *topic) Snapshot(context.Context) ([]string, uint64, error) {
 	topic.mutex.Lock()
 	defer topic.mutex.Unlock()
 	topic.calls++
@@ -59,7 +59,7 @@
 }
 
 // run runs a follower until stop is called.
-func run(t *testing.T, follower *Follower[string]) (stop func()) {
+func run(t *testing.T, follower *Watcher[string]) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -84,16 +84,16 @@
 		var reached time.Time
 		lost, failed := 0, 0
 		follower := New(Config[string]{
-			Name: "config", Source: store, Logger: zap.NewNop(), Wait: time.Second,
+			Name: "config", Source: store, Logger: zap.NewNop(), LongPoll: time.Second,
 			Apply: func(records []string, _ bool) []string {
 				if len(records) > 0 {
 					store.change(func() { last = records[len(records)-1] })
 				}
 				return records
 			},
-			Reached: func(called time.Time) { store.change(func() { reached = called }) },
-			Lost:    func() { store.change(func() { lost++ }) },
-			Called: func(err error) {
+			OnConfirmed: func(called time.Time) { store.change(func() { reached = called }) },
+			OnFailure:   func() { store.change(func() { lost++ }) },
+			OnCall: func(err error) {
 				if err != nil {
 					store.change(func() { failed++ })
 				}
@@ -145,26 +145,26 @@
 // hints is what another process says it has read.
 type hints struct {
 	mutex  sync.Mutex
-	given  Hint[string]
+	given  Update[string]
 	silent bool
 }
 
-func (hints *hints) hint() (Hint[string], bool) {
+func (hints *hints) hint() (Update[string], bool) {
 	hints.mutex.Lock()
 	defer hints.mutex.Unlock()
 	given := hints.given
-	given.At = time.Now()
+	given.ConfirmedAt = time.Now()
 	return given, !hints.silent
 }
 
-func (hints *hints) set(given Hint[string], silent bool) {
+func (hints *hints) set(given Update[string], silent bool) {
 	hints.mutex.Lock()
 	defer hints.mutex.Unlock()
 	hints.given, hints.silent = given, silent
 }
 
-func at(next, changed uint64) Hint[string] {
-	return Hint[string]{Position: Position{Next: next, Changed: changed}}
+func at(next, changed uint64) Update[string] {
+	return Update[string]{Position: Position{Next: next, ChangedNext: changed}}
 }
 
 // TestHint plays a process whose failure domain has a reader: it must not call
@@ -177,15 +177,15 @@
 		var last string
 		var reached time.Time
 		follower := New(Config[string]{
-			Name: "config", Source: store, Logger: zap.NewNop(), Wait: time.Second,
+			Name: "config", Source: store, Logger: zap.NewNop(), LongPoll: time.Second,
 			Apply: func(records []string, _ bool) []string {
 				if len(records) > 0 {
 					store.change(func() { last = records[len(records)-1] })
 				}
 				return records
 			},
-			Hint:    reader.hint,
-			Reached: func(called time.Time) { store.change(func() { reached = called }) },
+			PeerUpdate:  reader.hint,
+			OnConfirmed: func(called time.Time) { store.change(func() { reached = called }) },
 		})
 		stop := run(t, follower)
 		expect := func(moment, newest string, calls int, age time.Duration) {
@@ -208,14 +208,14 @@
 		time.Sleep(2 * hintPause)
 		expect("a record", "2", 2, 2*hintPause)
 		store.change(func() { store.records = append(store.records, "3") })
-		reader.set(Hint[string]{Position: Position{Next: 5, Changed: 5}, News: []string{"3"}, From: 4, Complete: true}, false)
+		reader.set(Update[string]{Position: Position{Next: 5, ChangedNext: 5}, Changes: []string{"3"}, From: 4, Complete: true}, false)
 		time.Sleep(2 * hintPause)
 		expect("news with the word", "3", 2, 2*hintPause)
 		store.change(func() { store.records = append(store.records, "4", "5") })
-		reader.set(Hint[string]{Position: Position{Next: 7, Changed: 7}, News: []string{"5"}, From: 6, Complete: true}, false)
+		reader.set(Update[string]{Position: Position{Next: 7, ChangedNext: 7}, Changes: []string{"5"}, From: 6, Complete: true}, false)
 		time.Sleep(2 * hintPause)
 		expect("news with a gap", "5", 3, 2*hintPause)
-		reader.set(Hint[string]{}, true)
+		reader.set(Update[string]{}, true)
 		time.Sleep(hintPause)
 		expect("reader silent", "5", 5, hintPause)
 		time.Sleep(3 * time.Second)
@@ -247,7 +247,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			got := follower.Since(test.next)
-			want := Hint[string]{Position: Position{Next: 20, Changed: 20}, News: test.news, From: test.next, Complete: test.complete}
+			want := Update[string]{Position: Position{Next: 20, ChangedNext: 20}, Changes: test.news, From: test.next, Complete: test.complete}
 			if diff := cmp.Diff(want, got); diff != "" {
 				t.Errorf("hint (-want +got):\n%s", diff)
 			}
@@ -256,7 +256,7 @@
 	for next := uint64(21); next < 200; next++ {
 		follower.advance(next, []string{"d"})
 	}
-	if kept := follower.Since(0); len(kept.News) > mostNews || kept.Complete {
-		t.Errorf("%d records kept, complete %v", len(kept.News), kept.Complete)
+	if kept := follower.Since(0); len(kept.Changes) > mostNews || kept.Complete {
+		t.Errorf("%d records kept, complete %v", len(kept.Changes), kept.Complete)
 	}
 }
--- a/internal/flow/admit/admit.go
+++ b/internal/flow/admit/admit.go
@@ -12,59 +12,59 @@
 	"sync"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/flow/pace"
-	"jacinthfront.dev/jacinthfront/internal/flow/stock"
+	"jacinthfront.dev/jacinthfront/internal/flow/lora"
+	"jacinthfront.dev/jacinthfront/internal/flow/speed"
 )
 
 // Defaults of Config.
 const (
-	// DefaultReadRate is how many prompt tokens an engine reads in a
+	// DefaultPrefillRate is how many prompt tokens an engine reads in a
 	// millisecond, until that is known.
-	DefaultReadRate = 19.0
-	// DefaultStep is the time that an engine takes for one token of all its
+	DefaultPrefillRate = 19.0
+	// DefaultDecodeStep is the time that an engine takes for one token of all its
 	// streams when it reads no prompts, until that is known.
-	DefaultStep = 14 * time.Millisecond
-	// DefaultChunk is the largest number of prompt tokens that an engine reads
+	DefaultDecodeStep = 14 * time.Millisecond
+	// DefaultPrefillChunk is the largest number of prompt tokens that an engine reads
 	// in one step.
-	DefaultChunk = 2048
-	// DefaultUse is the part of the reading time that is given out. The rest
+	DefaultPrefillChunk = 2048
+	// DefaultUtilisation is the part of the reading time that is given out. The rest
 	// covers the time between a grant and the request's arrival.
-	DefaultUse = 0.94
-	// DefaultAgeing is by how much earlier a request's turn comes for each rank
+	DefaultUtilisation = 0.94
+	// DefaultPriorityDelay is by how much earlier a request's turn comes for each rank
 	// that it is more urgent.
-	DefaultAgeing = 300 * time.Millisecond
+	DefaultPriorityDelay = 300 * time.Millisecond
 	// DefaultLateDelay is by how much later the turn of a late request comes.
 	DefaultLateDelay = 1500 * time.Millisecond
-	// DefaultForget is how long the asks of an entry instance count after it was
+	// DefaultEntryTimeout is how long the asks of an entry instance count after it was
 	// last heard.
-	DefaultForget = 500 * time.Millisecond
+	DefaultEntryTimeout = 500 * time.Millisecond
 )
 
 // Config configures a Gate. Zero values mean the defaults.
 type Config struct {
-	ReadRate  float64
-	Step      time.Duration
-	Chunk     int64
-	Use       float64
-	Ageing    time.Duration
-	LateDelay time.Duration
-	Forget    time.Duration
+	PrefillRate   float64
+	DecodeStep    time.Duration
+	PrefillChunk  int64
+	Utilisation   float64
+	PriorityDelay time.Duration
+	LateDelay     time.Duration
+	EntryTimeout  time.Duration
 }
 
-// Shape is what the configuration says of the engine and its streams.
-type Shape struct {
+// EngineConfig is what the configuration says of the engine and its streams.
+type EngineConfig struct {
 	// Slots is the number of requests that run at once.
 	Slots int
 	// EventTokens is the number of tokens in one event.
 	EventTokens int
-	// Gap is the longest pause between events that meets the goal.
-	Gap time.Duration
-	// Typical is the pace of the service's other engines.
-	Typical Pace
+	// MaxEventGap is the longest pause between events that meets the goal.
+	MaxEventGap time.Duration
+	// TypicalSpeed is the pace of the service's other engines.
+	TypicalSpeed Speed
 }
 
-// State is what the engine says of itself.
-type State struct {
+// EngineState is what the engine says of itself.
+type EngineState struct {
 	Running int
 	// Queued is the part of Running whose prompts the engine has not begun to
 	// read.
@@ -72,17 +72,17 @@
 	UsedTokens  int64
 	TotalTokens int64
 	// Holds reports whether an adapter is loaded.
-	Holds func(stock.Adapter) bool
+	Holds func(lora.Adapter) bool
 }
 
-// Ask is a request that waits for its turn.
-type Ask struct {
+// Request is a request that waits for its turn.
+type Request struct {
 	// ID is unique for the entry instance.
-	ID       uint64
-	Adapter  stock.Adapter
-	Prompt   int64
-	Output   int64
-	Priority int
+	ID           uint64
+	Adapter      lora.Adapter
+	PromptTokens int64
+	OutputTokens int64
+	Priority     int
 	// Waited is how long it had waited when it began to wait here, so that a
 	// request that looked elsewhere before keeps its turn.
 	Waited time.Duration
@@ -91,14 +91,14 @@
 	Late bool
 }
 
-// Gate admits the requests for one engine. Its methods may be called
+// Controller admits the requests for one engine. Its methods may be called
 // concurrently.
-type Gate struct {
+type Controller struct {
 	config Config
 
 	mutex   sync.Mutex
-	shape   Shape
-	state   State
+	shape   EngineConfig
+	state   EngineState
 	entries map[string]*entry
 	// granted holds what was let in within the last span.
 	granted []grant
@@ -108,7 +108,7 @@
 	// has not read by the time readAt.
 	unread float64
 	readAt time.Time
-	pace   pace.Estimator
+	pace   speed.Estimator
 	// alone holds the grants that had no prompt before them; what they show of
 	// the engine's pace counts.
 	alone []lone
@@ -120,7 +120,7 @@
 }
 
 type waiter struct {
-	Ask
+	Request
 	entry   string
 	came    time.Time
 	granted bool
@@ -133,19 +133,19 @@
 }
 
 // New returns a Gate that knows nothing yet.
-func New(config Config) *Gate {
-	config.ReadRate = cmp.Or(config.ReadRate, DefaultReadRate)
-	config.Step = cmp.Or(config.Step, DefaultStep)
-	config.Chunk = cmp.Or(config.Chunk, DefaultChunk)
-	config.Use = cmp.Or(config.Use, DefaultUse)
-	config.Ageing = cmp.Or(config.Ageing, DefaultAgeing)
+func New(config Config) *Controller {
+	config.PrefillRate = cmp.Or(config.PrefillRate, DefaultPrefillRate)
+	config.DecodeStep = cmp.Or(config.DecodeStep, DefaultDecodeStep)
+	config.PrefillChunk = cmp.Or(config.PrefillChunk, DefaultPrefillChunk)
+	config.Utilisation = cmp.Or(config.Utilisation, DefaultUtilisation)
+	config.PriorityDelay = cmp.Or(config.PriorityDelay, DefaultPriorityDelay)
 	config.LateDelay = cmp.Or(config.LateDelay, DefaultLateDelay)
-	config.Forget = cmp.Or(config.Forget, DefaultForget)
-	return &Gate{config: config, entries: make(map[string]*entry)}
+	config.EntryTimeout = cmp.Or(config.EntryTimeout, DefaultEntryTimeout)
+	return &Controller{config: config, entries: make(map[string]*entry)}
 }
 
 // Observe records the engine's state.
-func (gate *Gate) Observe(state State) {
+func (gate *Controller) Observe(state EngineState) {
 	gate.mutex.Lock()
 	defer gate.mutex.Unlock()
 	gate.state = state
@@ -154,7 +154,7 @@
 	gate.unseen = slices.DeleteFunc(gate.unseen, func(grant grant) bool { return grant.at.Before(arrived) })
 	gate.read(time.Now())
 	if state.Queued == 0 {
-		most := float64(gate.config.Chunk)
+		most := float64(gate.config.PrefillChunk)
 		for _, grant := range gate.unseen {
 			most += float64(grant.prompt)
 		}
@@ -166,9 +166,9 @@
 // state.
 const arrivalTime = 60 * time.Millisecond
 
-// Replace records all that an entry instance asks for. Asks that it does not
+// SetRequests records all that an entry instance asks for. Asks that it does not
 // name any more are withdrawn.
-func (gate *Gate) Replace(name string, shape Shape, asks []Ask) {
+func (gate *Controller) SetRequests(name string, shape EngineConfig, asks []Request) {
 	gate.mutex.Lock()
 	defer gate.mutex.Unlock()
 	now := time.Now()
@@ -185,7 +185,7 @@
 			kept[ask.ID] = waiting
 			continue
 		}
-		kept[ask.ID] = &waiter{Ask: ask, entry: name, came: now.Add(-ask.Waited)}
+		kept[ask.ID] = &waiter{Request: ask, entry: name, came: now.Add(-ask.Waited)}
 	}
 	known.asks, known.heard = kept, now
 }
@@ -193,7 +193,7 @@
 // Grant lets in the requests whose turn has come, and returns the ids of all
 // that were let in and are still asked for, by entry instance. changed names the
 // entry instances with a new one.
-func (gate *Gate) Grant() (granted map[string][]uint64, changed []string) {
+func (gate *Controller) Grant() (granted map[string][]uint64, changed []string) {
 	gate.mutex.Lock()
 	defer gate.mutex.Unlock()
 	now := time.Now()
@@ -219,8 +219,8 @@
 	return granted, changed
 }
 
-// Waits reports whether requests of an entry instance wait for their turn.
-func (gate *Gate) Waits(name string) bool {
+// HasWaiting reports whether requests of an entry instance wait for their turn.
+func (gate *Controller) HasWaiting(name string) bool {
 	gate.mutex.Lock()
 	defer gate.mutex.Unlock()
 	known, ok := gate.entries[name]
@@ -236,16 +236,16 @@
 }
 
 // forget drops what is past the span, and entry instances that fell silent.
-func (gate *Gate) forget(now time.Time) {
-	since := now.Add(-gate.shape.Gap)
+func (gate *Controller) forget(now time.Time) {
+	since := now.Add(-gate.shape.MaxEventGap)
 	gate.granted = slices.DeleteFunc(gate.granted, func(grant grant) bool { return !grant.at.After(since) })
 	maps.DeleteFunc(gate.entries, func(_ string, entry *entry) bool {
-		return now.Sub(entry.heard) > gate.config.Forget
+		return now.Sub(entry.heard) > gate.config.EntryTimeout
 	})
 }
 
 // able returns the requests that wait and whose adapter is loaded.
-func (gate *Gate) able() []*waiter {
+func (gate *Controller) able() []*waiter {
 	var able []*waiter
 	for _, entry := range gate.entries {
 		for _, waiting := range entry.asks {
@@ -259,7 +259,7 @@
 
 // line returns the requests that wait and whose adapter is loaded, in the order
 // of their turns.
-func (gate *Gate) line() []*waiter {
+func (gate *Controller) line() []*waiter {
 	line := gate.able()
 	slices.SortFunc(line, func(a, b *waiter) int {
 		return cmp.Or(gate.turn(a).Compare(gate.turn(b)), cmp.Compare(a.entry, b.entry), cmp.Compare(a.ID, b.ID))
@@ -270,8 +270,8 @@
 // turn returns when a request's turn comes, compared with others. Late ones
 // come later, so that they do not make those late that are on time, but not
 // last, so that they are served before their callers leave.
-func (gate *Gate) turn(waiting *waiter) time.Time {
-	turn := waiting.came.Add(time.Duration(waiting.Priority) * gate.config.Ageing)
+func (gate *Controller) turn(waiting *waiter) time.Time {
+	turn := waiting.came.Add(time.Duration(waiting.Priority) * gate.config.PriorityDelay)
 	if waiting.Late {
 		turn = turn.Add(gate.config.LateDelay)
 	}
@@ -280,11 +280,11 @@
 
 // fits reports whether a request may start now. One that is larger than the
 // whole span allows may start when nothing else did.
-func (gate *Gate) fits(waiting *waiter) bool {
+func (gate *Controller) fits(waiting *waiter) bool {
 	if gate.shape.Slots > 0 && gate.state.Running+len(gate.unseen) >= gate.shape.Slots {
 		return false
 	}
-	memory := gate.state.UsedTokens + waiting.Prompt + waiting.Output
+	memory := gate.state.UsedTokens + waiting.PromptTokens + waiting.OutputTokens
 	for _, grant := range gate.unseen {
 		memory += grant.memory
 	}
@@ -296,15 +296,15 @@
 		return true
 	}
 	ahead := gate.ahead()
-	return ahead == 0 || ahead+waiting.Prompt <= limit
+	return ahead == 0 || ahead+waiting.PromptTokens <= limit
 }
 
-func (gate *Gate) admit(waiting *waiter, now time.Time) {
+func (gate *Controller) admit(waiting *waiter, now time.Time) {
 	waiting.granted = true
-	let := grant{at: now, prompt: waiting.Prompt, memory: waiting.Prompt + waiting.Output}
+	let := grant{at: now, prompt: waiting.PromptTokens, memory: waiting.PromptTokens + waiting.OutputTokens}
 	gate.read(now)
 	if gate.unread == 0 {
-		gate.alone = append(gate.alone, lone{waiting.entry, waiting.ID, waiting.Prompt})
+		gate.alone = append(gate.alone, lone{waiting.entry, waiting.ID, waiting.PromptTokens})
 		gate.alone = gate.alone[max(len(gate.alone)-mostAlone, 0):]
 	}
 	gate.unread += float64(let.prompt)
--- a/internal/flow/admit/admit_test.go
+++ b/internal/flow/admit/admit_test.go
@@ -9,26 +9,26 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"jacinthfront.dev/jacinthfront/internal/flow/stock"
+	"jacinthfront.dev/jacinthfront/internal/flow/lora"
 )
 
 // threeTokens is the shape of an engine with three tokens in an event, whose
 // streams miss a goal of 300 ms after three steps full of prompt tokens.
-var threeTokens = Shape{Slots: 64, EventTokens: 3, Gap: 300 * time.Millisecond}
+var threeTokens = EngineConfig{Slots: 64, EventTokens: 3, MaxEventGap: 300 * time.Millisecond}
 
-func holdsAll(stock.Adapter) bool { return true }
+func holdsAll(lora.Adapter) bool { return true }
 
 // newGate returns a Gate of an idle engine that holds every adapter.
-func newGate() *Gate {
+func newGate() *Controller {
 	gate := New(Config{})
-	gate.Observe(State{TotalTokens: 122_000, Holds: holdsAll})
+	gate.Observe(EngineState{TotalTokens: 122_000, Holds: holdsAll})
 	return gate
 }
 
-func asks(prompts ...int64) []Ask {
-	list := make([]Ask, 0, len(prompts))
+func asks(prompts ...int64) []Request {
+	list := make([]Request, 0, len(prompts))
 	for i, prompt := range prompts {
-		list = append(list, Ask{ID: uint64(i + 1), Prompt: prompt, Output: 170, Priority: 1})
+		list = append(list, Request{ID: uint64(i + 1), PromptTokens: prompt, OutputTokens: 170, Priority: 1})
 	}
 	return list
 }
@@ -47,11 +47,11 @@
 		var history []let
 		began := time.Now()
 		for len(waiting) > 0 && time.Since(began) < 5*time.Second {
-			gate.Replace("entry", threeTokens, waiting)
+			gate.SetRequests("entry", threeTokens, waiting)
 			granted, _ := gate.Grant()
 			for _, id := range granted["entry"] {
 				history = append(history, let{time.Since(began), 1460})
-				waiting = slices.DeleteFunc(waiting, func(ask Ask) bool { return ask.ID == id })
+				waiting = slices.DeleteFunc(waiting, func(ask Request) bool { return ask.ID == id })
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -78,7 +78,7 @@
 
 // twoTokens is the shape of an engine with two tokens in an event, whose streams
 // meet a goal of 300 ms however much it reads.
-var twoTokens = Shape{Slots: 64, EventTokens: 2, Gap: 300 * time.Millisecond}
+var twoTokens = EngineConfig{Slots: 64, EventTokens: 2, MaxEventGap: 300 * time.Millisecond}
 
 // TestFlood plays the load of kalamaki-front scale-1: for two seconds an
 // engine gets twice the prompts that it reads. Those that it cannot read soon
@@ -93,20 +93,20 @@
 			step   = 10 * time.Millisecond
 		)
 		gate := newGate()
-		var waiting []Ask
+		var waiting []Request
 		unread, last := 0.0, time.Now()
 		for at := time.Duration(0); at < 2*time.Second; at += step {
 			if at%period == 0 {
-				waiting = append(waiting, Ask{ID: uint64(at/period) + 1, Prompt: prompt, Output: 170})
+				waiting = append(waiting, Request{ID: uint64(at/period) + 1, PromptTokens: prompt, OutputTokens: 170})
 			}
 			unread = max(unread-float64(time.Since(last).Milliseconds())*rate, 0)
 			last = time.Now()
-			gate.Observe(State{Queued: int(unread) / prompt, TotalTokens: 122_000, Holds: holdsAll})
-			gate.Replace("entry", twoTokens, waiting)
+			gate.Observe(EngineState{Queued: int(unread) / prompt, TotalTokens: 122_000, Holds: holdsAll})
+			gate.SetRequests("entry", twoTokens, waiting)
 			granted, _ := gate.Grant()
 			for _, id := range granted["entry"] {
 				unread += prompt
-				waiting = slices.DeleteFunc(waiting, func(ask Ask) bool { return ask.ID == id })
+				waiting = slices.DeleteFunc(waiting, func(ask Request) bool { return ask.ID == id })
 			}
 			if most := 2 * 300 * rate; unread > most {
 				t.Fatalf("%v: the engine has %.0f tokens to read, at most %.0f are read within two pauses", at, unread, most)
@@ -126,47 +126,47 @@
 	tests := []struct {
 		name   string
 		guards string
-		shape  Shape
-		state  State
-		asks   []Ask
+		shape  EngineConfig
+		state  EngineState
+		asks   []Request
 		want   []uint64
 	}{
 		{
 			name: "urgent first", guards: "patient letters in front of short advice",
-			shape: threeTokens, state: State{TotalTokens: 122_000, Holds: holdsAll},
-			asks: []Ask{{ID: 1, Prompt: 4000, Priority: 1}, {ID: 2, Prompt: 4000, Priority: 0}},
+			shape: threeTokens, state: EngineState{TotalTokens: 122_000, Holds: holdsAll},
+			asks: []Request{{ID: 1, PromptTokens: 4000, Priority: 1}, {ID: 2, PromptTokens: 4000, Priority: 0}},
 			want: []uint64{2},
 		},
 		{
 			name: "absent adapter passed over", guards: "a request whose adapter is loading holds up the others",
 			shape: threeTokens,
-			state: State{TotalTokens: 122_000, Holds: func(adapter stock.Adapter) bool { return adapter.Name != "a1" }},
-			asks:  []Ask{{ID: 1, Prompt: 100, Adapter: stock.Adapter{Name: "a1"}}, {ID: 2, Prompt: 100, Adapter: stock.Adapter{Name: "a2"}}},
+			state: EngineState{TotalTokens: 122_000, Holds: func(adapter lora.Adapter) bool { return adapter.Name != "a1" }},
+			asks:  []Request{{ID: 1, PromptTokens: 100, Adapter: lora.Adapter{Name: "a1"}}, {ID: 2, PromptTokens: 100, Adapter: lora.Adapter{Name: "a2"}}},
 			want:  []uint64{2},
 		},
 		{
 			name: "memory", guards: "an engine whose memory is full preempts streams",
-			shape: threeTokens, state: State{UsedTokens: 121_000, TotalTokens: 122_000, Holds: holdsAll},
+			shape: threeTokens, state: EngineState{UsedTokens: 121_000, TotalTokens: 122_000, Holds: holdsAll},
 			asks: asks(1460), want: nil,
 		},
 		{
 			name: "slots", guards: "more requests than an engine runs at once",
-			shape: threeTokens, state: State{Running: 63, TotalTokens: 122_000, Holds: holdsAll},
+			shape: threeTokens, state: EngineState{Running: 63, TotalTokens: 122_000, Holds: holdsAll},
 			asks: asks(100, 100), want: []uint64{1},
 		},
 		{
 			name: "larger than the span", guards: "the largest prompts never have their turn",
-			shape: threeTokens, state: State{TotalTokens: 122_000, Holds: holdsAll},
+			shape: threeTokens, state: EngineState{TotalTokens: 122_000, Holds: holdsAll},
 			asks: asks(20_000), want: []uint64{1},
 		},
 		{
 			name: "no long steps", guards: "prompts are held back although streams of two tokens an event do not pause",
-			shape: twoTokens, state: State{TotalTokens: 122_000, Holds: holdsAll},
+			shape: twoTokens, state: EngineState{TotalTokens: 122_000, Holds: holdsAll},
 			asks: asks(1460, 1460, 1460, 1460, 1460, 1460), want: []uint64{1, 2, 3, 4, 5, 6},
 		},
 		{
 			name: "no report", guards: "requests are sent to an engine that does not answer",
-			shape: threeTokens, state: State{}, asks: asks(100), want: nil,
+			shape: threeTokens, state: EngineState{}, asks: asks(100), want: nil,
 		},
 	}
 	for _, test := range tests {
@@ -174,7 +174,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				gate := New(Config{})
 				gate.Observe(test.state)
-				gate.Replace("entry", test.shape, test.asks)
+				gate.SetRequests("entry", test.shape, test.asks)
 				granted, _ := gate.Grant()
 				if diff := cmp.Diff(test.want, granted["entry"]); diff != "" {
 					t.Errorf("%s: granted (-want +got):\n%s", test.guards, diff)
@@ -190,7 +190,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		gate := newGate()
 		for range 3 {
-			gate.Replace("entry", threeTokens, asks(1460))
+			gate.SetRequests("entry", threeTokens, asks(1460))
 			granted, _ := gate.Grant()
 			if diff := cmp.Diff([]uint64{1}, granted["entry"]); diff != "" {
 				t.Fatalf("granted (-want +got):\n%s", diff)
@@ -208,10 +208,10 @@
 func TestSilentEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gate := newGate()
-		gate.Replace("dead", threeTokens, []Ask{{ID: 1, Prompt: 4000}, {ID: 2, Prompt: 4000}})
+		gate.SetRequests("dead", threeTokens, []Request{{ID: 1, PromptTokens: 4000}, {ID: 2, PromptTokens: 4000}})
 		gate.Grant()
-		time.Sleep(DefaultForget + 100*time.Millisecond)
-		gate.Replace("entry", threeTokens, asks(4000))
+		time.Sleep(DefaultEntryTimeout + 100*time.Millisecond)
+		gate.SetRequests("entry", threeTokens, asks(4000))
 		granted, _ := gate.Grant()
 		if diff := cmp.Diff(map[string][]uint64{"entry": {1}}, granted); diff != "" {
 			t.Errorf("granted (-want +got):\n%s", diff)
@@ -224,19 +224,19 @@
 func TestOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gate := newGate()
-		waiting := []Ask{{ID: 1, Prompt: 3790, Priority: 1}}
+		waiting := []Request{{ID: 1, PromptTokens: 3790, Priority: 1}}
 		next := uint64(2)
 		for range 100 {
 			for len(waiting) < 6 {
-				waiting = append(waiting, Ask{ID: next, Prompt: 600})
+				waiting = append(waiting, Request{ID: next, PromptTokens: 600})
 				next++
 			}
-			gate.Replace("entry", threeTokens, waiting)
+			gate.SetRequests("entry", threeTokens, waiting)
 			granted, _ := gate.Grant()
 			if slices.Contains(granted["entry"], 1) {
 				return
 			}
-			waiting = slices.DeleteFunc(waiting, func(ask Ask) bool { return slices.Contains(granted["entry"], ask.ID) })
+			waiting = slices.DeleteFunc(waiting, func(ask Request) bool { return slices.Contains(granted["entry"], ask.ID) })
 			time.Sleep(20 * time.Millisecond)
 		}
 		t.Error(fmt.Sprint("the largest prompt was not let in within 2 s; others: ", next))
@@ -252,50 +252,50 @@
 		rate  = 38.0
 		event = 32 * time.Millisecond
 	)
-	shape := Shape{Slots: 32, EventTokens: 6, Gap: 250 * time.Millisecond}
+	shape := EngineConfig{Slots: 32, EventTokens: 6, MaxEventGap: 250 * time.Millisecond}
 	readable := (250 - 32) * rate / 250
 	tests := []struct {
 		name    string
 		guards  string
 		learn   bool
-		typical Pace
+		typical Speed
 		restart bool
 		least   float64
 		most    float64
 	}{
-		{name: "unknown", guards: "a slow engine swamped before its pace is known", least: 9, most: DefaultReadRate},
+		{name: "unknown", guards: "a slow engine swamped before its pace is known", least: 9, most: DefaultPrefillRate},
 		{name: "learned", guards: "an engine that is left idle", learn: true, least: 0.85 * readable, most: readable},
 		{
 			name: "as the others", guards: "a new engine that takes half its load",
-			typical: Pace{ReadRate: rate, Event: event}, least: 0.85 * readable, most: readable,
+			typical: Speed{PrefillRate: rate, EventInterval: event}, least: 0.85 * readable, most: readable,
 		},
-		{name: "restarted", guards: "the pace of an engine that is gone", learn: true, restart: true, least: 9, most: DefaultReadRate},
+		{name: "restarted", guards: "the pace of an engine that is gone", learn: true, restart: true, least: 9, most: DefaultPrefillRate},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				gate := newGate()
-				shape.Typical = test.typical
-				gate.Replace("entry", shape, nil)
+				shape.TypicalSpeed = test.typical
+				gate.SetRequests("entry", shape, nil)
 				for number := uint64(1); test.learn && number <= 20; number++ {
 					prompt := int64(400 + 70*number)
-					gate.Replace("entry", shape, []Ask{{ID: number, Prompt: prompt}})
+					gate.SetRequests("entry", shape, []Request{{ID: number, PromptTokens: prompt}})
 					gate.Grant()
-					gate.Replace("entry", shape, nil)
+					gate.SetRequests("entry", shape, nil)
 					first := time.Duration(float64(prompt)/rate*float64(time.Millisecond)) + 5*time.Millisecond
-					gate.Measured("entry", []Reading{{Ask: number, First: first}, {Pause: event}})
+					gate.RecordMeasurements("entry", []Measurement{{RequestID: number, FirstEvent: first}, {EventInterval: event}})
 					time.Sleep(400 * time.Millisecond)
 				}
 				if test.restart {
-					gate.Restarted()
+					gate.ResetSpeed()
 				}
 				gate.mutex.Lock()
-				letIn := float64(gate.limit()) / float64(shape.Gap.Milliseconds())
+				letIn := float64(gate.limit()) / float64(shape.MaxEventGap.Milliseconds())
 				gate.mutex.Unlock()
 				if letIn < test.least || letIn > test.most {
 					t.Errorf("%s: %.1f prompt tokens a millisecond are let in, want %.1f to %.1f", test.guards, letIn, test.least, test.most)
 				}
-				if read := gate.Intake(); read < letIn || read > max(rate, test.most) {
+				if read := gate.AdmissionRate(); read < letIn || read > max(rate, test.most) {
 					t.Errorf("%s: %.1f prompt tokens a millisecond count as read, %.1f are let in", test.guards, read, letIn)
 				}
 			})
@@ -308,37 +308,37 @@
 func TestCrowded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gate := newGate()
-		var waiting []Ask
+		var waiting []Request
 		for number := uint64(1); number <= 40; number++ {
-			waiting = append(waiting, Ask{ID: number, Prompt: int64(100 * number)})
+			waiting = append(waiting, Request{ID: number, PromptTokens: int64(100 * number)})
 		}
-		gate.Replace("entry", twoTokens, waiting)
+		gate.SetRequests("entry", twoTokens, waiting)
 		gate.Grant()
 		for _, ask := range waiting {
-			gate.Measured("entry", []Reading{{Ask: ask.ID, First: time.Duration(ask.Prompt) * time.Millisecond}})
+			gate.RecordMeasurements("entry", []Measurement{{RequestID: ask.ID, FirstEvent: time.Duration(ask.PromptTokens) * time.Millisecond}})
 		}
-		if diff := cmp.Diff(Pace{}, gate.Pace()); diff != "" {
+		if diff := cmp.Diff(Speed{}, gate.Speed()); diff != "" {
 			t.Errorf("pace (-want +got):\n%s", diff)
 		}
 	})
 }
 
 // backlog returns the prompt tokens before a request on time.
-func backlog(gate *Gate) int64 {
+func backlog(gate *Controller) int64 {
 	onTime, _ := gate.Backlog()
 	return onTime
 }
 
 // granted returns the order in which requests are let in when one fits at a
 // time, and asks again what still waits.
-func granted(gate *Gate, shape Shape, waiting []Ask) []uint64 {
+func granted(gate *Controller, shape EngineConfig, waiting []Request) []uint64 {
 	var order []uint64
 	for range 100 * len(waiting) {
-		gate.Replace("entry", shape, waiting)
+		gate.SetRequests("entry", shape, waiting)
 		let, _ := gate.Grant()
 		for _, id := range let["entry"] {
 			order = append(order, id)
-			waiting = slices.DeleteFunc(waiting, func(ask Ask) bool { return ask.ID == id })
+			waiting = slices.DeleteFunc(waiting, func(ask Request) bool { return ask.ID == id })
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -351,22 +351,22 @@
 func TestAllLost(t *testing.T) {
 	tests := []struct {
 		name string
-		asks []Ask
+		asks []Request
 		want []uint64
 	}{
 		{
 			name: "one on time goes before late ones that came first",
-			asks: []Ask{{ID: 1, Prompt: 3000, Late: true, Waited: 800 * time.Millisecond}, {ID: 2, Prompt: 3000}},
+			asks: []Request{{ID: 1, PromptTokens: 3000, Late: true, Waited: 800 * time.Millisecond}, {ID: 2, PromptTokens: 3000}},
 			want: []uint64{2, 1},
 		},
 		{
 			name: "a late one does not wait for ever",
-			asks: []Ask{{ID: 1, Prompt: 3000}, {ID: 2, Prompt: 3000, Late: true, Waited: 2 * time.Second}},
+			asks: []Request{{ID: 1, PromptTokens: 3000}, {ID: 2, PromptTokens: 3000, Late: true, Waited: 2 * time.Second}},
 			want: []uint64{2, 1},
 		},
 		{
 			name: "one that looked elsewhere keeps its turn",
-			asks: []Ask{{ID: 1, Prompt: 3000}, {ID: 2, Prompt: 3000, Waited: 300 * time.Millisecond}},
+			asks: []Request{{ID: 1, PromptTokens: 3000}, {ID: 2, PromptTokens: 3000, Waited: 300 * time.Millisecond}},
 			want: []uint64{2, 1},
 		},
 	}
@@ -385,11 +385,11 @@
 // there for adapters that are still at the store.
 func TestAbsent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		here, away := stock.Adapter{Name: "here"}, stock.Adapter{Name: "away"}
+		here, away := lora.Adapter{Name: "here"}, lora.Adapter{Name: "away"}
 		gate := New(Config{})
-		gate.Observe(State{TotalTokens: 122_000, Holds: func(adapter stock.Adapter) bool { return adapter == here }})
-		gate.Replace("entry", threeTokens, []Ask{
-			{ID: 1, Adapter: away, Prompt: 5000}, {ID: 2, Adapter: here, Prompt: 1000}, {ID: 3, Adapter: here, Prompt: 200, Late: true},
+		gate.Observe(EngineState{TotalTokens: 122_000, Holds: func(adapter lora.Adapter) bool { return adapter == here }})
+		gate.SetRequests("entry", threeTokens, []Request{
+			{ID: 1, Adapter: away, PromptTokens: 5000}, {ID: 2, Adapter: here, PromptTokens: 1000}, {ID: 3, Adapter: here, PromptTokens: 200, Late: true},
 		})
 		onTime, late := gate.Backlog()
 		if diff := cmp.Diff([]int64{1000, 200}, []int64{onTime, late}); diff != "" {
--- a/internal/flow/admit/pace.go
+++ b/internal/flow/admit/pace.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Pace is how fast an engine works. Zero values are not known.
-type Pace struct {
-	// ReadRate is how many prompt tokens it reads in a millisecond.
-	ReadRate float64
-	// Event is the time between two events when it reads no prompts.
-	Event time.Duration
+// Speed is how fast an engine works. Zero values are not known.
+type Speed struct {
+	// PrefillRate is how many prompt tokens it reads in a millisecond.
+	PrefillRate float64
+	// EventInterval is the time between two events when it reads no prompts.
+	EventInterval time.Duration
 }
 
-// Reading is what one stream showed of the engine's pace.
-type Reading struct {
-	// Ask is the request, as in Ask.ID.
-	Ask uint64
-	// First is the time from sending the request to its first event, and Pause
+// Measurement is what one stream showed of the engine's pace.
+type Measurement struct {
+	// RequestID is the request, as in Ask.ID.
+	RequestID uint64
+	// FirstEvent is the time from sending the request to its first event, and Pause
 	// the usual one between two events; 0 if not known yet.
-	First time.Duration
-	Pause time.Duration
+	FirstEvent    time.Duration
+	EventInterval time.Duration
 }
 
 // lone is a grant that had no prompt before it.
@@ -33,51 +33,51 @@
 // mostAlone is the number of such grants that are remembered.
 const mostAlone = 64
 
-// Measured records what streams of an entry instance showed.
-func (gate *Gate) Measured(entry string, readings []Reading) {
+// RecordMeasurements records what streams of an entry instance showed.
+func (gate *Controller) RecordMeasurements(entry string, readings []Measurement) {
 	gate.mutex.Lock()
 	defer gate.mutex.Unlock()
 	for _, reading := range readings {
-		gate.pace.Paused(reading.Pause)
-		if reading.First <= 0 {
+		gate.pace.RecordInterval(reading.EventInterval)
+		if reading.FirstEvent <= 0 {
 			continue
 		}
 		for _, grant := range gate.alone {
-			if grant.entry == entry && grant.ask == reading.Ask {
-				gate.pace.Read(grant.prompt, reading.First)
+			if grant.entry == entry && grant.ask == reading.RequestID {
+				gate.pace.RecordFirstEvent(grant.prompt, reading.FirstEvent)
 			}
 		}
 	}
 }
 
-// Restarted forgets the engine's pace, since another may have taken its place.
-func (gate *Gate) Restarted() {
+// ResetSpeed forgets the engine's pace, since another may have taken its place.
+func (gate *Controller) ResetSpeed() {
 	gate.mutex.Lock()
 	defer gate.mutex.Unlock()
 	gate.pace.Reset()
 	gate.alone = nil
 }
 
-// Pace returns what was learned of the engine's pace.
-func (gate *Gate) Pace() Pace {
+// Speed returns what was learned of the engine's pace.
+func (gate *Controller) Speed() Speed {
 	gate.mutex.Lock()
 	defer gate.mutex.Unlock()
-	return Pace{ReadRate: cmp.Or(gate.pace.Rate(), gate.fasterRate()), Event: gate.pace.Pause()}
+	return Speed{PrefillRate: cmp.Or(gate.pace.PrefillRate(), gate.fasterRate()), EventInterval: gate.pace.EventInterval()}
 }
 
 // fasterRate returns a rate above the default that the engine has shown to
 // reach, or 0.
-func (gate *Gate) fasterRate() float64 {
-	if bound := gate.pace.AtLeast(); bound > gate.config.ReadRate {
+func (gate *Controller) fasterRate() float64 {
+	if bound := gate.pace.MinPrefillRate(); bound > gate.config.PrefillRate {
 		return bound
 	}
 	return 0
 }
 
-// Intake returns how many prompt tokens the engine reads in a millisecond, of
+// AdmissionRate returns how many prompt tokens the engine reads in a millisecond, of
 // those that the gate gives out.
-func (gate *Gate) Intake() float64 {
+func (gate *Controller) AdmissionRate() float64 {
 	gate.mutex.Lock()
 	defer gate.mutex.Unlock()
-	return gate.readRate() * gate.config.Use
+	return gate.readRate() * gate.config.Utilisation
 }
--- a/internal/flow/share/share.go
+++ b/internal/flow/bucket/bucket.go
@@ -1,9 +1,9 @@
-// Package share holds an organisation's rate over all entry instances without a
+// Package bucket holds an organisation's rate over all entry instances without a
 // coordinator: each instance keeps a copy of the organisation's token bucket,
 // takes its own requests from it at once and those of the others as it hears of
 // them. The copies differ by what was spent within one exchange. An instance
 // that does not hear from the others takes no more than its part of the rate.
-package share
+package bucket
 
 import (
 	"cmp"
@@ -14,9 +14,9 @@
 
 // Defaults of Config.
 const (
-	// DefaultSilence is how long another instance may be silent before its part
+	// DefaultPeerTimeout is how long another instance may be silent before its part
 	// of the rate is left to it.
-	DefaultSilence = 450 * time.Millisecond
+	DefaultPeerTimeout = 450 * time.Millisecond
 	// DefaultInitial is the part of the burst that all instances together may
 	// spend at once after all started anew. What was spent before is not known.
 	DefaultInitial = 0.6
@@ -54,9 +54,9 @@
 	Burst float64
 }
 
-// Ledger holds the buckets of all organisations as one instance sees them. Its
+// Limiter holds the buckets of all organisations as one instance sees them. Its
 // methods may be called concurrently.
-type Ledger struct {
+type Limiter struct {
 	config Config
 
 	mutex sync.Mutex
@@ -83,17 +83,17 @@
 }
 
 // New returns an empty Ledger.
-func New(config Config) *Ledger {
-	config.Silence = cmp.Or(config.Silence, DefaultSilence)
+func New(config Config) *Limiter {
+	config.Silence = cmp.Or(config.Silence, DefaultPeerTimeout)
 	config.Initial = cmp.Or(config.Initial, DefaultInitial)
 	config.Use = cmp.Or(config.Use, DefaultUse)
 	now := time.Now()
-	return &Ledger{config: config, start: now, since: now, buckets: make(map[string]*bucket), peers: make(map[string]*peer)}
+	return &Limiter{config: config, start: now, since: now, buckets: make(map[string]*bucket), peers: make(map[string]*peer)}
 }
 
 // Take spends cost of an organisation's bucket. If the bucket does not hold it,
 // Take spends nothing and returns how long it takes to fill so far.
-func (ledger *Ledger) Take(organisation string, limit Limit, cost float64) (time.Duration, bool) {
+func (ledger *Limiter) Take(organisation string, limit Limit, cost float64) (time.Duration, bool) {
 	if limit.Rate <= 0 {
 		return 0, true
 	}
@@ -110,32 +110,32 @@
 	return 0, true
 }
 
-// Standing is what an instance knows of an organisation's share.
-type Standing struct {
+// Status is what an instance knows of an organisation's share.
+type Status struct {
 	// Level is what may be spent at once, Part the part of the rate that this
 	// instance counts on.
-	Level float64
-	Part  float64
-	// Silent is the number of instances that are not heard.
-	Silent int
+	Level    float64
+	Fraction float64
+	// SilentPeers is the number of instances that are not heard.
+	SilentPeers int
 }
 
-// Standing returns what is known of an organisation's share.
-func (ledger *Ledger) Standing(organisation string, limit Limit) Standing {
+// Status returns what is known of an organisation's share.
+func (ledger *Limiter) Status(organisation string, limit Limit) Status {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	bucket := ledger.refill(organisation, limit)
-	standing := Standing{Level: bucket.level, Part: ledger.part(organisation, limit)}
+	standing := Status{Level: bucket.level, Fraction: ledger.part(organisation, limit)}
 	for _, peer := range ledger.peers {
 		if peer.silent {
-			standing.Silent++
+			standing.SilentPeers++
 		}
 	}
 	return standing
 }
 
-// Return gives back what a request took that did not run.
-func (ledger *Ledger) Return(organisation string, cost float64) {
+// Refund gives back what a request took that did not run.
+func (ledger *Limiter) Refund(organisation string, cost float64) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	if bucket, ok := ledger.buckets[organisation]; ok {
@@ -145,7 +145,7 @@
 }
 
 // refill brings a bucket to the present.
-func (ledger *Ledger) refill(organisation string, limit Limit) *bucket {
+func (ledger *Limiter) refill(organisation string, limit Limit) *bucket {
 	found, ok := ledger.buckets[organisation]
 	if !ok {
 		found = ledger.create(organisation, limit)
@@ -160,7 +160,7 @@
 }
 
 // fill adds to a bucket what its rate gave since it was drawn from.
-func (ledger *Ledger) fill(bucket *bucket, organisation string) {
+func (ledger *Limiter) fill(bucket *bucket, organisation string) {
 	now := time.Now()
 	elapsed := now.Sub(bucket.drawn).Seconds()
 	bucket.drawn = now
--- a/internal/flow/share/share_test.go
+++ b/internal/flow/bucket/bucket_test.go
@@ -1,4 +1,4 @@
-package share
+package bucket
 
 import (
 	"fmt"
@@ -23,7 +23,7 @@
 
 // instances is a fleet of ledgers that exchange what they spent.
 type instances struct {
-	ledgers []*Ledger
+	ledgers []*Limiter
 	starts  []int64
 }
 
@@ -47,7 +47,7 @@
 // settle tells the instances of which loaders have heard how many there are.
 func (fleet *instances) settle() {
 	for _, ledger := range fleet.ledgers {
-		if ledger.Statement().Uptime >= 120*time.Millisecond {
+		if ledger.LocalUsage().Uptime >= 120*time.Millisecond {
 			ledger.SetInstances(len(fleet.ledgers))
 		}
 	}
@@ -60,9 +60,9 @@
 			if from == to || from == cut || to == cut || random.Float64() < loss {
 				continue
 			}
-			statement := ledger.Statement()
+			statement := ledger.LocalUsage()
 			statement.Start = fleet.starts[from]
-			other.Heard(fmt.Sprint(from), statement)
+			other.MergeUsage(fmt.Sprint(from), statement)
 		}
 	}
 }
@@ -217,7 +217,7 @@
 			if step%10 == 0 {
 				at = 1 + random.IntN(3)
 			}
-			settled := fleet.ledgers[at].Settled()
+			settled := fleet.ledgers[at].Initialised()
 			// Callers come back at once after the outage.
 			cost := 400.0
 			if step > 130 && step < 160 {
@@ -261,7 +261,7 @@
 				}
 				fleet.restart(2)
 				fleet.exchange(random, 0, -1)
-				if !fleet.ledgers[2].Settled() {
+				if !fleet.ledgers[2].Initialised() {
 					t.Fatal("the instance does not take over the buckets of the others")
 				}
 				if _, ok := fleet.ledgers[2].Take(organisation, limit, 25_000); ok != test.want {
@@ -304,7 +304,7 @@
 		if _, ok := ledger.Take(organisation, small, 100); !ok {
 			t.Fatal("refused with a full bucket")
 		}
-		ledger.Return(organisation, 100)
+		ledger.Refund(organisation, 100)
 		if _, ok := ledger.Take(organisation, small, 100); !ok {
 			t.Error("refused after the cost was returned")
 		}
@@ -337,7 +337,7 @@
 		time.Sleep(10 * time.Second)
 		ledger.Take(organisation, limit, 1000)
 		ledger.Take("idle", limit, 1000)
-		level := func(name string) float64 { return ledger.Standing(name, limit).Level }
+		level := func(name string) float64 { return ledger.Status(name, limit).Level }
 		steps := []struct {
 			name  string
 			spent map[string]float64
@@ -351,7 +351,7 @@
 			{"whole again", map[string]float64{organisation: 54_000, "idle": 42_000}, true, map[string]float64{organisation: 55_000, "idle": 57_000}},
 		}
 		for _, step := range steps {
-			ledger.Heard("other", Statement{Start: 7, Uptime: time.Hour, Settled: true, Partial: !step.whole, Spent: step.spent})
+			ledger.MergeUsage("other", Usage{Start: 7, Uptime: time.Hour, Initialised: true, Partial: !step.whole, Spent: step.spent})
 			for name, want := range step.want {
 				if got := level(name); got != want {
 					t.Errorf("%s: the bucket of %s holds %.0f, want %.0f", step.name, name, got, want)
--- a/internal/flow/share/part.go
+++ b/internal/flow/bucket/part.go
@@ -1,4 +1,4 @@
-package share
+package bucket
 
 import (
 	"math"
@@ -9,7 +9,7 @@
 // on: all of it while it hears the others, since what they spend is taken off.
 // A silent instance keeps the part that it spent before, so that both sides of a
 // partition together stay within the rate and each can go on as it did.
-func (ledger *Ledger) part(organisation string, limit Limit) float64 {
+func (ledger *Limiter) part(organisation string, limit Limit) float64 {
 	now := time.Now()
 	for _, peer := range ledger.peers {
 		if !peer.silent && now.Sub(peer.heard) > ledger.config.Silence {
@@ -34,7 +34,7 @@
 
 // proportion returns the part of an organisation's recent spending that was an
 // instance's. Where little was spent, all count alike.
-func (ledger *Ledger) proportion(peer *peer, organisation string, limit Limit) float64 {
+func (ledger *Limiter) proportion(peer *peer, organisation string, limit Limit) float64 {
 	base := limit.Rate * evenPart / float64(1+len(ledger.peers))
 	sum := base
 	if bucket, ok := ledger.buckets[organisation]; ok {
--- a/internal/flow/share/peers.go
+++ b/internal/flow/bucket/peers.go
@@ -1,18 +1,18 @@
-package share
+package bucket
 
 import (
 	"maps"
 	"time"
 )
 
-// Statement is what an instance says of its spending.
-type Statement struct {
+// Usage is what an instance says of its spending.
+type Usage struct {
 	// Start identifies the instance's start, and Uptime is the time for which
 	// its buckets count.
 	Start  int64
 	Uptime time.Duration
-	// Settled means that Levels holds all buckets.
-	Settled bool
+	// Initialised means that Levels holds all buckets.
+	Initialised bool
 	// Partial means that Spent and Levels leave out organisations that have not
 	// changed lately.
 	Partial bool
@@ -24,7 +24,7 @@
 
 // peer is another entry instance.
 type peer struct {
-	Statement
+	Usage
 	// granted means that it started together with this instance, with a grant
 	// of its own.
 	granted bool
@@ -36,16 +36,16 @@
 	kept map[string]float64
 }
 
-// Statement returns what this instance says of its spending. The caller adds
+// LocalUsage returns what this instance says of its spending. The caller adds
 // what identifies its start.
-func (ledger *Ledger) Statement() Statement {
+func (ledger *Limiter) LocalUsage() Usage {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
-	statement := Statement{
-		Uptime:  time.Since(ledger.since),
-		Settled: ledger.settled,
-		Spent:   make(map[string]float64, len(ledger.buckets)),
-		Levels:  make(map[string]float64, len(ledger.buckets)),
+	statement := Usage{
+		Uptime:      time.Since(ledger.since),
+		Initialised: ledger.settled,
+		Spent:       make(map[string]float64, len(ledger.buckets)),
+		Levels:      make(map[string]float64, len(ledger.buckets)),
 	}
 	for organisation, bucket := range ledger.buckets {
 		statement.Spent[organisation] = bucket.own
@@ -57,10 +57,10 @@
 	return statement
 }
 
-// Heard records what another instance says of its spending. A partial statement
+// MergeUsage records what another instance says of its spending. A partial statement
 // of a start that is not known is passed over, since it does not tell what was
 // spent before.
-func (ledger *Ledger) Heard(name string, statement Statement) {
+func (ledger *Limiter) MergeUsage(name string, statement Usage) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	known, ok := ledger.peers[name]
@@ -77,7 +77,7 @@
 			bucket.level -= more
 		}
 	}
-	if !ledger.settled && statement.Settled {
+	if !ledger.settled && statement.Initialised {
 		ledger.adopt(statement)
 	}
 	ledger.follow(statement)
@@ -86,12 +86,12 @@
 }
 
 // take takes over what an instance says. What it leaves out stands.
-func (peer *peer) take(statement Statement) {
+func (peer *peer) take(statement Usage) {
 	if statement.Partial {
 		statement.Spent = merged(peer.Spent, statement.Spent)
 		statement.Levels = merged(peer.Levels, statement.Levels)
 	}
-	peer.Statement = statement
+	peer.Usage = statement
 }
 
 // merged returns the older values with the newer ones in their places.
@@ -102,16 +102,16 @@
 	return all
 }
 
-// Gone records that another instance has ended, so that its part of the rate is
+// RemovePeer records that another instance has ended, so that its part of the rate is
 // free. Silence alone does not show this: it may serve behind a partition.
-func (ledger *Ledger) Gone(name string) {
+func (ledger *Limiter) RemovePeer(name string) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	delete(ledger.peers, name)
 }
 
-// Peers returns how many other instances are heard, and how many are silent.
-func (ledger *Ledger) Peers() (heard, silent int) {
+// CountPeers returns how many other instances are heard, and how many are silent.
+func (ledger *Limiter) CountPeers() (heard, silent int) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	now := time.Now()
--- a/internal/flow/share/start.go
+++ b/internal/flow/bucket/start.go
@@ -1,4 +1,4 @@
-package share
+package bucket
 
 import (
 	"math"
@@ -7,7 +7,7 @@
 
 // SetInstances records how many instances share the rates. Until it is known,
 // or another instance has told what its buckets hold, new buckets start empty.
-func (ledger *Ledger) SetInstances(count int) {
+func (ledger *Limiter) SetInstances(count int) {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	if ledger.settled || count <= 0 {
@@ -19,8 +19,8 @@
 	}
 }
 
-// Settled reports whether it is decided what new buckets hold.
-func (ledger *Ledger) Settled() bool {
+// Initialised reports whether it is decided what new buckets hold.
+func (ledger *Limiter) Initialised() bool {
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	return ledger.settled
@@ -28,7 +28,7 @@
 
 // grant returns what each instance may spend although the burst may have been
 // spent just before it started.
-func (ledger *Ledger) grant(limit Limit) float64 {
+func (ledger *Limiter) grant(limit Limit) float64 {
 	if ledger.instances == 0 {
 		return 0
 	}
@@ -36,7 +36,7 @@
 }
 
 // granted returns the grants of this instance and of those that started with it.
-func (ledger *Ledger) granted(limit Limit) float64 {
+func (ledger *Limiter) granted(limit Limit) float64 {
 	sum := ledger.grant(limit)
 	if ledger.adopted {
 		return sum
@@ -51,7 +51,7 @@
 
 // create returns a bucket filled since the start, with no more than what
 // instances say that started earlier.
-func (ledger *Ledger) create(organisation string, limit Limit) *bucket {
+func (ledger *Limiter) create(organisation string, limit Limit) *bucket {
 	created := &bucket{limit: limit, drawn: ledger.since, level: ledger.granted(limit)}
 	for _, peer := range ledger.peers {
 		if peer.granted && !ledger.adopted {
@@ -69,15 +69,15 @@
 
 // meet records a start of another instance that was not known. Of what it spent
 // before, that part counts which no bucket of this instance shows yet.
-func (ledger *Ledger) meet(name string, statement Statement) *peer {
+func (ledger *Limiter) meet(name string, statement Usage) *peer {
 	known, restarted := ledger.peers[name]
 	if !restarted {
 		known = &peer{paces: make(map[string]*pace)}
 		ledger.peers[name] = known
 	}
-	known.Statement = Statement{Start: statement.Start}
+	known.Usage = Usage{Start: statement.Start}
 	recent := time.Since(ledger.since) < recentTime && statement.Uptime < recentTime
-	known.granted = recent && ledger.settled == statement.Settled
+	known.granted = recent && ledger.settled == statement.Initialised
 	switch {
 	case known.granted:
 		for _, bucket := range ledger.buckets {
@@ -90,7 +90,7 @@
 }
 
 // adopt takes over what the buckets of another instance hold.
-func (ledger *Ledger) adopt(statement Statement) {
+func (ledger *Limiter) adopt(statement Usage) {
 	ledger.settled, ledger.adopted, ledger.instances = true, true, 1
 	ledger.since = time.Now().Add(-statement.Uptime)
 	for organisation, level := range statement.Levels {
@@ -102,8 +102,8 @@
 
 // follow bounds the buckets by what another instance says of them, while this
 // one may not know of all that count on a part of the rates.
-func (ledger *Ledger) follow(statement Statement) {
-	if !ledger.adopted || !statement.Settled || time.Since(ledger.start) > followTime {
+func (ledger *Limiter) follow(statement Usage) {
+	if !ledger.adopted || !statement.Initialised || time.Since(ledger.start) > followTime {
 		return
 	}
 	for organisation, level := range statement.Levels {
