--- a/internal/flow/avoid/avoid.go
+++ b/internal/flow/cordon/cordon.go
@@ -1,8 +1,8 @@
-// Package avoid keeps which upstreams have said that they want no requests: for
+// Package cordon keeps which upstreams have said that they want no requests: for
 // good, since they are leaving, or for a time, since they have too much to do.
 // What an upstream said holds for the start that said it, whatever the instance
 // list says of it later.
-package avoid
+package cordon
 
 import (
 	"cmp"
@@ -14,32 +14,32 @@
 
 // Defaults of Config.
 const (
-	// DefaultKeep is how long after it was made or last looked up a note on an
+	// DefaultDrainRetention is how long after it was made or last looked up a note on an
 	// upstream that is leaving is kept. Entries of the instance list may lapse
 	// for shorter times and come back.
-	DefaultKeep = 10 * time.Minute
-	// DefaultUnlisted is how long a note may be about a start that the instance
+	DefaultDrainRetention = 10 * time.Minute
+	// DefaultListingDelay is how long a note may be about a start that the instance
 	// list did not name yet.
-	DefaultUnlisted = 30 * time.Second
-	// DefaultFresh is how long a note is news for other instances.
-	DefaultFresh = 2 * time.Second
-	// LongestRest bounds the time for which an upstream is avoided at one word
+	DefaultListingDelay = 30 * time.Second
+	// DefaultNewsAge is how long a note is news for other instances.
+	DefaultNewsAge = 2 * time.Second
+	// MaxBackoff bounds the time for which an upstream is avoided at one word
 	// of its own.
-	LongestRest = 24 * time.Hour
+	MaxBackoff = 24 * time.Hour
 )
 
 // Config configures a Set. Zero values mean the defaults.
 type Config struct {
-	Keep     time.Duration
-	Unlisted time.Duration
-	Fresh    time.Duration
+	DrainRetention time.Duration
+	ListingDelay   time.Duration
+	NewsAge        time.Duration
 }
 
-// Start is one start of an upstream.
-type Start struct {
+// Incarnation is one start of an upstream.
+type Incarnation struct {
 	ID string
-	// Born is its time in Unix milliseconds, 0 if it is not known.
-	Born int64
+	// StartedAt is its time in Unix milliseconds, 0 if it is not known.
+	StartedAt int64
 }
 
 // Set holds the upstreams to avoid. Its methods may be called concurrently.
@@ -64,14 +64,14 @@
 
 // New returns an empty Set.
 func New(config Config) *Set {
-	config.Keep = cmp.Or(config.Keep, DefaultKeep)
-	config.Unlisted = cmp.Or(config.Unlisted, DefaultUnlisted)
-	config.Fresh = cmp.Or(config.Fresh, DefaultFresh)
+	config.DrainRetention = cmp.Or(config.DrainRetention, DefaultDrainRetention)
+	config.ListingDelay = cmp.Or(config.ListingDelay, DefaultListingDelay)
+	config.NewsAge = cmp.Or(config.NewsAge, DefaultNewsAge)
 	return &Set{config: config, notes: make(map[string]*note)}
 }
 
-// Leave records that an upstream is leaving, and reports whether that is new.
-func (set *Set) Leave(start Start) bool {
+// MarkDraining records that an upstream is leaving, and reports whether that is new.
+func (set *Set) MarkDraining(start Incarnation) bool {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
 	known := set.note(start)
@@ -82,9 +82,9 @@
 	return true
 }
 
-// Rest records that an upstream wants nothing for a time. Of several such times
+// SetBackoff records that an upstream wants nothing for a time. Of several such times
 // the one that ends last counts.
-func (set *Set) Rest(start Start, length time.Duration) {
+func (set *Set) SetBackoff(start Incarnation, length time.Duration) {
 	if length <= 0 {
 		return
 	}
@@ -95,21 +95,21 @@
 		return
 	}
 	known.made = time.Now()
-	if until := known.made.Add(min(length, LongestRest)); until.After(known.until) {
+	if until := known.made.Add(min(length, MaxBackoff)); until.After(known.until) {
 		known.until = until
 	}
 }
 
 // note returns what is known of a start, or nil if a later one is known.
-func (set *Set) note(start Start) *note {
+func (set *Set) note(start Incarnation) *note {
 	now := time.Now()
-	maps.DeleteFunc(set.notes, func(_ string, known *note) bool { return known.over(now, set.config.Keep) })
+	maps.DeleteFunc(set.notes, func(_ string, known *note) bool { return known.over(now, set.config.DrainRetention) })
 	known, ok := set.notes[start.ID]
 	switch {
-	case ok && start.Born != 0 && start.Born < known.born:
+	case ok && start.StartedAt != 0 && start.StartedAt < known.born:
 		return nil
 	case !ok || set.superseded(known, start, now):
-		known = &note{born: start.Born}
+		known = &note{born: start.StartedAt}
 		set.notes[start.ID] = known
 	}
 	known.used = now
@@ -126,16 +126,16 @@
 
 // superseded reports whether a start came after what a note says. One that was
 // listed late, and began before the note was made, is the one that made it.
-func (set *Set) superseded(known *note, start Start, now time.Time) bool {
-	if known.born == 0 || start.Born <= known.born {
+func (set *Set) superseded(known *note, start Incarnation, now time.Time) bool {
+	if known.born == 0 || start.StartedAt <= known.born {
 		return false
 	}
-	return time.UnixMilli(start.Born).After(known.made) || now.Sub(known.made) > set.config.Unlisted
+	return time.UnixMilli(start.StartedAt).After(known.made) || now.Sub(known.made) > set.config.ListingDelay
 }
 
 // Avoided reports whether nothing may be sent to an upstream, and until when; a
 // zero time means for good.
-func (set *Set) Avoided(start Start) (until time.Time, avoided bool) {
+func (set *Set) Avoided(start Incarnation) (until time.Time, avoided bool) {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
 	known, ok := set.notes[start.ID]
@@ -154,18 +154,18 @@
 	}
 }
 
-// News returns the upstreams of which it is new that they are leaving, ordered
+// RecentlyDraining returns the upstreams of which it is new that they are leaving, ordered
 // by id.
-func (set *Set) News() []Start {
+func (set *Set) RecentlyDraining() []Incarnation {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
 	now := time.Now()
-	var news []Start
+	var news []Incarnation
 	for id, known := range set.notes {
-		if known.leaving && now.Sub(known.made) < set.config.Fresh {
-			news = append(news, Start{ID: id, Born: known.born})
+		if known.leaving && now.Sub(known.made) < set.config.NewsAge {
+			news = append(news, Incarnation{ID: id, StartedAt: known.born})
 		}
 	}
-	slices.SortFunc(news, func(a, b Start) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(news, func(a, b Incarnation) int { return cmp.Compare(a.ID, b.ID) })
 	return news
 }
--- a/internal/flow/avoid/avoid_test.go
+++ b/internal/flow/cordon/cordon_test.go
@@ -1,4 +1,4 @@
-package avoid
+package cordon
 
 import (
 	"fmt"
@@ -25,19 +25,23 @@
 		left time.Duration
 	}{
 		{name: "never heard", do: func(*Set) {}},
-		{name: "leaving", do: func(set *Set) { set.Leave(first) }, want: true},
-		{name: "leaving for minutes", do: func(set *Set) { set.Leave(first); time.Sleep(5 * time.Minute) }, want: true},
-		{name: "started anew after it left", do: func(set *Set) { set.Leave(first); time.Sleep(time.Second) }, born: 900},
-		{name: "started before it said so and listed later", do: func(set *Set) { time.Sleep(time.Second); set.Leave(first) }, born: 900, want: true},
-		{name: "listed much later, clocks apart", do: func(set *Set) { time.Sleep(time.Second); set.Leave(first); time.Sleep(time.Minute) }, born: 900},
-		{name: "unknown start", do: func(set *Set) { set.Leave(Start{ID: "a"}) }, born: 900, want: true},
-		{name: "rests", do: func(set *Set) { set.Rest(first, 3*time.Second); time.Sleep(time.Second) }, want: true, left: 2 * time.Second},
-		{name: "rested", do: func(set *Set) { set.Rest(first, time.Second); time.Sleep(time.Second) }},
-		{name: "later word is shorter", do: func(set *Set) { set.Rest(first, 3*time.Second); set.Rest(first, time.Second) }, want: true, left: 3 * time.Second},
-		{name: "no time", do: func(set *Set) { set.Rest(first, 0); set.Rest(first, -time.Second) }},
-		{name: "endless time", do: func(set *Set) { set.Rest(first, 1<<62) }, want: true, left: LongestRest},
-		{name: "rests and leaves", do: func(set *Set) { set.Leave(first); set.Rest(first, time.Second); time.Sleep(2 * time.Second) }, want: true},
-		{name: "new start while it rests", do: func(set *Set) { set.Rest(first, time.Hour); time.Sleep(time.Second) }, born: 900},
+		{name: "leaving", do: func(set *Set) { set.MarkDraining(first) }, want: true},
+		{name: "leaving for minutes", do: func(set *Set) { set.MarkDraining(first); time.Sleep(5 * time.Minute) }, want: true},
+		{name: "started anew after it left", do: func(set *Set) { set.MarkDraining(first); time.Sleep(time.Second) }, born: 900},
+		{name: "started before it said so and listed later", do: func(set *Set) { time.Sleep(time.Second); set.MarkDraining(first) }, born: 900, want: true},
+		{name: "listed much later, clocks apart", do: func(set *Set) { time.Sleep(time.Second); set.MarkDraining(first); time.Sleep(time.Minute) }, born: 900},
+		{name: "unknown start", do: func(set *Set) { set.MarkDraining(Incarnation{ID: "a"}) }, born: 900, want: true},
+		{name: "rests", do: func(set *Set) { set.SetBackoff(first, 3*time.Second); time.Sleep(time.Second) }, want: true, left: 2 * time.Second},
+		{name: "rested", do: func(set *Set) { set.SetBackoff(first, time.Second); time.Sleep(time.Second) }},
+		{name: "later word is shorter", do: func(set *Set) { set.SetBackoff(first, 3*time.Second); set.SetBackoff(first, time.Second) }, want: true, left: 3 * time.Second},
+		{name: "no time", do: func(set *Set) { set.SetBackoff(first, 0); set.SetBackoff(first, -time.Second) }},
+		{name: "endless time", do: func(set *Set) { set.SetBackoff(first, 1<<62) }, want: true, left: MaxBackoff},
+		{name: "rests and leaves", do: func(set *Set) {
+			set.MarkDraining(first)
+			set.SetBackoff(first, time.Second)
+			time.Sleep(2 * time.Second)
+		}, want: true},
+		{name: "new start while it rests", do: func(set *Set) { set.SetBackoff(first, time.Hour); time.Sleep(time.Second) }, born: 900},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -45,7 +49,7 @@
 				set := New(Config{})
 				begun := time.Now()
 				test.do(set)
-				until, got := set.Avoided(Start{ID: "a", Born: begun.UnixMilli() + test.born})
+				until, got := set.Avoided(Incarnation{ID: "a", StartedAt: begun.UnixMilli() + test.born})
 				if diff := cmp.Diff(test.want, got); diff != "" {
 					t.Errorf("avoided (-want +got):\n%s", diff)
 				}
@@ -62,22 +66,22 @@
 }
 
 // first is the start at the beginning of a test, whose clock begins in 2000.
-var first = Start{ID: "a", Born: time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC).UnixMilli()}
+var first = Incarnation{ID: "a", StartedAt: time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC).UnixMilli()}
 
 // TestNews guards against other instances that never hear that an upstream is
 // leaving, and against news that are told for ever.
 func TestNews(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		set := New(Config{})
-		if !set.Leave(first) || set.Leave(first) {
+		if !set.MarkDraining(first) || set.MarkDraining(first) {
 			t.Error("the first word is new, the second is not")
 		}
-		set.Rest(Start{ID: "b"}, time.Minute)
-		if diff := cmp.Diff([]Start{first}, set.News()); diff != "" {
+		set.SetBackoff(Incarnation{ID: "b"}, time.Minute)
+		if diff := cmp.Diff([]Incarnation{first}, set.RecentlyDraining()); diff != "" {
 			t.Errorf("news (-want +got):\n%s", diff)
 		}
-		time.Sleep(DefaultFresh)
-		if diff := cmp.Diff([]Start(nil), set.News()); diff != "" {
+		time.Sleep(DefaultNewsAge)
+		if diff := cmp.Diff([]Incarnation(nil), set.RecentlyDraining()); diff != "" {
 			t.Errorf("later (-want +got):\n%s", diff)
 		}
 	})
@@ -129,13 +133,13 @@
 	model := map[string]*spoken{"a": {born: 1000}, "b": {born: 1000}}
 	for number, step := range schedule {
 		known := model[step.upstream]
-		start := Start{ID: step.upstream, Born: known.born}
+		start := Incarnation{ID: step.upstream, StartedAt: known.born}
 		switch step.kind {
 		case "leave":
-			set.Leave(start)
+			set.MarkDraining(start)
 			known.leaving = true
 		case "rest":
-			set.Rest(start, step.length)
+			set.SetBackoff(start, step.length)
 			known.rests = append(known.rests, time.Now().Add(step.length))
 		case "restart":
 			time.Sleep(2 * time.Millisecond)
@@ -143,11 +147,11 @@
 		case "pause":
 			time.Sleep(step.length)
 		case "late word":
-			set.Leave(Start{ID: step.upstream, Born: known.born - 1})
+			set.MarkDraining(Incarnation{ID: step.upstream, StartedAt: known.born - 1})
 			known.late = true
 		}
 		for id, known := range model {
-			if _, got := set.Avoided(Start{ID: id, Born: known.born}); got != known.refuses() && (!got || !known.late) {
+			if _, got := set.Avoided(Incarnation{ID: id, StartedAt: known.born}); got != known.refuses() && (!got || !known.late) {
 				return fmt.Sprintf("after step %d (%+v): %s avoided is %v", number, step, id, got)
 			}
 		}
--- a/internal/flow/once/claims.go
+++ b/internal/flow/dedup/claims.go
@@ -1,4 +1,4 @@
-package once
+package dedup
 
 import (
 	"bytes"
@@ -11,10 +11,10 @@
 )
 
 const (
-	// MemoryBody bounds the bodies of answers that are replayed from memory.
-	MemoryBody = 64 << 10
-	// LogBody bounds the bodies of answers on the log.
-	LogBody = 4 << 10
+	// MaxMemoryBody bounds the bodies of answers that are replayed from memory.
+	MaxMemoryBody = 64 << 10
+	// MaxLogBody bounds the bodies of answers on the log.
+	MaxLogBody = 4 << 10
 	// defaultBodies bounds the memory of all stored bodies of a partition.
 	defaultBodies = 256 << 10
 	// DefaultPartitions is the number of claim streams. With another number at
@@ -25,9 +25,9 @@
 	defaultWindow = 24 * time.Hour
 )
 
-// Partition returns the partition of an idempotency key among count. The key
+// PartitionOf returns the partition of an idempotency key among count. The key
 // hash is uniform, so its first bytes suffice.
-func Partition(keyHash []byte, count int) int {
+func PartitionOf(keyHash []byte, count int) int {
 	value := 0
 	for _, octet := range keyHash[:min(len(keyHash), 3)] {
 		value = value<<8 | int(octet)
@@ -35,8 +35,8 @@
 	return value % max(count, 1)
 }
 
-// Stream returns the log stream of a partition.
-func Stream(partition int) string { return fmt.Sprintf("claims-%03d", partition) }
+// StreamName returns the log stream of a partition.
+func StreamName(partition int) string { return fmt.Sprintf("claims-%03d", partition) }
 
 // Outcome is how the run of a claim ended.
 type Outcome struct {
@@ -50,12 +50,12 @@
 	PromptTokens, GeneratedTokens int64
 }
 
-// Holder is the claim that holds a key.
-type Holder struct {
-	RequestID string
-	Claimant  string
-	Digest    []byte
-	Outcome   *Outcome
+// Claim is the claim that holds a key.
+type Claim struct {
+	RequestID     string
+	Claimant      string
+	RequestDigest []byte
+	Outcome       *Outcome
 }
 
 // key is an organisation and a hashed idempotency key.
@@ -63,7 +63,7 @@
 
 // entry is the fold of the records of one key.
 type entry struct {
-	Holder
+	Claim
 	offset  uint64
 	claimed time.Time
 }
@@ -89,15 +89,15 @@
 	return &Claims{window: window, entries: map[key]*entry{}}
 }
 
-// Skip notes that the stream has no records before an offset any more.
-func (claims *Claims) Skip(next uint64) { claims.next = max(claims.next, next) }
+// SkipTo notes that the stream has no records before an offset any more.
+func (claims *Claims) SkipTo(next uint64) { claims.next = max(claims.next, next) }
 
-// Next returns the offset after the last folded record.
-func (claims *Claims) Next() uint64 { return claims.next }
+// NextOffset returns the offset after the last folded record.
+func (claims *Claims) NextOffset() uint64 { return claims.next }
 
-// Fold applies the record at an offset. Records that were folded already and
+// Apply applies the record at an offset. Records that were folded already and
 // records that cannot be decoded have no effect.
-func (claims *Claims) Fold(offset uint64, written time.Time, data []byte) {
+func (claims *Claims) Apply(offset uint64, written time.Time, data []byte) {
 	if offset < claims.next {
 		return
 	}
@@ -121,8 +121,8 @@
 	if _, held := claims.entries[name]; held {
 		return
 	}
-	claims.entries[name] = &entry{offset: offset, claimed: written, Holder: Holder{
-		RequestID: claim.GetRequestId(), Claimant: claim.GetClaimant(), Digest: claim.GetRequestDigest(),
+	claims.entries[name] = &entry{offset: offset, claimed: written, Claim: Claim{
+		RequestID: claim.GetRequestId(), Claimant: claim.GetClaimant(), RequestDigest: claim.GetRequestDigest(),
 	}}
 	claims.order = append(claims.order, name)
 }
@@ -146,9 +146,9 @@
 	})
 }
 
-// Settle stores the outcome of a claim in memory, where the body may be larger
+// StoreOutcome stores the outcome of a claim in memory, where the body may be larger
 // than on the log.
-func (claims *Claims) Settle(organisation string, hash []byte, requestID string, outcome Outcome) {
+func (claims *Claims) StoreOutcome(organisation string, hash []byte, requestID string, outcome Outcome) {
 	name := key{organisation, string(hash)}
 	if held, ok := claims.entries[name]; ok && held.RequestID == requestID {
 		claims.store(name, held, outcome)
@@ -184,27 +184,29 @@
 	held.Outcome = &digested
 }
 
-// Holder returns the claim that holds a key at a time.
-func (claims *Claims) Holder(now time.Time, organisation string, hash []byte) (Holder, bool) {
+// ActiveClaim returns the claim that holds a key at a time.
+func (claims *Claims) ActiveClaim(now time.Time, organisation string, hash []byte) (Claim, bool) {
 	held, ok := claims.entries[key{organisation, string(hash)}]
 	if !ok || now.Sub(held.claimed) >= claims.window {
-		return Holder{}, false
+		return Claim{}, false
 	}
-	return held.Holder, true
+	return held.Claim, true
 }
 
-// Winner returns the claim that holds a key in the order of the stream. All
+// FirstClaim returns the claim that holds a key in the order of the stream. All
 // readers that folded the same records agree on it.
-func (claims *Claims) Winner(organisation string, hash []byte) (Holder, bool) {
+func (claims *Claims) FirstClaim(organisation string, hash []byte) (Claim, bool) {
 	held, ok := claims.entries[key{organisation, string(hash)}]
 	if !ok {
-		return Holder{}, false
+		return Claim{}, false
 	}
-	return held.Holder, true
+	return held.Claim, true
 }
 
-// Bound reports whether the claim was made for a request with this digest.
-func (holder Holder) Bound(digest []byte) bool { return bytes.Equal(holder.Digest, digest) }
+// MatchesRequest reports whether the claim was made for a request with this digest.
+func (holder Claim) MatchesRequest(digest []byte) bool {
+	return bytes.Equal(holder.RequestDigest, digest)
+}
 
 // expire drops claims that are older than the window.
 func (claims *Claims) expire(now time.Time) {
--- a/internal/flow/once/record.go
+++ b/internal/flow/dedup/record.go
@@ -1,4 +1,4 @@
-package once
+package dedup
 
 import (
 	"crypto/sha256"
@@ -9,9 +9,9 @@
 )
 
 // ClaimRecord encodes a claim for the log.
-func ClaimRecord(organisation string, hash []byte, holder Holder) ([]byte, error) {
+func ClaimRecord(organisation string, hash []byte, holder Claim) ([]byte, error) {
 	return proto.Marshal(&wirepb.ClaimRecord{Body: &wirepb.ClaimRecord_Claim{Claim: &wirepb.Claim{
-		Organisation: organisation, KeyHash: hash, RequestDigest: holder.Digest,
+		Organisation: organisation, KeyHash: hash, RequestDigest: holder.RequestDigest,
 		RequestId: holder.RequestID, Claimant: holder.Claimant,
 	}}})
 }
@@ -19,7 +19,7 @@
 // ReleaseRecord encodes that the claim of a claimant is void since its request
 // did not run. It has status 0 and the claimant as its body, because another
 // claimant may hold the key with the same request id.
-func ReleaseRecord(organisation string, hash []byte, holder Holder) ([]byte, error) {
+func ReleaseRecord(organisation string, hash []byte, holder Claim) ([]byte, error) {
 	return proto.Marshal(&wirepb.ClaimRecord{Body: &wirepb.ClaimRecord_Outcome{Outcome: &wirepb.ClaimOutcome{
 		Organisation: organisation, KeyHash: hash, RequestId: holder.RequestID, Body: []byte(holder.Claimant),
 	}}})
@@ -28,7 +28,7 @@
 // OutcomeRecord encodes the outcome of a claim for the log, with at most
 // LogBody bytes of the answer.
 func OutcomeRecord(organisation string, hash []byte, requestID string, outcome Outcome) ([]byte, error) {
-	if len(outcome.Body) > LogBody {
+	if len(outcome.Body) > MaxLogBody {
 		outcome = Digested(outcome)
 	}
 	return proto.Marshal(&wirepb.ClaimRecord{Body: &wirepb.ClaimRecord_Outcome{Outcome: &wirepb.ClaimOutcome{
--- a/internal/flow/once/records.go
+++ b/internal/flow/dedup/records.go
@@ -1,7 +1,7 @@
-// Package once keeps what one side process knows about requests: which
+// Package dedup keeps what one side process knows about requests: which
 // attempts were cancelled before they ran, how recent requests ended, and
 // which idempotency keys are claimed.
-package once
+package dedup
 
 import (
 	"container/list"
@@ -21,27 +21,27 @@
 type Verdict uint8
 
 const (
-	// Fresh attempts may be queued.
-	Fresh Verdict = iota
+	// Accepted attempts may be queued.
+	Accepted Verdict = iota
 	// Tombstoned attempts were cancelled before they arrived or ran.
 	Tombstoned
 	// Duplicate attempts are known already.
 	Duplicate
-	// Spent requests ran in another attempt and must not run again.
-	Spent
+	// AlreadyRan requests ran in another attempt and must not run again.
+	AlreadyRan
 )
 
-// Repeat tells how often a request may run.
-type Repeat uint8
+// RunLimit tells how often a request may run.
+type RunLimit uint8
 
 const (
 	// AtMostOnce requests run in one attempt.
-	AtMostOnce Repeat = iota
-	// ByClaim requests run in one attempt too; copies are answered from its
+	AtMostOnce RunLimit = iota
+	// OncePerClaim requests run in one attempt too; copies are answered from its
 	// run, so that they are admitted.
-	ByClaim
-	// Freely requests may run again.
-	Freely
+	OncePerClaim
+	// Unlimited requests may run again.
+	Unlimited
 )
 
 // Phase is how far an attempt came.
@@ -58,8 +58,8 @@
 	Refused
 )
 
-// Record is what is known of an attempt.
-type Record struct {
+// AttemptRecord is what is known of an attempt.
+type AttemptRecord struct {
 	Organisation string
 	Phase        Phase
 	Ran          fault.Ran
@@ -73,8 +73,8 @@
 	element *list.Element
 }
 
-// RecordsConfig bounds Records. Zero fields take their defaults.
-type RecordsConfig struct {
+// AttemptsConfig bounds Records. Zero fields take their defaults.
+type AttemptsConfig struct {
 	// Incarnation is the start of this side process.
 	Incarnation uint64
 	// Limit bounds the records of attempts that are over.
@@ -89,11 +89,11 @@
 	defaultHold = 10 * time.Minute
 )
 
-// Records holds the attempts of one incarnation. It is not safe for concurrent
+// Attempts holds the attempts of one incarnation. It is not safe for concurrent
 // use.
-type Records struct {
-	config   RecordsConfig
-	attempts map[Attempt]*Record
+type Attempts struct {
+	config   AttemptsConfig
+	attempts map[Attempt]*AttemptRecord
 	// numbers lists the attempts of each request.
 	numbers map[string][]uint32
 	// over lists the attempts that are over, oldest first; held those of them
@@ -102,26 +102,26 @@
 	held *list.List
 }
 
-// NewRecords returns empty Records.
-func NewRecords(config RecordsConfig) *Records {
+// NewAttempts returns empty Records.
+func NewAttempts(config AttemptsConfig) *Attempts {
 	if config.Limit <= 0 {
 		config.Limit = defaultLimit
 	}
 	if config.Hold <= 0 {
 		config.Hold = defaultHold
 	}
-	return &Records{
-		config: config, attempts: map[Attempt]*Record{}, numbers: map[string][]uint32{},
+	return &Attempts{
+		config: config, attempts: map[Attempt]*AttemptRecord{}, numbers: map[string][]uint32{},
 		over: list.New(), held: list.New(),
 	}
 }
 
 // Incarnation returns the incarnation that the records belong to.
-func (records *Records) Incarnation() uint64 { return records.config.Incarnation }
+func (records *Attempts) Incarnation() uint64 { return records.config.Incarnation }
 
-// Begin records an arriving attempt. Unless the verdict is Fresh, nothing is
+// Register records an arriving attempt. Unless the verdict is Fresh, nothing is
 // recorded.
-func (records *Records) Begin(attempt Attempt, organisation string, repeat Repeat) Verdict {
+func (records *Attempts) Register(attempt Attempt, organisation string, repeat RunLimit) Verdict {
 	if record, ok := records.attempts[attempt]; ok {
 		if record.Phase == Refused {
 			return Tombstoned
@@ -129,13 +129,13 @@
 		return Duplicate
 	}
 	if repeat == AtMostOnce && records.ranBefore(attempt.RequestID) {
-		return Spent
+		return AlreadyRan
 	}
-	records.add(&Record{Organisation: organisation, attempt: attempt, hold: repeat != Freely, Ran: fault.NotRun})
-	return Fresh
+	records.add(&AttemptRecord{Organisation: organisation, attempt: attempt, hold: repeat != Unlimited, Ran: fault.NotRun})
+	return Accepted
 }
 
-func (records *Records) ranBefore(requestID string) bool {
+func (records *Attempts) ranBefore(requestID string) bool {
 	for _, number := range records.numbers[requestID] {
 		switch records.attempts[Attempt{requestID, number}].Phase {
 		case Running, Ended:
@@ -148,12 +148,12 @@
 
 // Dispatch marks the attempt as running and reports whether it may run. Unless
 // the request may run freely, one attempt may.
-func (records *Records) Dispatch(now time.Time, attempt Attempt, repeat Repeat) bool {
+func (records *Attempts) Dispatch(now time.Time, attempt Attempt, repeat RunLimit) bool {
 	record, ok := records.attempts[attempt]
 	if !ok || record.Phase != Waiting {
 		return false
 	}
-	if repeat != Freely && records.ranBefore(attempt.RequestID) {
+	if repeat != Unlimited && records.ranBefore(attempt.RequestID) {
 		return false
 	}
 	record.Phase, record.Ran, record.changed = Running, fault.Unknown, now
@@ -161,7 +161,7 @@
 }
 
 // End records how an attempt ended. With NotRun it is refused for good.
-func (records *Records) End(now time.Time, attempt Attempt, ran fault.Ran, status uint32) {
+func (records *Attempts) End(now time.Time, attempt Attempt, ran fault.Ran, status uint32) {
 	record, ok := records.attempts[attempt]
 	if !ok || record.element != nil {
 		return
@@ -174,14 +174,14 @@
 }
 
 // Cancelled reports whether the attempt may no longer be dispatched.
-func (records *Records) Cancelled(attempt Attempt) bool {
+func (records *Attempts) Cancelled(attempt Attempt) bool {
 	record, ok := records.attempts[attempt]
 	return ok && record.Phase == Refused
 }
 
 // Cancel reports whether the attempt ran. An attempt that was not dispatched
 // gets a tombstone, so that it never will be; NotRun is only answered then.
-func (records *Records) Cancel(now time.Time, attempt Attempt, incarnation uint64) fault.Ran {
+func (records *Attempts) Cancel(now time.Time, attempt Attempt, incarnation uint64) fault.Ran {
 	record, known := records.attempts[attempt]
 	if !known {
 		return records.bury(now, attempt, incarnation)
@@ -200,14 +200,14 @@
 
 // bury stores the tombstone of an attempt that has not arrived. An attempt
 // sent to another incarnation may have run there.
-func (records *Records) bury(now time.Time, attempt Attempt, incarnation uint64) fault.Ran {
+func (records *Attempts) bury(now time.Time, attempt Attempt, incarnation uint64) fault.Ran {
 	if incarnation != records.config.Incarnation {
 		return fault.Unknown
 	}
 	if records.Full(now) {
 		return fault.Unknown
 	}
-	record := &Record{attempt: attempt, Phase: Refused, Ran: fault.NotRun, hold: true}
+	record := &AttemptRecord{attempt: attempt, Phase: Refused, Ran: fault.NotRun, hold: true}
 	records.add(record)
 	records.retire(now, record)
 	return fault.NotRun
@@ -215,8 +215,8 @@
 
 // Lookup returns the record of a request that tells most: that of the attempt
 // which came farthest.
-func (records *Records) Lookup(requestID string) (Record, bool) {
-	var best *Record
+func (records *Attempts) Lookup(requestID string) (AttemptRecord, bool) {
+	var best *AttemptRecord
 	for _, number := range records.numbers[requestID] {
 		record := records.attempts[Attempt{requestID, number}]
 		if best == nil || rank(record.Phase) > rank(best.Phase) {
@@ -224,7 +224,7 @@
 		}
 	}
 	if best == nil {
-		return Record{}, false
+		return AttemptRecord{}, false
 	}
 	return *best, true
 }
@@ -235,9 +235,9 @@
 
 // Full reports whether attempts that must run at most once are refused, since
 // no record that guards such an attempt may be dropped yet.
-func (records *Records) Full(now time.Time) bool {
+func (records *Attempts) Full(now time.Time) bool {
 	for records.held.Len() >= records.config.Limit {
-		oldest := records.held.Front().Value.(*Record)
+		oldest := records.held.Front().Value.(*AttemptRecord)
 		if now.Sub(oldest.changed) < records.config.Hold {
 			return true
 		}
@@ -246,13 +246,13 @@
 	return false
 }
 
-func (records *Records) add(record *Record) {
+func (records *Attempts) add(record *AttemptRecord) {
 	records.attempts[record.attempt] = record
 	id := record.attempt.RequestID
 	records.numbers[id] = append(records.numbers[id], record.attempt.Number)
 }
 
-func (records *Records) retire(now time.Time, record *Record) {
+func (records *Attempts) retire(now time.Time, record *AttemptRecord) {
 	record.changed = now
 	if record.hold {
 		record.element = records.held.PushBack(record)
@@ -260,11 +260,11 @@
 	}
 	record.element = records.over.PushBack(record)
 	if records.over.Len() > records.config.Limit {
-		records.drop(records.over, records.over.Front().Value.(*Record))
+		records.drop(records.over, records.over.Front().Value.(*AttemptRecord))
 	}
 }
 
-func (records *Records) drop(from *list.List, record *Record) {
+func (records *Attempts) drop(from *list.List, record *AttemptRecord) {
 	from.Remove(record.element)
 	delete(records.attempts, record.attempt)
 	id := record.attempt.RequestID
--- a/internal/flow/queue/queue.go
+++ b/internal/flow/fairq/fairq.go
@@ -1,8 +1,8 @@
-// Package queue holds the fair queue of one side process. Organisations share
+// Package fairq holds the fair queue of one side process. Organisations share
 // the upstream by deficit round robin, measured in tokens; interactive work
 // goes before patient work, and patient work that has waited for half its
 // longest wait counts as interactive.
-package queue
+package fairq
 
 import (
 	"time"
@@ -12,9 +12,9 @@
 
 // Config bounds a Queue. Zero fields take their defaults.
 type Config struct {
-	// Requests and Tokens bound what may wait.
-	Requests int
-	Tokens   model.Tokens
+	// MaxRequests and Tokens bound what may wait.
+	MaxRequests int
+	MaxTokens   model.Tokens
 	// Quantum is what an organisation earns in one round.
 	Quantum model.Tokens
 	// PatientPercent is how much of the bounds patient work may fill.
@@ -28,16 +28,16 @@
 	defaultQuantum = 512
 	// defaultPatientPercent leaves room for interactive work under pressure.
 	defaultPatientPercent = 75
-	// LoadCost is the deficit charged to the organisation that causes a load.
-	LoadCost model.Tokens = 200
+	// AdapterLoadCost is the deficit charged to the organisation that causes a load.
+	AdapterLoadCost model.Tokens = 200
 )
 
 func (config Config) withDefaults() Config {
-	if config.Requests <= 0 {
-		config.Requests = defaultRequests
+	if config.MaxRequests <= 0 {
+		config.MaxRequests = defaultRequests
 	}
-	if config.Tokens <= 0 {
-		config.Tokens = defaultTokens
+	if config.MaxTokens <= 0 {
+		config.MaxTokens = defaultTokens
 	}
 	if config.Quantum <= 0 {
 		config.Quantum = defaultQuantum
@@ -55,17 +55,17 @@
 	Cost         model.Tokens
 	// Arrived orders the entries of an organisation.
 	Arrived time.Time
-	// Longest is how long the entry may wait.
-	Longest time.Duration
+	// MaxWait is how long the entry may wait.
+	MaxWait time.Duration
 	Value   T
 
 	sequence uint64
 	queued   bool
 }
 
-// Urgent reports whether the entry counts as interactive.
-func (entry *Entry[T]) Urgent(now time.Time) bool {
-	return entry.Class == model.Interactive || now.Sub(entry.Arrived) >= entry.Longest/2
+// HighPriority reports whether the entry counts as interactive.
+func (entry *Entry[T]) HighPriority(now time.Time) bool {
+	return entry.Class == model.Interactive || now.Sub(entry.Arrived) >= entry.MaxWait/2
 }
 
 // Queued reports whether the entry is in a queue.
@@ -146,8 +146,8 @@
 	queue.line(organisation).blocked = time.Time{}
 }
 
-// Starved reports whether an organisation had no tokens when last tried.
-func (queue *Queue[T]) Starved(organisation string) bool {
+// RateLimited reports whether an organisation had no tokens when last tried.
+func (queue *Queue[T]) RateLimited(organisation string) bool {
 	line, ok := queue.lines[organisation]
 	return ok && line.starved()
 }
--- a/internal/flow/queue/queue_test.go
+++ b/internal/flow/fairq/fairq_test.go
@@ -1,4 +1,4 @@
-package queue
+package fairq
 
 import (
 	"fmt"
@@ -45,7 +45,7 @@
 		first := map[string]*Entry[int]{}
 		for _, entry := range naive.waiting {
 			name := entry.Organisation
-			if first[name] == nil && !naive.blocked[name].After(now) && (!urgent || entry.Urgent(now)) && ready(entry) {
+			if first[name] == nil && !naive.blocked[name].After(now) && (!urgent || entry.HighPriority(now)) && ready(entry) {
 				first[name] = entry
 			}
 		}
@@ -81,7 +81,7 @@
 			case action < 9:
 				entry := &Entry[int]{
 					Organisation: name, Class: model.Class(random.IntN(2)), Cost: model.Tokens(1 + random.IntN(500)),
-					Arrived: now, Longest: time.Duration(1+random.IntN(5)) * time.Second, Value: random.IntN(4),
+					Arrived: now, MaxWait: time.Duration(1+random.IntN(5)) * time.Second, Value: random.IntN(4),
 				}
 				queue.Push(entry)
 				naive.push(entry)
@@ -96,8 +96,8 @@
 					popped = append(popped, got)
 				}
 			case action == 16 && queue.lines[name] != nil:
-				queue.Charge(name, LoadCost)
-				naive.deficit[name] -= LoadCost
+				queue.Charge(name, AdapterLoadCost)
+				naive.deficit[name] -= AdapterLoadCost
 			case action == 17 && queue.lines[name] != nil:
 				queue.Block(name, now.Add(time.Second))
 				naive.blocked[name] = now.Add(time.Second)
@@ -149,9 +149,9 @@
 	}
 	for _, test := range tests {
 		queue := New[string](Config{})
-		queue.Push(&Entry[string]{Organisation: "oak", Class: model.Patient, Cost: 10, Arrived: start, Longest: 10 * time.Second, Value: "patient"})
+		queue.Push(&Entry[string]{Organisation: "oak", Class: model.Patient, Cost: 10, Arrived: start, MaxWait: 10 * time.Second, Value: "patient"})
 		now := start.Add(test.waited)
-		queue.Push(&Entry[string]{Organisation: "oak", Cost: 10, Arrived: now, Longest: time.Second, Value: "interactive"})
+		queue.Push(&Entry[string]{Organisation: "oak", Cost: 10, Arrived: now, MaxWait: time.Second, Value: "interactive"})
 		if diff := cmp.Diff(test.want, drain(queue, now)); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", test.name, diff)
 		}
@@ -165,7 +165,7 @@
 	served := map[string]model.Tokens{}
 	for name, cost := range map[string]model.Tokens{"small": 40, "middle": 300, "large": 2500} {
 		for range 30000 / cost {
-			queue.Push(&Entry[string]{Organisation: name, Cost: cost, Arrived: start, Longest: time.Hour})
+			queue.Push(&Entry[string]{Organisation: name, Cost: cost, Arrived: start, MaxWait: time.Hour})
 		}
 	}
 	for most := model.Tokens(0); most < 25000; {
@@ -184,22 +184,22 @@
 func TestAdmit(t *testing.T) {
 	fill := func(queue *Queue[string], name string, class model.Class, count int, cost model.Tokens) {
 		for range count {
-			queue.Push(&Entry[string]{Organisation: name, Class: class, Cost: cost, Arrived: start, Longest: 10 * time.Second})
+			queue.Push(&Entry[string]{Organisation: name, Class: class, Cost: cost, Arrived: start, MaxWait: 10 * time.Second})
 		}
 	}
 	// busy makes the queue believe that the upstream starts 100 tokens/s.
 	busy := func(queue *Queue[string]) {
-		queue.SetBusy(start.Add(-10*time.Second), true)
+		queue.SetSaturated(start.Add(-10*time.Second), true)
 		for second := -10; second < 0; second++ {
 			queue.pace.served(start.Add(time.Duration(second)*time.Second), 100)
 		}
 	}
-	share := Share{Rate: 100, Burst: 500}
+	share := RateLimit{Rate: 100, Burst: 500}
 	tests := []struct {
 		name    string
 		prepare func(queue *Queue[string])
 		class   model.Class
-		share   Share
+		share   RateLimit
 		cost    model.Tokens
 		want    fault.Kind
 	}{
@@ -216,33 +216,33 @@
 			queue.Block("oak", start.Add(time.Second))
 		}, 0, share, 100, fault.RateExceeded},
 		{"the limiter knows better", func(queue *Queue[string]) { fill(queue, "oak", 0, 10, 100) }, 0,
-			Share{Rate: 100, Burst: 5000, Wait: func(model.Tokens) time.Duration { return 11 * time.Second }}, 100, fault.RateExceeded},
+			RateLimit{Rate: 100, Burst: 5000, EstimateWait: func(model.Tokens) time.Duration { return 11 * time.Second }}, 100, fault.RateExceeded},
 		{"other organisation's tokens", func(queue *Queue[string]) { fill(queue, "ash", 0, 50, 100) }, 0, share, 100, ""},
-		{"below the bound", func(queue *Queue[string]) { fill(queue, "oak", 0, 99, 1) }, 0, Share{}, 1, ""},
-		{"at the bound", func(queue *Queue[string]) { fill(queue, "oak", 0, 100, 1) }, 0, Share{}, 1, fault.Overloaded},
-		{"patient at its bound", func(queue *Queue[string]) { fill(queue, "oak", 0, 75, 1) }, model.Patient, Share{}, 1, fault.Overloaded},
-		{"interactive beyond the patient bound", func(queue *Queue[string]) { fill(queue, "oak", 0, 75, 1) }, 0, Share{}, 1, ""},
-		{"full of another organisation's work", func(queue *Queue[string]) { fill(queue, "ash", 0, 150, 1) }, 0, Share{}, 1, ""},
+		{"below the bound", func(queue *Queue[string]) { fill(queue, "oak", 0, 99, 1) }, 0, RateLimit{}, 1, ""},
+		{"at the bound", func(queue *Queue[string]) { fill(queue, "oak", 0, 100, 1) }, 0, RateLimit{}, 1, fault.Overloaded},
+		{"patient at its bound", func(queue *Queue[string]) { fill(queue, "oak", 0, 75, 1) }, model.Patient, RateLimit{}, 1, fault.Overloaded},
+		{"interactive beyond the patient bound", func(queue *Queue[string]) { fill(queue, "oak", 0, 75, 1) }, 0, RateLimit{}, 1, ""},
+		{"full of another organisation's work", func(queue *Queue[string]) { fill(queue, "ash", 0, 150, 1) }, 0, RateLimit{}, 1, ""},
 		{"full of work that waits for tokens", func(queue *Queue[string]) {
 			fill(queue, "ash", 0, 200, 1)
 			fill(queue, "oak", 0, 99, 1)
 			queue.Block("ash", start.Add(time.Second))
-		}, 0, Share{}, 1, ""},
+		}, 0, RateLimit{}, 1, ""},
 		{"at the hard bound", func(queue *Queue[string]) {
 			fill(queue, "ash", 0, 400, 1)
 			queue.Block("ash", start.Add(time.Second))
-		}, 0, Share{}, 1, fault.Overloaded},
-		{"too many tokens", func(queue *Queue[string]) { fill(queue, "oak", 0, 9, 1000) }, 0, Share{}, 1001, fault.Overloaded},
-		{"expected wait within the longest", func(queue *Queue[string]) { busy(queue); fill(queue, "oak", 0, 9, 100) }, 0, Share{}, 100, ""},
-		{"expected wait too long", func(queue *Queue[string]) { busy(queue); fill(queue, "oak", 0, 11, 100) }, 0, Share{}, 100, fault.Overloaded},
-		{"wait behind patient work", func(queue *Queue[string]) { busy(queue); fill(queue, "oak", model.Patient, 11, 100) }, 0, Share{}, 100, ""},
+		}, 0, RateLimit{}, 1, fault.Overloaded},
+		{"too many tokens", func(queue *Queue[string]) { fill(queue, "oak", 0, 9, 1000) }, 0, RateLimit{}, 1001, fault.Overloaded},
+		{"expected wait within the longest", func(queue *Queue[string]) { busy(queue); fill(queue, "oak", 0, 9, 100) }, 0, RateLimit{}, 100, ""},
+		{"expected wait too long", func(queue *Queue[string]) { busy(queue); fill(queue, "oak", 0, 11, 100) }, 0, RateLimit{}, 100, fault.Overloaded},
+		{"wait behind patient work", func(queue *Queue[string]) { busy(queue); fill(queue, "oak", model.Patient, 11, 100) }, 0, RateLimit{}, 100, ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			queue := New[string](Config{Requests: 100, Tokens: 10000, Quantum: 100})
+			queue := New[string](Config{MaxRequests: 100, MaxTokens: 10000, Quantum: 100})
 			test.prepare(queue)
-			entry := &Entry[string]{Organisation: "oak", Class: test.class, Cost: test.cost, Arrived: start, Longest: 10 * time.Second}
-			refusal := queue.Admit(start, entry, test.share)
+			entry := &Entry[string]{Organisation: "oak", Class: test.class, Cost: test.cost, Arrived: start, MaxWait: 10 * time.Second}
+			refusal := queue.CheckAdmission(start, entry, test.share)
 			var got fault.Kind
 			if refusal != nil {
 				got = refusal.Kind()
@@ -261,11 +261,11 @@
 	queue := New[string](Config{})
 	names := []string{"a", "b", "c", "d", "e"}
 	for index := range 50 {
-		queue.Push(&Entry[string]{Organisation: names[index%5], Cost: 300, Arrived: start, Longest: time.Minute})
+		queue.Push(&Entry[string]{Organisation: names[index%5], Cost: 300, Arrived: start, MaxWait: time.Minute})
 	}
 	b.ReportAllocs()
 	for index := 0; b.Loop(); index++ {
-		entry := &Entry[string]{Organisation: names[index%5], Cost: 300, Arrived: start, Longest: time.Minute}
+		entry := &Entry[string]{Organisation: names[index%5], Cost: 300, Arrived: start, MaxWait: time.Minute}
 		queue.Push(entry)
 		queue.Pop(start, always)
 	}
--- a/internal/flow/queue/line.go
+++ b/internal/flow/fairq/line.go
@@ -1,4 +1,4 @@
-package queue
+package fairq
 
 import (
 	"cmp"
@@ -70,7 +70,7 @@
 			if best != nil && entry.sequence > best.sequence {
 				break
 			}
-			if (!urgent || entry.Urgent(now)) && ready(entry) {
+			if (!urgent || entry.HighPriority(now)) && ready(entry) {
 				best = entry
 				break
 			}
--- a/internal/flow/queue/pace.go
+++ b/internal/flow/fairq/pace.go
@@ -1,4 +1,4 @@
-package queue
+package fairq
 
 import (
 	"math"
@@ -23,8 +23,8 @@
 	decayed time.Time
 }
 
-// SetBusy says whether requests wait because the upstream is full.
-func (queue *Queue[T]) SetBusy(now time.Time, busy bool) {
+// SetSaturated says whether requests wait because the upstream is full.
+func (queue *Queue[T]) SetSaturated(now time.Time, busy bool) {
 	queue.pace.advance(now)
 	if !busy {
 		queue.pace.since = time.Time{}
--- a/internal/flow/queue/pop.go
+++ b/internal/flow/fairq/pop.go
@@ -1,4 +1,4 @@
-package queue
+package fairq
 
 import "time"
 
--- a/internal/flow/health/health.go
+++ b/internal/flow/health/health.go
@@ -12,27 +12,27 @@
 
 // Defaults of Config.
 const (
-	DefaultFailures = 3
-	DefaultFirst    = time.Second
-	DefaultLongest  = 30 * time.Second
-	DefaultProbe    = 10 * time.Second
+	DefaultMaxFailures     = 3
+	DefaultInitialEjection = time.Second
+	DefaultMaxEjection     = 30 * time.Second
+	DefaultProbeTimeout    = 10 * time.Second
 )
 
 // Config configures a Service. Zero values mean the defaults.
 type Config struct {
-	// Failures is the number of consecutive failures that eject an upstream.
-	Failures int
-	// First is the length of the first ejection. It doubles with each failed
+	// MaxFailures is the number of consecutive failures that eject an upstream.
+	MaxFailures int
+	// InitialEjection is the length of the first ejection. It doubles with each failed
 	// probe up to Longest.
-	First   time.Duration
-	Longest time.Duration
-	// Probe is after what time a probe without an outcome counts as lost.
-	Probe time.Duration
+	InitialEjection time.Duration
+	MaxEjection     time.Duration
+	// ProbeTimeout is after what time a probe without an outcome counts as lost.
+	ProbeTimeout time.Duration
 }
 
-// Service follows the upstreams of one service. Its methods may be called
+// Tracker follows the upstreams of one service. Its methods may be called
 // concurrently.
-type Service struct {
+type Tracker struct {
 	config    Config
 	mutex     sync.RWMutex
 	upstreams map[string]*upstream
@@ -56,35 +56,35 @@
 	Usable State = iota
 	// Ejected means that no request should be sent.
 	Ejected
-	// Probing means that one request may be sent, if Probe allows it.
-	Probing
+	// ProbeDue means that one request may be sent, if Probe allows it.
+	ProbeDue
 )
 
 // New returns a Service without upstreams, or a fault if a value is out of range.
-func New(config Config) (*Service, error) {
-	if config.Failures == 0 {
-		config.Failures = DefaultFailures
+func New(config Config) (*Tracker, error) {
+	if config.MaxFailures == 0 {
+		config.MaxFailures = DefaultMaxFailures
 	}
 	for _, pair := range []struct {
 		value *time.Duration
 		other time.Duration
-	}{{&config.First, DefaultFirst}, {&config.Longest, DefaultLongest}, {&config.Probe, DefaultProbe}} {
+	}{{&config.InitialEjection, DefaultInitialEjection}, {&config.MaxEjection, DefaultMaxEjection}, {&config.ProbeTimeout, DefaultProbeTimeout}} {
 		if *pair.value == 0 {
 			*pair.value = pair.other
 		}
 	}
-	if config.Failures < 0 || config.First < 0 || config.Longest < config.First || config.Probe < 0 {
+	if config.MaxFailures < 0 || config.InitialEjection < 0 || config.MaxEjection < config.InitialEjection || config.ProbeTimeout < 0 {
 		return nil, fault.New(fault.Invalid, fault.NotRun,
 			"ejection after %d failures, for %v to %v, probe %v; set positive values and the longest to at least the first",
-			config.Failures, config.First, config.Longest, config.Probe)
+			config.MaxFailures, config.InitialEjection, config.MaxEjection, config.ProbeTimeout)
 	}
-	return &Service{config: config, upstreams: map[string]*upstream{}}, nil
+	return &Tracker{config: config, upstreams: map[string]*upstream{}}, nil
 }
 
-// Follow sets the upstreams of the service. What is known of those that stay is
+// SetUpstreams sets the upstreams of the service. What is known of those that stay is
 // kept, but when more than half of them would be ejected, those whose probe is
 // next are used again.
-func (service *Service) Follow(ids []string) {
+func (service *Tracker) SetUpstreams(ids []string) {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
 	next := make(map[string]*upstream, len(ids))
@@ -106,7 +106,7 @@
 }
 
 // release ends the ejection whose probe is next.
-func (service *Service) release() {
+func (service *Tracker) release() {
 	var first *upstream
 	for _, known := range service.upstreams {
 		if known.ejected && (first == nil || known.until.Before(first.until)) {
@@ -118,7 +118,7 @@
 }
 
 // State returns how an upstream may be used now. An unknown one is usable.
-func (service *Service) State(id string) State {
+func (service *Tracker) State(id string) State {
 	service.mutex.RLock()
 	defer service.mutex.RUnlock()
 	upstream := service.upstreams[id]
@@ -128,14 +128,14 @@
 	case time.Now().Before(upstream.until):
 		return Ejected
 	default:
-		return Probing
+		return ProbeDue
 	}
 }
 
-// Probe takes the only probe of an ejected upstream whose time has passed, and
+// TryProbe takes the only probe of an ejected upstream whose time has passed, and
 // reports whether the caller may send it. The caller reports its outcome with
 // Succeeded or Failed; without either, the next probe is allowed later.
-func (service *Service) Probe(id string) bool {
+func (service *Tracker) TryProbe(id string) bool {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
 	upstream := service.upstreams[id]
@@ -146,13 +146,13 @@
 	if now.Before(upstream.until) {
 		return false
 	}
-	upstream.until = now.Add(service.config.Probe)
+	upstream.until = now.Add(service.config.ProbeTimeout)
 	upstream.probed = true
 	return true
 }
 
-// Succeeded records an answer of an upstream, which ends its ejection.
-func (service *Service) Succeeded(id string) {
+// RecordSuccess records an answer of an upstream, which ends its ejection.
+func (service *Tracker) RecordSuccess(id string) {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
 	known := service.upstreams[id]
@@ -165,10 +165,10 @@
 	*known = upstream{}
 }
 
-// Failed records a failure of an upstream and reports whether this ejects it,
+// RecordFailure records a failure of an upstream and reports whether this ejects it,
 // or ejects it again after a probe. At most half of the service's upstreams are
 // ejected at a time, because more failures at once point to a cause elsewhere.
-func (service *Service) Failed(id string) bool {
+func (service *Tracker) RecordFailure(id string) bool {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
 	upstream := service.upstreams[id]
@@ -179,13 +179,13 @@
 	now := time.Now()
 	switch {
 	case upstream.ejected && upstream.probed:
-		upstream.length = min(service.config.Longest, 2*upstream.length)
-	case upstream.ejected || upstream.failures < service.config.Failures:
+		upstream.length = min(service.config.MaxEjection, 2*upstream.length)
+	case upstream.ejected || upstream.failures < service.config.MaxFailures:
 		return false
 	case 2*(service.ejected+1) > len(service.upstreams):
 		return false
 	default:
-		upstream.length = service.config.First
+		upstream.length = service.config.InitialEjection
 		upstream.ejected = true
 		service.ejected++
 	}
--- a/internal/flow/health/health_test.go
+++ b/internal/flow/health/health_test.go
@@ -10,19 +10,19 @@
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 )
 
-func newService(t *testing.T, ids ...string) *Service {
+func newService(t *testing.T, ids ...string) *Tracker {
 	t.Helper()
 	service, err := New(Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	service.Follow(ids)
+	service.SetUpstreams(ids)
 	return service
 }
 
-func failUntilEjected(service *Service, id string) (failures int) {
+func failUntilEjected(service *Tracker, id string) (failures int) {
 	for failures = 1; failures < 10; failures++ {
-		if service.Failed(id) {
+		if service.RecordFailure(id) {
 			return failures
 		}
 	}
@@ -34,29 +34,29 @@
 func TestEjection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := newService(t, "a", "b")
-		if got := failUntilEjected(service, "a"); got != DefaultFailures {
+		if got := failUntilEjected(service, "a"); got != DefaultMaxFailures {
 			t.Fatalf("ejected after %d failures", got)
 		}
 		for _, seconds := range []time.Duration{1, 2, 4, 8, 16, 30, 30} {
 			time.Sleep(seconds*time.Second - time.Nanosecond)
-			if got := service.State("a"); got != Ejected || service.Probe("a") {
+			if got := service.State("a"); got != Ejected || service.TryProbe("a") {
 				t.Fatalf("state %d just before %d s", got, seconds)
 			}
 			time.Sleep(time.Nanosecond)
-			if service.State("a") != Probing || !service.Probe("a") || service.Probe("a") {
+			if service.State("a") != ProbeDue || !service.TryProbe("a") || service.TryProbe("a") {
 				t.Fatalf("not exactly one probe after %d s", seconds)
 			}
-			if !service.Failed("a") || service.Failed("a") {
+			if !service.RecordFailure("a") || service.RecordFailure("a") {
 				t.Fatalf("failed probe after %d s does not eject once", seconds)
 			}
 		}
 		time.Sleep(30 * time.Second)
-		service.Probe("a")
-		service.Succeeded("a")
-		if service.State("a") != Usable || service.Failed("a") {
+		service.TryProbe("a")
+		service.RecordSuccess("a")
+		if service.State("a") != Usable || service.RecordFailure("a") {
 			t.Error("ejected after a successful probe")
 		}
-		if got := failUntilEjected(service, "b"); got != DefaultFailures {
+		if got := failUntilEjected(service, "b"); got != DefaultMaxFailures {
 			t.Errorf("other upstream ejected after %d failures, though none is ejected", got)
 		}
 	})
@@ -67,10 +67,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		service := newService(t, "a", "b")
 		failUntilEjected(service, "a")
-		time.Sleep(DefaultFirst)
-		service.Probe("a")
-		time.Sleep(DefaultProbe)
-		if !service.Probe("a") {
+		time.Sleep(DefaultInitialEjection)
+		service.TryProbe("a")
+		time.Sleep(DefaultProbeTimeout)
+		if !service.TryProbe("a") {
 			t.Error("no second probe")
 		}
 	})
@@ -98,7 +98,7 @@
 				ids := test.ids
 				if test.follow != nil {
 					failUntilEjected(service, ids[0])
-					service.Follow(test.follow)
+					service.SetUpstreams(test.follow)
 					ids = test.follow
 				}
 				var got []string
@@ -118,7 +118,7 @@
 
 // Guards against settings that would never eject or never end an ejection.
 func TestConfig(t *testing.T) {
-	for _, config := range []Config{{Failures: -1}, {First: time.Minute}, {Probe: -1}, {First: -1}} {
+	for _, config := range []Config{{MaxFailures: -1}, {InitialEjection: time.Minute}, {ProbeTimeout: -1}, {InitialEjection: -1}} {
 		_, err := New(config)
 		if found, ok := fault.As(err); !ok || found.Kind() != fault.Invalid {
 			t.Errorf("New(%+v): %v", config, err)
--- a/internal/flow/stock/stock.go
+++ b/internal/flow/lora/lora.go
@@ -1,8 +1,8 @@
-// Package stock decides which adapters the engine beside a loader holds: it
+// Package lora decides which adapters the engine beside a loader holds: it
 // turns what the entry instances ask for, and what the engine reports, into one
 // order at a time. The engine's report is the truth; an order whose outcome is
 // unknown counts as carried out until a report says otherwise.
-package stock
+package lora
 
 import (
 	"cmp"
@@ -42,21 +42,21 @@
 	Version uint32
 }
 
-// Serves reports whether the adapter can answer for the wanted one: it is the
+// Satisfies reports whether the adapter can answer for the wanted one: it is the
 // same, in that version or a newer one.
-func (adapter Adapter) Serves(wanted Adapter) bool {
+func (adapter Adapter) Satisfies(wanted Adapter) bool {
 	return adapter.Name == wanted.Name && adapter.Version >= wanted.Version
 }
 
-// AnyServes reports whether one of the adapters can answer for the wanted one.
-func AnyServes(adapters []Adapter, wanted Adapter) bool {
-	return slices.ContainsFunc(adapters, func(adapter Adapter) bool { return adapter.Serves(wanted) })
+// AnySatisfies reports whether one of the adapters can answer for the wanted one.
+func AnySatisfies(adapters []Adapter, wanted Adapter) bool {
+	return slices.ContainsFunc(adapters, func(adapter Adapter) bool { return adapter.Satisfies(wanted) })
 }
 
-// Engine is what the engine says of itself.
-type Engine struct {
-	// Born is its start in Unix milliseconds.
-	Born int64
+// EngineState is what the engine says of itself.
+type EngineState struct {
+	// StartedAt is its start in Unix milliseconds.
+	StartedAt int64
 	// Sequence counts the orders that it accepted since.
 	Sequence int64
 	// Busy means that it takes no other order at present.
@@ -67,8 +67,8 @@
 	Pending  []Adapter
 }
 
-// Use is how many requests of one entry instance use an adapter.
-type Use struct {
+// AdapterUse is how many requests of one entry instance use an adapter.
+type AdapterUse struct {
 	Adapter Adapter
 	Running int
 	Waiting int
@@ -82,9 +82,9 @@
 	Model string
 	// Slots is the number of places for adapters.
 	Slots int
-	// Elsewhere is the number of adapters on their way to other engines.
-	Elsewhere int
-	Uses      []Use
+	// PendingElsewhere is the number of adapters on their way to other engines.
+	PendingElsewhere int
+	Uses             []AdapterUse
 }
 
 // Operation is what an order does.
@@ -113,7 +113,7 @@
 	config Config
 
 	mutex   sync.Mutex
-	engine  Engine
+	engine  EngineState
 	known   bool
 	demands map[string]*demand
 	used    map[string]time.Time
@@ -143,10 +143,10 @@
 
 // Observe records a report of the engine and returns the adapters that have
 // come since the last one.
-func (planner *Planner) Observe(engine Engine) []Arrival {
+func (planner *Planner) Observe(engine EngineState) []CompletedLoad {
 	planner.mutex.Lock()
 	defer planner.mutex.Unlock()
-	if planner.known && planner.engine.Born != engine.Born {
+	if planner.known && planner.engine.StartedAt != engine.StartedAt {
 		clear(planner.used)
 		planner.recall = newRecall()
 	}
@@ -154,23 +154,23 @@
 	return planner.recall.observe(engine.Resident, engine.Pending)
 }
 
-// Dropped returns the adapters that the engine dropped, the latest one last.
-func (planner *Planner) Dropped() []Adapter {
+// Evicted returns the adapters that the engine dropped, the latest one last.
+func (planner *Planner) Evicted() []Adapter {
 	planner.mutex.Lock()
 	defer planner.mutex.Unlock()
 	return planner.recall.Dropped()
 }
 
-// Reach returns how many of the adapters dropped last the engine is thought to
+// CacheCapacity returns how many of the adapters dropped last the engine is thought to
 // bring back by itself.
-func (planner *Planner) Reach() int {
+func (planner *Planner) CacheCapacity() int {
 	planner.mutex.Lock()
 	defer planner.mutex.Unlock()
 	return planner.recall.reach
 }
 
-// Ordered records that an order was given.
-func (planner *Planner) Ordered(order Order) {
+// RecordOrder records that an order was given.
+func (planner *Planner) RecordOrder(order Order) {
 	planner.mutex.Lock()
 	defer planner.mutex.Unlock()
 	if order.Operation == Load && order.Adapter.Name != "" {
@@ -178,9 +178,9 @@
 	}
 }
 
-// Demand records what an entry instance asks for; it replaces what the instance
+// SetDemand records what an entry instance asks for; it replaces what the instance
 // asked for before.
-func (planner *Planner) Demand(request Demand) {
+func (planner *Planner) SetDemand(request Demand) {
 	planner.mutex.Lock()
 	defer planner.mutex.Unlock()
 	now := time.Now()
@@ -193,16 +193,16 @@
 	}
 }
 
-// Queue returns the number of adapters that are on their way or still to be
+// QueuedLoads returns the number of adapters that are on their way or still to be
 // ordered.
-func (planner *Planner) Queue() int {
+func (planner *Planner) QueuedLoads() int {
 	planner.mutex.Lock()
 	defer planner.mutex.Unlock()
 	return len(planner.engine.Pending) + len(planner.missing())
 }
 
-// Free returns the number of places that no request uses or waits for.
-func (planner *Planner) Free() int {
+// FreeSlots returns the number of places that no request uses or waits for.
+func (planner *Planner) FreeSlots() int {
 	planner.mutex.Lock()
 	defer planner.mutex.Unlock()
 	_, slots := planner.wish()
--- a/internal/flow/stock/stock_test.go
+++ b/internal/flow/lora/lora_test.go
@@ -1,4 +1,4 @@
-package stock
+package lora
 
 import (
 	"fmt"
@@ -23,66 +23,70 @@
 	return list
 }
 
-func waiting(number, count int) Use { return Use{Adapter: adapter(number), Waiting: count} }
+func waiting(number, count int) AdapterUse {
+	return AdapterUse{Adapter: adapter(number), Waiting: count}
+}
 
-func running(number, count int) Use { return Use{Adapter: adapter(number), Running: count} }
+func running(number, count int) AdapterUse {
+	return AdapterUse{Adapter: adapter(number), Running: count}
+}
 
 func TestNext(t *testing.T) {
 	tests := []struct {
 		name   string
 		guards string
-		engine Engine
-		uses   []Use
+		engine EngineState
+		uses   []AdapterUse
 		other  int
 		want   Order
 		none   bool
 	}{
 		{
 			name: "model first", guards: "adapters ordered at an engine that restarted empty",
-			engine: Engine{Sequence: 3}, uses: []Use{waiting(1, 1)},
+			engine: EngineState{Sequence: 3}, uses: []AdapterUse{waiting(1, 1)},
 			want: Order{Operation: Load, Model: "m", Sequence: 3},
 		},
 		{
 			name: "most waiting first", guards: "a rare adapter in front of a popular one after a cold start",
-			engine: Engine{Models: []string{"m"}}, uses: []Use{waiting(1, 1), waiting(2, 3)},
+			engine: EngineState{Models: []string{"m"}}, uses: []AdapterUse{waiting(1, 1), waiting(2, 3)},
 			want: Order{Operation: Load, Model: "m", Adapter: adapter(2)},
 		},
 		{
 			name: "full", guards: "an order beyond the places, which crashes the engine",
-			engine: Engine{Models: []string{"m"}, Resident: adapters(1, 2, 3, 4)}, uses: []Use{waiting(5, 1), running(1, 1), running(2, 1), running(3, 1)},
+			engine: EngineState{Models: []string{"m"}, Resident: adapters(1, 2, 3, 4)}, uses: []AdapterUse{waiting(5, 1), running(1, 1), running(2, 1), running(3, 1)},
 			want: Order{Operation: Unload, Model: "m", Adapter: adapter(4)},
 		},
 		{
 			name: "full with one on its way", guards: "a pending adapter that is not counted",
-			engine: Engine{Models: []string{"m"}, Resident: adapters(1, 2, 3), Pending: adapters(4)}, uses: []Use{waiting(5, 1), running(1, 1), running(2, 1)},
+			engine: EngineState{Models: []string{"m"}, Resident: adapters(1, 2, 3), Pending: adapters(4)}, uses: []AdapterUse{waiting(5, 1), running(1, 1), running(2, 1)},
 			want: Order{Operation: Unload, Model: "m", Adapter: adapter(3)},
 		},
 		{
 			name: "all in use", guards: "an adapter in use is evicted",
-			engine: Engine{Models: []string{"m"}, Resident: adapters(1, 2, 3, 4)}, uses: []Use{waiting(5, 1), running(1, 1), running(2, 1), running(3, 1), waiting(4, 1)},
+			engine: EngineState{Models: []string{"m"}, Resident: adapters(1, 2, 3, 4)}, uses: []AdapterUse{waiting(5, 1), running(1, 1), running(2, 1), running(3, 1), waiting(4, 1)},
 			none: true,
 		},
 		{
 			name: "older version", guards: "a request waits for ever for a version that was announced",
-			engine: Engine{Models: []string{"m"}, Resident: adapters(1, 2, 3, 4)},
-			uses:   []Use{{Adapter: Adapter{Name: "a1", Version: 2}, Waiting: 1}},
+			engine: EngineState{Models: []string{"m"}, Resident: adapters(1, 2, 3, 4)},
+			uses:   []AdapterUse{{Adapter: Adapter{Name: "a1", Version: 2}, Waiting: 1}},
 			want:   Order{Operation: Load, Model: "m", Adapter: Adapter{Name: "a1", Version: 2}},
 		},
 		{
 			name: "on its way", guards: "an adapter is ordered twice",
-			engine: Engine{Models: []string{"m"}, Pending: adapters(1)}, uses: []Use{waiting(1, 1)}, none: true,
+			engine: EngineState{Models: []string{"m"}, Pending: adapters(1)}, uses: []AdapterUse{waiting(1, 1)}, none: true,
 		},
 		{
 			name: "busy", guards: "orders that a busy engine refuses",
-			engine: Engine{Models: []string{"m"}, Busy: true}, uses: []Use{waiting(1, 1)}, none: true,
+			engine: EngineState{Models: []string{"m"}, Busy: true}, uses: []AdapterUse{waiting(1, 1)}, none: true,
 		},
 		{
 			name: "store busy", guards: "48 adapters on their way, each six times as long, after a cold start",
-			engine: Engine{Models: []string{"m"}, Pending: adapters(2)}, uses: []Use{waiting(1, 1)}, other: 8, none: true,
+			engine: EngineState{Models: []string{"m"}, Pending: adapters(2)}, uses: []AdapterUse{waiting(1, 1)}, other: 8, none: true,
 		},
 		{
 			name: "store free", guards: "an engine that loads one at a time although the store is idle",
-			engine: Engine{Models: []string{"m"}, Pending: adapters(2)}, uses: []Use{waiting(1, 1)}, other: 3,
+			engine: EngineState{Models: []string{"m"}, Pending: adapters(2)}, uses: []AdapterUse{waiting(1, 1)}, other: 3,
 			want: Order{Operation: Load, Model: "m", Adapter: adapter(1)},
 		},
 	}
@@ -91,7 +95,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				planner := New(Config{})
 				planner.Observe(test.engine)
-				planner.Demand(Demand{Entry: "entry", Model: "m", Slots: places, Elsewhere: test.other, Uses: test.uses})
+				planner.SetDemand(Demand{Entry: "entry", Model: "m", Slots: places, PendingElsewhere: test.other, Uses: test.uses})
 				got, ok := planner.Next()
 				if ok == test.none {
 					t.Fatalf("%s: order given %v: %v", test.guards, ok, got)
@@ -110,17 +114,17 @@
 func TestOverdue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		planner := New(Config{})
-		planner.Observe(Engine{Models: []string{"m"}})
+		planner.Observe(EngineState{Models: []string{"m"}})
 		old := waiting(1, 2)
-		planner.Demand(Demand{Entry: "entry", Model: "m", Slots: places, Uses: []Use{old}})
+		planner.SetDemand(Demand{Entry: "entry", Model: "m", Slots: places, Uses: []AdapterUse{old}})
 		time.Sleep(time.Second)
 		old.Late = old.Waiting
-		planner.Demand(Demand{Entry: "entry", Model: "m", Slots: places, Uses: []Use{old, waiting(2, 1)}})
+		planner.SetDemand(Demand{Entry: "entry", Model: "m", Slots: places, Uses: []AdapterUse{old, waiting(2, 1)}})
 		order, _ := planner.Next()
 		if diff := cmp.Diff(adapter(2), order.Adapter); diff != "" {
 			t.Errorf("adapter (-want +got):\n%s", diff)
 		}
-		planner.Observe(Engine{Models: []string{"m"}, Resident: adapters(2)})
+		planner.Observe(EngineState{Models: []string{"m"}, Resident: adapters(2)})
 		order, _ = planner.Next()
 		if diff := cmp.Diff(adapter(1), order.Adapter); diff != "" {
 			t.Errorf("adapter when nothing else waits (-want +got):\n%s", diff)
@@ -133,10 +137,10 @@
 func TestSilentEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		planner := New(Config{})
-		planner.Observe(Engine{Models: []string{"m"}, Resident: adapters(1, 2, 3, 4)})
-		planner.Demand(Demand{Entry: "dead", Model: "m", Slots: places, Uses: []Use{running(1, 1), running(2, 1), running(3, 1), running(4, 1)}})
+		planner.Observe(EngineState{Models: []string{"m"}, Resident: adapters(1, 2, 3, 4)})
+		planner.SetDemand(Demand{Entry: "dead", Model: "m", Slots: places, Uses: []AdapterUse{running(1, 1), running(2, 1), running(3, 1), running(4, 1)}})
 		time.Sleep(DefaultLinger + time.Millisecond)
-		planner.Demand(Demand{Entry: "entry", Model: "m", Slots: places, Uses: []Use{waiting(5, 1)}})
+		planner.SetDemand(Demand{Entry: "entry", Model: "m", Slots: places, Uses: []AdapterUse{waiting(5, 1)}})
 		order, ok := planner.Next()
 		if !ok || order.Operation != Unload {
 			t.Errorf("got %v %v, want an unload", order, ok)
@@ -146,7 +150,7 @@
 
 // lateEngine carries some orders out without an answer, some of them later.
 type lateEngine struct {
-	Engine
+	EngineState
 	random *rand.Rand
 	late   []Order
 	most   int
@@ -196,12 +200,12 @@
 func TestLateOrders(t *testing.T) {
 	for seed := range uint64(50) {
 		synctest.Test(t, func(t *testing.T) {
-			engine := &lateEngine{Engine: Engine{Models: []string{"m"}}, random: rand.New(rand.NewPCG(seed, 1))}
+			engine := &lateEngine{EngineState: EngineState{Models: []string{"m"}}, random: rand.New(rand.NewPCG(seed, 1))}
 			planner := New(Config{})
 			served := 0
 			for round := range 2000 {
-				planner.Observe(engine.Engine)
-				planner.Demand(Demand{Entry: "entry", Model: "m", Slots: places, Uses: []Use{waiting(round/50, 1)}})
+				planner.Observe(engine.EngineState)
+				planner.SetDemand(Demand{Entry: "entry", Model: "m", Slots: places, Uses: []AdapterUse{waiting(round/50, 1)}})
 				if order, ok := planner.Next(); ok {
 					engine.give(order)
 				}
--- a/internal/flow/stock/plan.go
+++ b/internal/flow/lora/plan.go
@@ -1,4 +1,4 @@
-package stock
+package lora
 
 import (
 	"cmp"
@@ -54,7 +54,7 @@
 		return true
 	}
 	latest := planner.latest()
-	return pending < planner.config.Transit && latest != nil && pending+latest.Elsewhere < planner.config.Store
+	return pending < planner.config.Transit && latest != nil && pending+latest.PendingElsewhere < planner.config.Store
 }
 
 // places returns the number of places that are taken or promised.
@@ -138,7 +138,7 @@
 // holds reports whether the adapter is there or on its way, in this version or
 // a newer one.
 func (planner *Planner) holds(wanted Adapter) bool {
-	return AnyServes(planner.engine.Resident, wanted) || AnyServes(planner.engine.Pending, wanted)
+	return AnySatisfies(planner.engine.Resident, wanted) || AnySatisfies(planner.engine.Pending, wanted)
 }
 
 // victim returns the adapter unused for longest among those that no entry
--- a/internal/flow/stock/recall.go
+++ b/internal/flow/lora/recall.go
@@ -1,9 +1,9 @@
-package stock
+package lora
 
 import (
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/flow/pace"
+	"jacinthfront.dev/jacinthfront/internal/flow/speed"
 )
 
 const (
@@ -14,25 +14,25 @@
 	quickPart = 0.5
 )
 
-// Never is the depth of an adapter that was not held before.
-const Never = -1
+// NeverEvicted is the depth of an adapter that was not held before.
+const NeverEvicted = -1
 
-// Arrival is an adapter that has come to its engine.
-type Arrival struct {
+// CompletedLoad is an adapter that has come to its engine.
+type CompletedLoad struct {
 	Adapter Adapter
 	// Took is the time from its order until a report named it.
 	Took time.Duration
 	// Depth is the number of other adapters that the engine dropped after it
 	// last dropped this one, or Never.
 	Depth int
-	// Quick means that the engine brought it back by itself.
-	Quick bool
+	// FromCache means that the engine brought it back by itself.
+	FromCache bool
 }
 
 // recall learns which of the adapters that an engine has dropped it can bring
 // back by itself, which is quick and costs the store nothing.
 type recall struct {
-	Memory
+	EvictionHistory
 	resident []Adapter
 	ordered  map[Adapter]order
 	// fetches holds how long the latest adapters from the store took.
@@ -56,18 +56,18 @@
 }
 
 // observe takes over a report, and returns what has come since the last one.
-func (recall *recall) observe(resident, pending []Adapter) []Arrival {
-	var arrivals []Arrival
+func (recall *recall) observe(resident, pending []Adapter) []CompletedLoad {
+	var arrivals []CompletedLoad
 	for adapter, order := range recall.ordered {
 		switch {
-		case AnyServes(resident, adapter):
+		case AnySatisfies(resident, adapter):
 			arrivals = append(arrivals, recall.arrived(adapter, order))
 			delete(recall.ordered, adapter)
-		case !AnyServes(pending, adapter) && time.Since(order.at) > forgetOrder:
+		case !AnySatisfies(pending, adapter) && time.Since(order.at) > forgetOrder:
 			delete(recall.ordered, adapter)
 		}
 	}
-	recall.Follow(recall.resident, resident)
+	recall.Update(recall.resident, resident)
 	recall.resident = resident
 	return arrivals
 }
@@ -77,15 +77,15 @@
 
 // arrived judges how an adapter came, and learns from it how far the engine's
 // memory reaches.
-func (recall *recall) arrived(adapter Adapter, order order) Arrival {
-	arrival := Arrival{Adapter: adapter, Took: time.Since(order.at), Depth: order.depth}
-	usual := pace.Median(recall.fetches)
-	arrival.Quick = order.depth != Never && usual > 0 && arrival.Took.Seconds() < usual.Seconds()*quickPart
+func (recall *recall) arrived(adapter Adapter, order order) CompletedLoad {
+	arrival := CompletedLoad{Adapter: adapter, Took: time.Since(order.at), Depth: order.depth}
+	usual := speed.Median(recall.fetches)
+	arrival.FromCache = order.depth != NeverEvicted && usual > 0 && arrival.Took.Seconds() < usual.Seconds()*quickPart
 	switch {
-	case order.depth == Never:
+	case order.depth == NeverEvicted:
 		recall.fetches = append(recall.fetches, arrival.Took)
 		recall.fetches = recall.fetches[max(len(recall.fetches)-mostFetches, 0):]
-	case arrival.Quick:
+	case arrival.FromCache:
 		recall.reach = max(recall.reach, order.depth+1)
 	case usual > 0:
 		recall.reach = min(recall.reach, order.depth)
--- a/internal/flow/stock/recall_test.go
+++ b/internal/flow/lora/recall_test.go
@@ -1,4 +1,4 @@
-package stock
+package lora
 
 import (
 	"testing"
@@ -9,12 +9,12 @@
 )
 
 // bring orders an adapter at an engine of one place and reports it after a time.
-func bring(planner *Planner, number int, took time.Duration) Arrival {
-	planner.Ordered(Order{Operation: Load, Model: "m", Adapter: adapter(number)})
+func bring(planner *Planner, number int, took time.Duration) CompletedLoad {
+	planner.RecordOrder(Order{Operation: Load, Model: "m", Adapter: adapter(number)})
 	time.Sleep(took)
-	arrivals := planner.Observe(Engine{Models: []string{"m"}, Resident: adapters(number)})
+	arrivals := planner.Observe(EngineState{Models: []string{"m"}, Resident: adapters(number)})
 	if len(arrivals) != 1 {
-		return Arrival{}
+		return CompletedLoad{}
 	}
 	return arrivals[0]
 }
@@ -42,9 +42,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				planner := New(Config{})
-				planner.Observe(Engine{Models: []string{"m"}})
+				planner.Observe(EngineState{Models: []string{"m"}})
 				for number := range 4 {
-					if got := bring(planner, number, slow); got.Quick || got.Depth != Never {
+					if got := bring(planner, number, slow); got.FromCache || got.Depth != NeverEvicted {
 						t.Errorf("adapter %d came as %+v from the store", number, got)
 					}
 				}
@@ -53,12 +53,12 @@
 					if isQuick {
 						took = quick
 					}
-					want := Arrival{Adapter: adapter(number), Took: took, Depth: 2, Quick: isQuick}
+					want := CompletedLoad{Adapter: adapter(number), Took: took, Depth: 2, FromCache: isQuick}
 					if diff := cmp.Diff(want, bring(planner, number, took)); diff != "" {
 						t.Errorf("%s: arrival (-want +got):\n%s", test.guards, diff)
 					}
 				}
-				if reach := planner.Reach(); reach != test.reach {
+				if reach := planner.CacheCapacity(); reach != test.reach {
 					t.Errorf("%s: reach %d, want %d", test.guards, reach, test.reach)
 				}
 			})
@@ -71,10 +71,10 @@
 func TestRecallRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		planner := New(Config{})
-		planner.Observe(Engine{Born: 1, Resident: adapters(1)})
-		planner.Observe(Engine{Born: 1, Resident: adapters(2)})
-		planner.Observe(Engine{Born: 2})
-		if dropped := planner.Dropped(); len(dropped) > 0 {
+		planner.Observe(EngineState{StartedAt: 1, Resident: adapters(1)})
+		planner.Observe(EngineState{StartedAt: 1, Resident: adapters(2)})
+		planner.Observe(EngineState{StartedAt: 2})
+		if dropped := planner.Evicted(); len(dropped) > 0 {
 			t.Errorf("%v counts as dropped after a restart", dropped)
 		}
 	})
@@ -101,11 +101,11 @@
 		},
 		{
 			name: "newer version", guards: "an older version brought back for a request that needs the newest",
-			follow: [][]Adapter{adapters(1), nil}, want: adapters(1), of: newer, depth: Never,
+			follow: [][]Adapter{adapters(1), nil}, want: adapters(1), of: newer, depth: NeverEvicted,
 		},
 		{
 			name: "replaced in place", guards: "a version that was replaced counted as dropped",
-			follow: [][]Adapter{adapters(1), {newer}}, of: adapter(1), depth: Never,
+			follow: [][]Adapter{adapters(1), {newer}}, of: adapter(1), depth: NeverEvicted,
 		},
 		{
 			name: "taken over", guards: "a restarted process that has all fetched again",
@@ -114,14 +114,14 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			memory := new(Memory)
+			memory := new(EvictionHistory)
 			var held []Adapter
 			for _, now := range test.follow {
-				memory.Follow(held, now)
+				memory.Update(held, now)
 				held = now
 			}
 			if test.over != nil {
-				memory.TakeOver(test.over)
+				memory.Prepend(test.over)
 			}
 			if diff := cmp.Diff(test.want, memory.Dropped()); diff != "" {
 				t.Errorf("%s: dropped (-want +got):\n%s", test.guards, diff)
--- a/internal/flow/steer/asks.go
+++ b/internal/flow/picker/asks.go
@@ -1,4 +1,4 @@
-package steer
+package picker
 
 import (
 	"cmp"
@@ -7,12 +7,12 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/flow/admit"
-	"jacinthfront.dev/jacinthfront/internal/flow/stock"
+	"jacinthfront.dev/jacinthfront/internal/flow/lora"
 )
 
 // ask is a request that waits for its turn at an upstream.
 type ask struct {
-	admit.Ask
+	admit.Request
 	placed time.Time
 	// goal is when the request misses its response-time goal, or zero.
 	goal    time.Time
@@ -22,8 +22,8 @@
 // late reports whether the request misses its goal.
 func (ask *ask) late(now time.Time) bool { return !ask.goal.IsZero() && !now.Before(ask.goal) }
 
-// Granted records which of this instance's requests may start at an upstream.
-func (board *Board) Granted(id string, asks []uint64) {
+// RecordGrants records which of this instance's requests may start at an upstream.
+func (board *Picker) RecordGrants(id string, asks []uint64) {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	entry, ok := board.upstreams[id]
@@ -37,9 +37,9 @@
 	}
 }
 
-// Want asks for a copy of an adapter at an upstream, without a request that
+// RequestCopy asks for a copy of an adapter at an upstream, without a request that
 // waits for it, until Unwant.
-func (board *Board) Want(id string, adapter stock.Adapter) {
+func (board *Picker) RequestCopy(id string, adapter lora.Adapter) {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	if entry, ok := board.upstreams[id]; ok {
@@ -48,8 +48,8 @@
 	}
 }
 
-// Unwant ends what Want began.
-func (board *Board) Unwant(id string, adapter stock.Adapter) {
+// CancelCopy ends what Want began.
+func (board *Picker) CancelCopy(id string, adapter lora.Adapter) {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	if entry, ok := board.upstreams[id]; ok {
@@ -58,19 +58,19 @@
 	}
 }
 
-// Place records that a request waits for its turn at an upstream. It is late
+// AddWaiting records that a request waits for its turn at an upstream. It is late
 // from the time goal on, unless that is zero.
-func (board *Board) Place(id string, request admit.Ask, goal time.Time) {
+func (board *Picker) AddWaiting(id string, request admit.Request, goal time.Time) {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	if entry, ok := board.upstreams[id]; ok {
-		entry.asks[request.ID] = &ask{Ask: request, placed: time.Now(), goal: goal}
+		entry.asks[request.ID] = &ask{Request: request, placed: time.Now(), goal: goal}
 		entry.stamp++
 	}
 }
 
-// Withdraw ends what Place began.
-func (board *Board) Withdraw(id string, number uint64) {
+// RemoveWaiting ends what Place began.
+func (board *Picker) RemoveWaiting(id string, number uint64) {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	if entry, ok := board.upstreams[id]; ok {
@@ -79,45 +79,45 @@
 	}
 }
 
-// Turn says whether a request that waits at an upstream may start.
-type Turn uint8
+// GrantState says whether a request that waits at an upstream may start.
+type GrantState uint8
 
 const (
 	// Waiting means that its turn has not come.
-	Waiting Turn = iota
-	// Come means that it may start.
-	Come
-	// Unruled means that no loader answers for the upstream, so that the
+	Waiting GrantState = iota
+	// Granted means that it may start.
+	Granted
+	// NoLoader means that no loader answers for the upstream, so that the
 	// request may start when the upstream holds its adapter.
-	Unruled
-	// Lost means that the upstream cannot be used any more.
-	Lost
+	NoLoader
+	// Unusable means that the upstream cannot be used any more.
+	Unusable
 )
 
-// Turn returns whether a request that waits at an upstream may start.
-func (board *Board) Turn(id string, number uint64) Turn {
+// GrantState returns whether a request that waits at an upstream may start.
+func (board *Picker) GrantState(id string, number uint64) GrantState {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	entry, ok := board.upstreams[id]
 	if !ok || !board.usable(entry) || entry.report.Unreachable {
-		return Lost
+		return Unusable
 	}
 	waiting, ok := entry.asks[number]
 	switch {
 	case !ok:
-		return Lost
+		return Unusable
 	case waiting.granted:
-		return Come
+		return Granted
 	case board.fresh(entry, time.Now()):
 		return Waiting
 	default:
-		return Unruled
+		return NoLoader
 	}
 }
 
-// Asks returns this instance's requests that wait for their turn at an
+// WaitingRequests returns this instance's requests that wait for their turn at an
 // upstream, ordered by their numbers.
-func (board *Board) Asks(id string) []admit.Ask {
+func (board *Picker) WaitingRequests(id string) []admit.Request {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	entry, ok := board.upstreams[id]
@@ -125,17 +125,17 @@
 		return nil
 	}
 	now := time.Now()
-	asks := make([]admit.Ask, 0, len(entry.asks))
+	asks := make([]admit.Request, 0, len(entry.asks))
 	for _, waiting := range entry.asks {
-		request := waiting.Ask
+		request := waiting.Request
 		request.Late = waiting.late(now)
 		asks = append(asks, request)
 	}
-	slices.SortFunc(asks, func(a, b admit.Ask) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(asks, func(a, b admit.Request) int { return cmp.Compare(a.ID, b.ID) })
 	return asks
 }
 
-func decrement(counts map[stock.Adapter]int, adapter stock.Adapter) {
+func decrement(counts map[lora.Adapter]int, adapter lora.Adapter) {
 	if counts[adapter] <= 1 {
 		delete(counts, adapter)
 		return
@@ -143,9 +143,9 @@
 	counts[adapter]--
 }
 
-// Stamp returns a number that grows with each change of what Uses and Asks
+// DemandGeneration returns a number that grows with each change of what Uses and Asks
 // return for an upstream.
-func (board *Board) Stamp(id string) uint64 {
+func (board *Picker) DemandGeneration(id string) uint64 {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	if entry, ok := board.upstreams[id]; ok {
@@ -154,9 +154,9 @@
 	return 0
 }
 
-// Uses returns this instance's demand at an upstream, in the order of the
+// AdapterDemand returns this instance's demand at an upstream, in the order of the
 // adapters' names.
-func (board *Board) Uses(id string) []stock.Use {
+func (board *Picker) AdapterDemand(id string) []lora.AdapterUse {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	entry, ok := board.upstreams[id]
@@ -164,7 +164,7 @@
 		return nil
 	}
 	now := time.Now()
-	waiting, late := maps.Clone(entry.wanted), make(map[stock.Adapter]int)
+	waiting, late := maps.Clone(entry.wanted), make(map[lora.Adapter]int)
 	for _, request := range entry.asks {
 		if request.Adapter.Name == "" {
 			continue
@@ -176,10 +176,10 @@
 	}
 	adapters := maps.Clone(entry.byAdapter)
 	maps.Copy(adapters, waiting)
-	uses := make([]stock.Use, 0, len(adapters))
+	uses := make([]lora.AdapterUse, 0, len(adapters))
 	for adapter := range adapters {
-		uses = append(uses, stock.Use{Adapter: adapter, Running: entry.byAdapter[adapter], Waiting: waiting[adapter], Late: late[adapter]})
+		uses = append(uses, lora.AdapterUse{Adapter: adapter, Running: entry.byAdapter[adapter], Waiting: waiting[adapter], Late: late[adapter]})
 	}
-	slices.SortFunc(uses, func(a, b stock.Use) int { return compareAdapters(a.Adapter, b.Adapter) })
+	slices.SortFunc(uses, func(a, b lora.AdapterUse) int { return compareAdapters(a.Adapter, b.Adapter) })
 	return uses
 }
--- a/internal/flow/steer/board.go
+++ b/internal/flow/picker/board.go
@@ -1,8 +1,8 @@
-// Package steer chooses the upstream for a request from what an entry instance
+// Package picker chooses the upstream for a request from what an entry instance
 // knows of all upstreams: the list, the loaders' reports, the load that answers
 // name, and the instance's own requests. It decides speed only; what may run is
 // decided before, and each upstream checks that it is the one meant.
-package steer
+package picker
 
 import (
 	"cmp"
@@ -10,34 +10,34 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/flow/admit"
-	"jacinthfront.dev/jacinthfront/internal/flow/avoid"
-	"jacinthfront.dev/jacinthfront/internal/flow/stock"
+	"jacinthfront.dev/jacinthfront/internal/flow/cordon"
+	"jacinthfront.dev/jacinthfront/internal/flow/lora"
 	"jacinthfront.dev/jacinthfront/internal/state/fleet"
 )
 
 // Defaults of Config.
 const (
-	// DefaultFresh is the age up to which a report is believed.
-	DefaultFresh = 1500 * time.Millisecond
-	// DefaultLag is how much older than its arrival a report is.
-	DefaultLag = 20 * time.Millisecond
-	// DefaultOverfill is the number of requests beyond its slots that an engine
+	// DefaultReportTTL is the age up to which a report is believed.
+	DefaultReportTTL = 1500 * time.Millisecond
+	// DefaultReportLag is how much older than its arrival a report is.
+	DefaultReportLag = 20 * time.Millisecond
+	// DefaultOvercommit is the number of requests beyond its slots that an engine
 	// is given.
-	DefaultOverfill = 4
-	// DefaultSpread is by how much the wait at the upstream that ranks first for
+	DefaultOvercommit = 4
+	// DefaultSpillThreshold is by how much the wait at the upstream that ranks first for
 	// an adapter may exceed another's before the adapter is brought there
 	// instead.
-	DefaultSpread = 220 * time.Millisecond
-	// DefaultCopy is the same for an upstream that holds the adapter, before
+	DefaultSpillThreshold = 220 * time.Millisecond
+	// DefaultCopyThreshold is the same for an upstream that holds the adapter, before
 	// another copy is brought.
-	DefaultCopy = 330 * time.Millisecond
-	// DefaultStay is by how much shorter the wait elsewhere must be before a
+	DefaultCopyThreshold = 330 * time.Millisecond
+	// DefaultMoveThreshold is by how much shorter the wait elsewhere must be before a
 	// request that waits already moves, so that those that wait do not all move to
 	// the same upstream and back.
-	DefaultStay = 200 * time.Millisecond
-	// DefaultIntake is how many prompt tokens an engine takes in a millisecond,
+	DefaultMoveThreshold = 200 * time.Millisecond
+	// DefaultAdmissionRate is how many prompt tokens an engine takes in a millisecond,
 	// until its loader tells.
-	DefaultIntake = 18.0
+	DefaultAdmissionRate = 18.0
 	// runningWeight is the backlog in prompt tokens that a running request
 	// counts for, since each makes the others slower.
 	runningWeight = 30
@@ -66,26 +66,26 @@
 type Avoided interface {
 	// Avoided reports whether nothing may be sent to an upstream, and until when;
 	// a zero time means for good.
-	Avoided(start avoid.Start) (until time.Time, avoided bool)
+	Avoided(start cordon.Incarnation) (until time.Time, avoided bool)
 }
 
 // Config configures a Board. Zero values mean the defaults.
 type Config struct {
-	FailureDomain string
-	Health        Health
-	Avoided       Avoided
-	Fresh         time.Duration
-	Lag           time.Duration
-	Overfill      int
-	Spread        time.Duration
-	Copy          time.Duration
-	Stay          time.Duration
-	Intake        float64
+	FailureDomain  string
+	Health         Health
+	Avoided        Avoided
+	ReportTTL      time.Duration
+	ReportLag      time.Duration
+	Overcommit     int
+	SpillThreshold time.Duration
+	CopyThreshold  time.Duration
+	MoveThreshold  time.Duration
+	AdmissionRate  float64
 }
 
-// Board holds the upstreams as one entry instance sees them. Its methods may be
+// Picker holds the upstreams as one entry instance sees them. Its methods may be
 // called concurrently.
-type Board struct {
+type Picker struct {
 	config Config
 
 	mutex     sync.Mutex
@@ -103,10 +103,10 @@
 	sent    []time.Time
 	running int
 	// byAdapter counts this instance's running requests by adapter.
-	byAdapter map[stock.Adapter]int
+	byAdapter map[lora.Adapter]int
 	// wanted counts the copies of adapters that this instance asks for without
 	// a request that waits.
-	wanted map[stock.Adapter]int
+	wanted map[lora.Adapter]int
 	// asks holds this instance's requests that wait for their turn.
 	asks map[uint64]*ask
 	// answered is the load that the last answer named.
@@ -115,26 +115,26 @@
 	// stamp grows with each change of what this instance needs there.
 	stamp uint64
 	// readings holds what streams showed and the loader was not told yet.
-	readings []admit.Reading
+	readings []admit.Measurement
 	// memory holds the adapters that the engine dropped.
-	memory stock.Memory
+	memory lora.EvictionHistory
 }
 
 // New returns a Board without upstreams.
-func New(config Config) *Board {
-	config.Fresh = cmp.Or(config.Fresh, DefaultFresh)
-	config.Lag = cmp.Or(config.Lag, DefaultLag)
-	config.Overfill = cmp.Or(config.Overfill, DefaultOverfill)
-	config.Spread = cmp.Or(config.Spread, DefaultSpread)
-	config.Copy = cmp.Or(config.Copy, DefaultCopy)
-	config.Stay = cmp.Or(config.Stay, DefaultStay)
-	config.Intake = cmp.Or(config.Intake, DefaultIntake)
-	return &Board{config: config, upstreams: make(map[string]*upstream), services: make(map[string][]*upstream), instances: 1}
+func New(config Config) *Picker {
+	config.ReportTTL = cmp.Or(config.ReportTTL, DefaultReportTTL)
+	config.ReportLag = cmp.Or(config.ReportLag, DefaultReportLag)
+	config.Overcommit = cmp.Or(config.Overcommit, DefaultOvercommit)
+	config.SpillThreshold = cmp.Or(config.SpillThreshold, DefaultSpillThreshold)
+	config.CopyThreshold = cmp.Or(config.CopyThreshold, DefaultCopyThreshold)
+	config.MoveThreshold = cmp.Or(config.MoveThreshold, DefaultMoveThreshold)
+	config.AdmissionRate = cmp.Or(config.AdmissionRate, DefaultAdmissionRate)
+	return &Picker{config: config, upstreams: make(map[string]*upstream), services: make(map[string][]*upstream), instances: 1}
 }
 
-// Follow takes over the list of upstreams. What is known of those that stay is
+// SetUpstreams takes over the list of upstreams. What is known of those that stay is
 // kept.
-func (board *Board) Follow(listed []fleet.Upstream) {
+func (board *Picker) SetUpstreams(listed []fleet.Upstream) {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	known := board.upstreams
@@ -142,14 +142,14 @@
 	board.services = make(map[string][]*upstream)
 	newest := newestAt(listed)
 	for _, spec := range listed {
-		if spec.Born < newest[spec.Address] {
+		if spec.StartedAt < newest[spec.Address] {
 			continue
 		}
 		entry, ok := known[spec.ID]
 		if !ok {
 			entry = newUpstream()
 		}
-		if spec.Born > entry.report.Born {
+		if spec.StartedAt > entry.report.StartedAt {
 			entry.report, entry.reported, entry.listed = Report{}, time.Time{}, time.Now()
 		}
 		entry.spec = spec
@@ -161,8 +161,8 @@
 func newUpstream() *upstream {
 	return &upstream{
 		listed:    time.Now(),
-		byAdapter: make(map[stock.Adapter]int),
-		wanted:    make(map[stock.Adapter]int),
+		byAdapter: make(map[lora.Adapter]int),
+		wanted:    make(map[lora.Adapter]int),
 		asks:      make(map[uint64]*ask),
 	}
 }
@@ -172,20 +172,20 @@
 func newestAt(listed []fleet.Upstream) map[string]int64 {
 	newest := make(map[string]int64, len(listed))
 	for _, spec := range listed {
-		newest[spec.Address] = max(newest[spec.Address], spec.Born)
+		newest[spec.Address] = max(newest[spec.Address], spec.StartedAt)
 	}
 	return newest
 }
 
 // SetInstances records how many entry instances share the upstreams.
-func (board *Board) SetInstances(count int) {
+func (board *Picker) SetInstances(count int) {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	board.instances = max(count, 1)
 }
 
-// Sent records that a request was sent to an upstream.
-func (board *Board) Sent(id string, adapter stock.Adapter) {
+// RecordSent records that a request was sent to an upstream.
+func (board *Picker) RecordSent(id string, adapter lora.Adapter) {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	if entry, ok := board.upstreams[id]; ok {
@@ -198,8 +198,8 @@
 	}
 }
 
-// Ended records that a request that was sent has ended.
-func (board *Board) Ended(id string, adapter stock.Adapter) {
+// RecordEnded records that a request that was sent has ended.
+func (board *Picker) RecordEnded(id string, adapter lora.Adapter) {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	if entry, ok := board.upstreams[id]; ok {
--- a/internal/flow/steer/candidate.go
+++ b/internal/flow/picker/candidate.go
@@ -1,4 +1,4 @@
-package steer
+package picker
 
 import (
 	"cmp"
@@ -18,7 +18,7 @@
 	near  bool
 }
 
-func (board *Board) candidates(need Need) []candidate {
+func (board *Picker) candidates(need Request) []candidate {
 	now := time.Now()
 	var candidates, unheard []candidate
 	for _, entry := range board.services[need.Service] {
@@ -34,15 +34,15 @@
 		load := board.load(entry, now)
 		work := board.work(entry, load, need, now)
 		wait := board.wait(entry, work)
-		if need.At == entry.spec.ID {
-			wait -= board.config.Stay
+		if need.WaitingAt == entry.spec.ID {
+			wait -= board.config.MoveThreshold
 		}
 		found := candidate{
 			upstream: entry,
 			load:     load,
 			work:     work,
 			wait:     wait,
-			full:     board.full(entry, load, need) || need.Limit > 0 && wait > need.Limit,
+			full:     board.full(entry, load, need) || need.MaxWait > 0 && wait > need.MaxWait,
 			holds:    entry.holds(need.Adapter),
 			near:     entry.spec.FailureDomain == board.config.FailureDomain,
 		}
@@ -61,7 +61,7 @@
 
 // work returns how many prompt tokens a request would have before it. Requests
 // that wait for an adapter are not before one whose adapter is there.
-func (board *Board) work(entry *upstream, load int, need Need, now time.Time) int64 {
+func (board *Picker) work(entry *upstream, load int, need Request, now time.Time) int64 {
 	work := int64(load * runningWeight)
 	if board.fresh(entry, now) {
 		work += entry.report.Backlog
@@ -69,48 +69,48 @@
 			work += entry.report.Late
 		}
 	}
-	unseen := entry.reported.Add(-board.config.Lag)
+	unseen := entry.reported.Add(-board.config.ReportLag)
 	for _, waiting := range entry.asks {
 		if waiting.placed.After(unseen) && entry.holds(waiting.Adapter) && (need.Late || !waiting.late(now)) {
-			work += waiting.Prompt
+			work += waiting.PromptTokens
 		}
 	}
 	return work
 }
 
 // wait returns how long an upstream takes to let work in.
-func (board *Board) wait(entry *upstream, work int64) time.Duration {
-	intake := cmp.Or(entry.report.Intake, board.config.Intake)
+func (board *Picker) wait(entry *upstream, work int64) time.Duration {
+	intake := cmp.Or(entry.report.AdmissionRate, board.config.AdmissionRate)
 	return time.Duration(float64(work) / intake * float64(time.Millisecond))
 }
 
-func (board *Board) fresh(entry *upstream, now time.Time) bool {
-	return !entry.reported.IsZero() && now.Sub(entry.reported) < board.config.Fresh
+func (board *Picker) fresh(entry *upstream, now time.Time) bool {
+	return !entry.reported.IsZero() && now.Sub(entry.reported) < board.config.ReportTTL
 }
 
 // load returns how many requests an upstream is thought to hold: what it
 // reported and what this instance sent since, or what this instance has there
 // times the number of instances.
-func (board *Board) load(entry *upstream, now time.Time) int {
+func (board *Picker) load(entry *upstream, now time.Time) int {
 	if board.fresh(entry, now) {
 		return max(entry.report.Running+entry.report.Queued+len(entry.sent), entry.running)
 	}
-	if now.Sub(entry.answeredAt) < board.config.Lag {
+	if now.Sub(entry.answeredAt) < board.config.ReportLag {
 		return max(entry.answered, entry.running)
 	}
 	return entry.running * board.instances
 }
 
-func (board *Board) full(entry *upstream, load int, need Need) bool {
+func (board *Picker) full(entry *upstream, load int, need Request) bool {
 	limit := entry.spec.Slots
 	if need.Urgent || !need.Engine {
-		limit += board.config.Overfill
+		limit += board.config.Overcommit
 	}
 	if load >= limit {
 		return true
 	}
 	free := entry.report.TotalTokens - entry.report.UsedTokens
-	return need.Engine && entry.report.TotalTokens > 0 && free < need.Tokens*int64(1+len(entry.sent))
+	return need.Engine && entry.report.TotalTokens > 0 && free < need.KVTokens*int64(1+len(entry.sent))
 }
 
 func byLoad(a, b candidate) int {
--- a/internal/flow/steer/pace.go
+++ b/internal/flow/picker/pace.go
@@ -1,14 +1,14 @@
-package steer
+package picker
 
 import (
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/flow/admit"
-	"jacinthfront.dev/jacinthfront/internal/flow/pace"
+	"jacinthfront.dev/jacinthfront/internal/flow/speed"
 )
 
-// Measured records what a stream showed of an engine's pace, for its loader.
-func (board *Board) Measured(id string, reading admit.Reading) {
+// RecordMeasurement records what a stream showed of an engine's pace, for its loader.
+func (board *Picker) RecordMeasurement(id string, reading admit.Measurement) {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	entry, ok := board.upstreams[id]
@@ -18,8 +18,8 @@
 	entry.readings = append(entry.readings, reading)
 }
 
-// TakeReadings returns what was measured of an engine since the last call.
-func (board *Board) TakeReadings(id string) []admit.Reading {
+// TakeMeasurements returns what was measured of an engine since the last call.
+func (board *Picker) TakeMeasurements(id string) []admit.Measurement {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	entry, ok := board.upstreams[id]
@@ -31,9 +31,9 @@
 	return readings
 }
 
-// Typical returns the usual pace of a service's engines, as their loaders have
+// TypicalSpeed returns the usual pace of a service's engines, as their loaders have
 // learned it.
-func (board *Board) Typical(service string) admit.Pace {
+func (board *Picker) TypicalSpeed(service string) admit.Speed {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	now := time.Now()
@@ -43,12 +43,12 @@
 		if !board.fresh(entry, now) {
 			continue
 		}
-		if rate := entry.report.Pace.ReadRate; rate > 0 {
+		if rate := entry.report.Speed.PrefillRate; rate > 0 {
 			rates = append(rates, rate)
 		}
-		if event := entry.report.Pace.Event; event > 0 {
+		if event := entry.report.Speed.EventInterval; event > 0 {
 			events = append(events, event)
 		}
 	}
-	return admit.Pace{ReadRate: pace.Median(rates), Event: pace.Median(events)}
+	return admit.Speed{PrefillRate: speed.Median(rates), EventInterval: speed.Median(events)}
 }
--- a/internal/flow/steer/pace_test.go
+++ b/internal/flow/picker/pace_test.go
@@ -1,4 +1,4 @@
-package steer
+package picker
 
 import (
 	"testing"
@@ -16,16 +16,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		with := func(rate float64, event time.Duration) Report {
 			told := report(1, 0)
-			told.Pace = admit.Pace{ReadRate: rate, Event: event}
+			told.Speed = admit.Speed{PrefillRate: rate, EventInterval: event}
 			return told
 		}
 		board := newBoard(with(5, 90*time.Millisecond), with(38, 30*time.Millisecond), with(39, 31*time.Millisecond), report(1, 0))
-		want := admit.Pace{ReadRate: 38, Event: 31 * time.Millisecond}
-		if diff := cmp.Diff(want, board.Typical("advisor")); diff != "" {
+		want := admit.Speed{PrefillRate: 38, EventInterval: 31 * time.Millisecond}
+		if diff := cmp.Diff(want, board.TypicalSpeed("advisor")); diff != "" {
 			t.Errorf("pace (-want +got):\n%s", diff)
 		}
-		time.Sleep(DefaultFresh)
-		if diff := cmp.Diff(admit.Pace{}, board.Typical("advisor")); diff != "" {
+		time.Sleep(DefaultReportTTL)
+		if diff := cmp.Diff(admit.Speed{}, board.TypicalSpeed("advisor")); diff != "" {
 			t.Errorf("pace when no loader is heard (-want +got):\n%s", diff)
 		}
 	})
@@ -48,9 +48,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				told := report(1, 15_000, wanted)
-				told.Intake = test.intake
+				told.AdmissionRate = test.intake
 				request := need()
-				request.Limit = 600 * time.Millisecond
+				request.MaxWait = 600 * time.Millisecond
 				if diff := cmp.Diff(test.want, newBoard(told).Choose(request).Result); diff != "" {
 					t.Errorf("result (-want +got):\n%s", diff)
 				}
--- a/internal/flow/steer/steer_test.go
+++ b/internal/flow/picker/picker_test.go
@@ -1,4 +1,4 @@
-package steer
+package picker
 
 import (
 	"fmt"
@@ -9,37 +9,37 @@
 	"github.com/google/go-cmp/cmp"
 
 	"jacinthfront.dev/jacinthfront/internal/flow/admit"
-	"jacinthfront.dev/jacinthfront/internal/flow/stock"
+	"jacinthfront.dev/jacinthfront/internal/flow/lora"
 	"jacinthfront.dev/jacinthfront/internal/state/fleet"
 )
 
-var wanted = stock.Adapter{Name: "a1", Version: 2}
+var wanted = lora.Adapter{Name: "a1", Version: 2}
 
 func engine(number int) fleet.Upstream {
 	return fleet.Upstream{
 		ID: fmt.Sprint("i-", number), Service: "advisor", Address: fmt.Sprintf("10.0.0.%d:80", number),
-		Slots: 64, Born: 1000,
+		Slots: 64, StartedAt: 1000,
 	}
 }
 
 // report is what a loader says of an engine that holds the adapters.
-func report(serial uint64, backlog int64, adapters ...stock.Adapter) Report {
+func report(serial uint64, backlog int64, adapters ...lora.Adapter) Report {
 	return Report{
-		Born: 1000, Serial: serial, FullSerial: serial, ModelLoaded: true, TotalTokens: 122_000,
-		Backlog: backlog, FreePlaces: 5, Resident: adapters,
+		StartedAt: 1000, Serial: serial, FullSerial: serial, ModelLoaded: true, TotalTokens: 122_000,
+		Backlog: backlog, FreeAdapterSlots: 5, Resident: adapters,
 	}
 }
 
 // newBoard returns a Board with three engines and their first reports.
-func newBoard(reports ...Report) *Board {
+func newBoard(reports ...Report) *Picker {
 	board := New(Config{})
 	var listed []fleet.Upstream
 	for i := range reports {
 		listed = append(listed, engine(i))
 	}
-	board.Follow(listed)
+	board.SetUpstreams(listed)
 	for i, report := range reports {
-		board.Reported(listed[i].ID, report)
+		board.RecordReport(listed[i].ID, report)
 	}
 	return board
 }
@@ -50,7 +50,7 @@
 func TestNewEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		board := newBoard(report(1, 6000), report(1, 6000))
-		board.Follow([]fleet.Upstream{engine(0), engine(1), engine(2)})
+		board.SetUpstreams([]fleet.Upstream{engine(0), engine(1), engine(2)})
 		chosen := func() (count int) {
 			for number := range 20 {
 				request := need()
@@ -65,23 +65,25 @@
 			t.Errorf("%d of 20 adapters are asked for at an engine that has not reported", count)
 		}
 		time.Sleep(silentStart)
-		board.Reported("i-0", report(2, 9000))
-		board.Reported("i-1", report(2, 9000))
+		board.RecordReport("i-0", report(2, 9000))
+		board.RecordReport("i-1", report(2, 9000))
 		if chosen() == 0 {
 			t.Error("an engine without a loader is never used")
 		}
 	})
 }
 
-func need() Need { return Need{Service: "advisor", Engine: true, Adapter: wanted, Tokens: 1600} }
+func need() Request {
+	return Request{Service: "advisor", Engine: true, Adapter: wanted, KVTokens: 1600}
+}
 
 func TestChoose(t *testing.T) {
-	older := stock.Adapter{Name: "a1", Version: 1}
+	older := lora.Adapter{Name: "a1", Version: 1}
 	tests := []struct {
 		name    string
 		guards  string
 		reports []Report
-		change  func(board *Board, need *Need)
+		change  func(board *Picker, need *Request)
 		result  Result
 		id      string
 		copies  bool
@@ -96,7 +98,7 @@
 		},
 		{
 			name: "older version", guards: "a request begins on a version that was replaced",
-			reports: []Report{report(1, 0, older)}, result: Absent, id: "i-0",
+			reports: []Report{report(1, 0, older)}, result: AdapterMissing, id: "i-0",
 		},
 		{
 			name: "copy", guards: "the most popular adapter stays at one engine",
@@ -109,88 +111,88 @@
 		{
 			name: "hopeless", guards: "requests wait where they cannot start before the goal",
 			reports: []Report{report(1, 20_000, wanted)}, result: Full,
-			change: func(_ *Board, need *Need) { need.Limit = 14_400 },
+			change: func(_ *Picker, need *Request) { need.MaxWait = 14_400 },
 		},
 		{
 			name: "tried", guards: "a request goes twice to the engine that failed it",
 			reports: []Report{report(1, 0, wanted), report(1, 0, wanted)}, result: Found, id: "i-1",
-			change: func(_ *Board, need *Need) { need.Exclude = []string{"i-0"} },
+			change: func(_ *Picker, need *Request) { need.Exclude = []string{"i-0"} },
 		},
 		{
 			name: "no places", guards: "an adapter is asked for where all places are in use",
 			reports: []Report{
-				{Born: 1000, Serial: 1, ModelLoaded: true, TotalTokens: 122_000},
+				{StartedAt: 1000, Serial: 1, ModelLoaded: true, TotalTokens: 122_000},
 				report(1, 0),
 			},
-			result: Absent, id: "i-1",
+			result: AdapterMissing, id: "i-1",
 		},
 		{
 			name: "starting", guards: "requests are refused while engines load their model after a loss of power",
-			reports: []Report{{Born: 1000, Serial: 1}}, result: Starting,
+			reports: []Report{{StartedAt: 1000, Serial: 1}}, result: Starting,
 		},
 		{
 			name: "others starting", guards: "requests are refused at the first engine that is back after a loss of power",
-			reports: []Report{report(1, 20_000, wanted), {Born: 1000, Serial: 1}}, result: Starting,
-			change: func(_ *Board, need *Need) { need.Limit = 14_400 },
+			reports: []Report{report(1, 20_000, wanted), {StartedAt: 1000, Serial: 1}}, result: Starting,
+			change: func(_ *Picker, need *Request) { need.MaxWait = 14_400 },
 		},
 		{
 			name: "load queue", guards: "an adapter is asked for where many others are to be loaded first",
 			reports: []Report{
-				{Born: 1000, Serial: 1, ModelLoaded: true, TotalTokens: 122_000, FreePlaces: 5, Loads: 9},
+				{StartedAt: 1000, Serial: 1, ModelLoaded: true, TotalTokens: 122_000, FreeAdapterSlots: 5, QueuedLoads: 9},
 				report(1, 0),
-				{Born: 1000, Serial: 1, ModelLoaded: true, TotalTokens: 122_000, FreePlaces: 5, Loads: 9},
+				{StartedAt: 1000, Serial: 1, ModelLoaded: true, TotalTokens: 122_000, FreeAdapterSlots: 5, QueuedLoads: 9},
 			},
-			result: Absent, id: "i-1",
+			result: AdapterMissing, id: "i-1",
 		},
 		{
 			name: "unreachable", guards: "requests are sent to an engine that went dark, until its entry lapses",
-			reports: []Report{report(1, 0, wanted), report(1, 0)}, result: Absent, id: "i-1",
-			change: func(board *Board, _ *Need) {
+			reports: []Report{report(1, 0, wanted), report(1, 0)}, result: AdapterMissing, id: "i-1",
+			change: func(board *Picker, _ *Request) {
 				dark := report(2, 0, wanted)
 				dark.Unreachable = true
-				board.Reported("i-0", dark)
+				board.RecordReport("i-0", dark)
 			},
 		},
 		{
 			name: "restarted", guards: "requests are sent to an id whose engine has started anew",
-			reports: []Report{report(1, 0, wanted), report(1, 0)}, result: Absent, id: "i-1",
-			change: func(board *Board, _ *Need) {
+			reports: []Report{report(1, 0, wanted), report(1, 0)}, result: AdapterMissing, id: "i-1",
+			change: func(board *Picker, _ *Request) {
 				anew := report(2, 0)
-				anew.Born = 2000
-				board.Reported("i-0", anew)
+				anew.StartedAt = 2000
+				board.RecordReport("i-0", anew)
 			},
 		},
 		{
 			name: "draining", guards: "new work for a leaving engine",
-			reports: []Report{report(1, 0, wanted)}, result: None,
-			change: func(board *Board, _ *Need) {
+			reports: []Report{report(1, 0, wanted)}, result: NoUpstream,
+			change: func(board *Picker, _ *Request) {
 				leaving := engine(0)
 				leaving.Draining = true
-				board.Follow([]fleet.Upstream{leaving})
+				board.SetUpstreams([]fleet.Upstream{leaving})
 			},
 		},
 		{
 			name: "address used again", guards: "an ended start that is still listed at its old address",
-			reports: []Report{report(1, 0, wanted)}, result: None,
-			change: func(board *Board, _ *Need) {
+			reports: []Report{report(1, 0, wanted)}, result: NoUpstream,
+			change: func(board *Picker, _ *Request) {
 				next := engine(0)
-				next.ID, next.Service, next.Born = "i-9", "counter", 3000
-				board.Follow([]fleet.Upstream{engine(0), next})
+				next.ID, next.Service, next.StartedAt = "i-9", "counter", 3000
+				board.SetUpstreams([]fleet.Upstream{engine(0), next})
 			},
 		},
 		{
 			name: "brief", guards: "residency is lost with each report that names no adapters",
 			reports: []Report{report(1, 0, wanted), report(1, 0)}, result: Found, id: "i-0",
-			change: func(board *Board, _ *Need) {
+			change: func(board *Picker, _ *Request) {
 				brief := report(2, 100)
-				brief.Brief, brief.FullSerial = true, 1
-				board.Reported("i-0", brief)
+				brief.OmitsAdapters, brief.FullSerial = true, 1
+				board.RecordReport("i-0", brief)
 			},
 		},
 		{
 			name: "refused as absent", guards: "a request goes again to an engine that said it lacks the adapter",
-			reports: []Report{report(1, 0, wanted), report(1, 0)}, result: Absent,
-			change: func(board *Board, _ *Need) { board.Absent("i-0", wanted) },
+			reports: []Report{report(1, 0, wanted), report(1, 0)}, result: AdapterMissing,
+			change: func(board *Picker, _ *Request) { board.RecordMissing("i-0", wanted) },
 		},
 	}
 	for _, test := range tests {
@@ -207,7 +209,7 @@
 				if test.id != "" && choice.Upstream.ID != test.id {
 					t.Errorf("%s: chose %s, want %s", test.guards, choice.Upstream.ID, test.id)
 				}
-				if copies := choice.Copy.ID != ""; copies != test.copies {
+				if copies := choice.CopyTo.ID != ""; copies != test.copies {
 					t.Errorf("%s: copy asked for %v, want %v", test.guards, copies, test.copies)
 				}
 			})
@@ -239,11 +241,11 @@
 				board := newBoard(report(1, 0, wanted))
 				listed := engine(0)
 				listed.Draining = test.draining
-				board.Follow([]fleet.Upstream{listed})
+				board.SetUpstreams([]fleet.Upstream{listed})
 				next := report(2, 0, wanted)
-				next.Unreachable, next.Silent, next.Born = test.unreachable, test.silent, test.born
-				board.Reported("i-0", next)
-				if got := board.Lost("i-0"); got != test.want {
+				next.Unreachable, next.Unresponsive, next.StartedAt = test.unreachable, test.silent, test.born
+				board.RecordReport("i-0", next)
+				if got := board.Gone("i-0"); got != test.want {
 					t.Errorf("lost is %v, want %v", got, test.want)
 				}
 			})
@@ -259,7 +261,7 @@
 		counts := make(map[string]int)
 		for number := range uint64(30) {
 			choice := board.Choose(need())
-			board.Place(choice.Upstream.ID, admit.Ask{ID: number, Adapter: wanted, Prompt: 1460}, time.Time{})
+			board.AddWaiting(choice.Upstream.ID, admit.Request{ID: number, Adapter: wanted, PromptTokens: 1460}, time.Time{})
 			counts[choice.Upstream.ID]++
 		}
 		if diff := cmp.Diff(map[string]int{"i-0": 10, "i-1": 10, "i-2": 10}, counts); diff != "" {
@@ -272,17 +274,17 @@
 func TestTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		board := newBoard(report(1, 0, wanted))
-		board.Place("i-0", admit.Ask{ID: 7, Adapter: wanted}, time.Time{})
-		if got := board.Turn("i-0", 7); got != Waiting {
+		board.AddWaiting("i-0", admit.Request{ID: 7, Adapter: wanted}, time.Time{})
+		if got := board.GrantState("i-0", 7); got != Waiting {
 			t.Errorf("turn %d before the grant, want %d", got, Waiting)
 		}
-		time.Sleep(DefaultFresh + time.Millisecond)
-		if got := board.Turn("i-0", 7); got != Unruled {
-			t.Errorf("turn %d without reports, want %d", got, Unruled)
+		time.Sleep(DefaultReportTTL + time.Millisecond)
+		if got := board.GrantState("i-0", 7); got != NoLoader {
+			t.Errorf("turn %d without reports, want %d", got, NoLoader)
 		}
-		board.Granted("i-0", []uint64{7})
-		if got := board.Turn("i-0", 7); got != Come {
-			t.Errorf("turn %d after the grant, want %d", got, Come)
+		board.RecordGrants("i-0", []uint64{7})
+		if got := board.GrantState("i-0", 7); got != Granted {
+			t.Errorf("turn %d after the grant, want %d", got, Granted)
 		}
 	})
 }
@@ -295,16 +297,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		board := newBoard(report(1, 0, wanted), report(1, 0))
 		request := need()
-		request.Limit = 600 * time.Millisecond
+		request.MaxWait = 600 * time.Millisecond
 		for number := range uint64(60) {
-			missing := stock.Adapter{Name: fmt.Sprint("b", number)}
-			board.Place("i-0", admit.Ask{ID: number, Adapter: missing, Prompt: 830}, time.Time{})
-			board.Place("i-0", admit.Ask{ID: 100 + number, Adapter: wanted, Prompt: 830}, time.Now())
+			missing := lora.Adapter{Name: fmt.Sprint("b", number)}
+			board.AddWaiting("i-0", admit.Request{ID: number, Adapter: missing, PromptTokens: 830}, time.Time{})
+			board.AddWaiting("i-0", admit.Request{ID: 100 + number, Adapter: wanted, PromptTokens: 830}, time.Now())
 		}
 		if got := board.Choose(request); got.Result != Found || got.Upstream.ID != "i-0" {
 			t.Errorf("on time: result %d at %q, want %d at i-0", got.Result, got.Upstream.ID, Found)
 		}
-		request.Late, request.Limit = true, 0
+		request.Late, request.MaxWait = true, 0
 		if got := board.Choose(request); got.Wait < time.Second {
 			t.Errorf("late: wait %v behind 60 others, want a second or more", got.Wait)
 		}
@@ -316,18 +318,18 @@
 func TestLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		board := newBoard(report(1, 0, wanted))
-		missing := stock.Adapter{Name: "b1"}
-		board.Place("i-0", admit.Ask{ID: 1, Adapter: missing}, time.Now().Add(500*time.Millisecond))
-		board.Place("i-0", admit.Ask{ID: 2, Adapter: missing}, time.Time{})
+		missing := lora.Adapter{Name: "b1"}
+		board.AddWaiting("i-0", admit.Request{ID: 1, Adapter: missing}, time.Now().Add(500*time.Millisecond))
+		board.AddWaiting("i-0", admit.Request{ID: 2, Adapter: missing}, time.Time{})
 		for _, want := range []int{0, 1} {
 			var got []int
-			for _, use := range board.Uses("i-0") {
+			for _, use := range board.AdapterDemand("i-0") {
 				got = append(got, use.Waiting, use.Late)
 			}
 			if diff := cmp.Diff([]int{2, want}, got); diff != "" {
 				t.Errorf("waiting and late (-want +got):\n%s", diff)
 			}
-			asks := board.Asks("i-0")
+			asks := board.WaitingRequests("i-0")
 			if diff := cmp.Diff([]bool{want == 1, false}, []bool{asks[0].Late, asks[1].Late}); diff != "" {
 				t.Errorf("asks are late (-want +got):\n%s", diff)
 			}
@@ -353,7 +355,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				board := newBoard(report(1, test.backlog, wanted), report(1, 0, wanted))
 				request := need()
-				request.At = "i-0"
+				request.WaitingAt = "i-0"
 				if got := board.Choose(request).Upstream.ID; got != test.want {
 					t.Errorf("chose %s, want %s", got, test.want)
 				}
--- a/internal/flow/steer/recall_test.go
+++ b/internal/flow/picker/recall_test.go
@@ -1,4 +1,4 @@
-package steer
+package picker
 
 import (
 	"fmt"
@@ -10,23 +10,23 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"jacinthfront.dev/jacinthfront/internal/flow/stock"
+	"jacinthfront.dev/jacinthfront/internal/flow/lora"
 	"jacinthfront.dev/jacinthfront/internal/state/fleet"
 )
 
 // dropping is a report of an engine that dropped the adapters.
-func dropping(serial uint64, backlog int64, adapters ...stock.Adapter) Report {
+func dropping(serial uint64, backlog int64, adapters ...lora.Adapter) Report {
 	told := report(serial, backlog)
-	told.Reach, told.Dropped = 128, adapters
+	told.CacheCapacity, told.Dropped = 128, adapters
 	return told
 }
 
 func TestRecaller(t *testing.T) {
-	older := stock.Adapter{Name: wanted.Name, Version: 1}
+	older := lora.Adapter{Name: wanted.Name, Version: 1}
 	full := dropping(1, 0, wanted)
-	full.FreePlaces = 0
-	short := dropping(1, 0, wanted, stock.Adapter{Name: "a7"})
-	short.Reach = 1
+	full.FreeAdapterSlots = 0
+	short := dropping(1, 0, wanted, lora.Adapter{Name: "a7"})
+	short.CacheCapacity = 1
 	tests := []struct {
 		name    string
 		guards  string
@@ -36,7 +36,7 @@
 	}{
 		{
 			name: "before a fetch", guards: "an adapter fetched from the store although an engine recalls it",
-			reports: []Report{report(1, 0), report(1, 0), dropping(1, 2000, wanted), report(1, 0)}, result: Absent, id: "i-2",
+			reports: []Report{report(1, 0), report(1, 0), dropping(1, 2000, wanted), report(1, 0)}, result: AdapterMissing, id: "i-2",
 		},
 		{
 			name: "after a holder", guards: "an adapter brought back beside an engine that holds it",
@@ -44,11 +44,11 @@
 		},
 		{
 			name: "before a crowded holder", guards: "a wait that a quick recall elsewhere saves",
-			reports: []Report{report(1, 6000, wanted), dropping(1, 0, wanted)}, result: Absent, id: "i-1",
+			reports: []Report{report(1, 6000, wanted), dropping(1, 0, wanted)}, result: AdapterMissing, id: "i-1",
 		},
 		{
 			name: "crowded itself", guards: "a wait longer than a fetch to an idle engine",
-			reports: []Report{report(1, 0), dropping(1, 9000, wanted)}, result: Absent, id: "i-0",
+			reports: []Report{report(1, 0), dropping(1, 9000, wanted)}, result: AdapterMissing, id: "i-0",
 		},
 		{
 			name: "older version", guards: "a version that was replaced counted as recalled",
@@ -56,7 +56,7 @@
 		},
 		{
 			name: "no place", guards: "an engine whose places are all in use",
-			reports: []Report{full, report(1, 0)}, result: Absent, id: "i-1",
+			reports: []Report{full, report(1, 0)}, result: AdapterMissing, id: "i-1",
 		},
 		{
 			name: "out of reach", guards: "an adapter that the engine has to fetch as well",
@@ -86,14 +86,14 @@
 // shelf is what one engine holds, the adapter used last at the end, and what it
 // held since its start.
 type shelf struct {
-	held []stock.Adapter
+	held []lora.Adapter
 	ever map[string]bool
 }
 
 // serve has an adapter used at an engine.
-func (store *store) serve(number int, adapter stock.Adapter) {
+func (store *store) serve(number int, adapter lora.Adapter) {
 	shelf := store.engines[number]
-	shelf.held = slices.DeleteFunc(shelf.held, func(held stock.Adapter) bool { return held == adapter })
+	shelf.held = slices.DeleteFunc(shelf.held, func(held lora.Adapter) bool { return held == adapter })
 	if !shelf.ever[adapter.Name] {
 		store.fetched++
 		shelf.ever[adapter.Name] = true
@@ -102,12 +102,12 @@
 	shelf.held = slices.Clone(shelf.held[max(len(shelf.held)-store.places, 0):])
 }
 
-func (store *store) tell(board *Board, random *rand.Rand) {
+func (store *store) tell(board *Picker, random *rand.Rand) {
 	for number, shelf := range store.engines {
 		store.serial++
 		told := report(store.serial, random.Int64N(6000), shelf.held...)
-		told.Reach = 128
-		board.Reported(engine(number).ID, told)
+		told.CacheCapacity = 128
+		board.RecordReport(engine(number).ID, told)
 	}
 }
 
@@ -125,15 +125,15 @@
 			listed = append(listed, engine(number))
 			fleetOf.engines = append(fleetOf.engines, &shelf{ever: make(map[string]bool)})
 		}
-		board.Follow(listed)
+		board.SetUpstreams(listed)
 		zipf := rand.NewZipf(random, 1.1, 4, 399)
 		different := make(map[string]bool)
 		for step := range 4000 {
 			fleetOf.tell(board, random)
 			shift := step / 500 % 3 * 130
-			adapter := stock.Adapter{Name: fmt.Sprint("a", (int(zipf.Uint64())+shift)%400)}
+			adapter := lora.Adapter{Name: fmt.Sprint("a", (int(zipf.Uint64())+shift)%400)}
 			different[adapter.Name] = true
-			choice := board.Choose(Need{Service: "advisor", Engine: true, Adapter: adapter, Tokens: 1600})
+			choice := board.Choose(Request{Service: "advisor", Engine: true, Adapter: adapter, KVTokens: 1600})
 			number := slices.IndexFunc(listed, func(upstream fleet.Upstream) bool { return upstream.ID == choice.Upstream.ID })
 			if number < 0 {
 				t.Fatalf("step %d: %v", step, choice.Result)
@@ -153,12 +153,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		board := newBoard(dropping(1, 0, wanted), report(1, 0))
 		again := report(1, 0)
-		again.Born, again.Reach = 2000, 128
+		again.StartedAt, again.CacheCapacity = 2000, 128
 		moved := engine(0)
-		moved.Born = 2000
-		board.Follow([]fleet.Upstream{moved, engine(1)})
-		board.Reported("i-0", again)
-		if diff := cmp.Diff(stock.Never, board.upstreams["i-0"].memory.Depth(wanted)); diff != "" {
+		moved.StartedAt = 2000
+		board.SetUpstreams([]fleet.Upstream{moved, engine(1)})
+		board.RecordReport("i-0", again)
+		if diff := cmp.Diff(lora.NeverEvicted, board.upstreams["i-0"].memory.Depth(wanted)); diff != "" {
 			t.Errorf("depth (-want +got):\n%s", diff)
 		}
 	})
--- a/internal/flow/steer/target.go
+++ b/internal/flow/picker/target.go
@@ -1,18 +1,18 @@
-package steer
+package picker
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/flow/elect"
-	"jacinthfront.dev/jacinthfront/internal/flow/stock"
+	"jacinthfront.dev/jacinthfront/internal/flow/lora"
+	"jacinthfront.dev/jacinthfront/internal/flow/rank"
 )
 
 // target returns where an adapter should be brought: where it is already on its
 // way, else the less loaded of the two upstreams that rank first for it, so that
 // all instances tend to agree and an engine sees an adapter again.
-func (board *Board) target(candidates []candidate, adapter stock.Adapter) (candidate, bool) {
+func (board *Picker) target(candidates []candidate, adapter lora.Adapter) (candidate, bool) {
 	open := slices.DeleteFunc(candidates, func(entry candidate) bool { return entry.full })
 	if len(open) == 0 {
 		return candidate{}, false
@@ -25,11 +25,11 @@
 		return slices.MinFunc(coming, byLoad), true
 	}
 	slices.SortFunc(open, func(a, b candidate) int {
-		return cmp.Compare(elect.Rank(adapter.Name, b.spec.ID), elect.Rank(adapter.Name, a.spec.ID))
+		return cmp.Compare(rank.Score(adapter.Name, b.spec.ID), rank.Score(adapter.Name, a.spec.ID))
 	})
 	first := open[0]
 	for _, entry := range open[1:] {
-		if first.bringWait() <= entry.bringWait()+board.config.Spread {
+		if first.bringWait() <= entry.bringWait()+board.config.SpillThreshold {
 			break
 		}
 		first = entry
@@ -39,7 +39,7 @@
 
 // leastRecaller returns the upstream with the shortest wait among those that
 // bring an adapter back by themselves and have a place for it.
-func leastRecaller(candidates []candidate, adapter stock.Adapter) (candidate, bool) {
+func leastRecaller(candidates []candidate, adapter lora.Adapter) (candidate, bool) {
 	able := slices.DeleteFunc(slices.Clone(candidates), func(entry candidate) bool {
 		return entry.full || !entry.recalls(adapter) || !entry.roomy(adapter)
 	})
@@ -51,19 +51,19 @@
 
 // roomy reports whether the upstream has a place for an adapter, or has promised
 // it one.
-func (entry *upstream) roomy(adapter stock.Adapter) bool {
-	return entry.reported.IsZero() || entry.report.FreePlaces > 0 || entry.coming(adapter)
+func (entry *upstream) roomy(adapter lora.Adapter) bool {
+	return entry.reported.IsZero() || entry.report.FreeAdapterSlots > 0 || entry.coming(adapter)
 }
 
 // recalls reports whether the engine is thought to bring an adapter back by
 // itself.
-func (entry *upstream) recalls(adapter stock.Adapter) bool {
+func (entry *upstream) recalls(adapter lora.Adapter) bool {
 	depth := entry.memory.Depth(adapter)
-	return depth != stock.Never && depth < entry.report.Reach
+	return depth != lora.NeverEvicted && depth < entry.report.CacheCapacity
 }
 
 // bringWait returns how long a request waits whose adapter has to be brought,
 // apart from the time for its own.
 func (candidate candidate) bringWait() time.Duration {
-	return candidate.wait + time.Duration(candidate.report.Loads)*loadTime
+	return candidate.wait + time.Duration(candidate.report.QueuedLoads)*loadTime
 }
--- a/internal/flow/steer/usable.go
+++ b/internal/flow/picker/usable.go
@@ -1,28 +1,28 @@
-package steer
+package picker
 
 import (
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/flow/avoid"
+	"jacinthfront.dev/jacinthfront/internal/flow/cordon"
 )
 
 // avoided reports whether an upstream wants no requests, and until when.
-func (board *Board) avoided(entry *upstream) (until time.Time, avoided bool) {
+func (board *Picker) avoided(entry *upstream) (until time.Time, avoided bool) {
 	if board.config.Avoided == nil {
 		return time.Time{}, false
 	}
-	return board.config.Avoided.Avoided(avoid.Start{ID: entry.spec.ID, Born: entry.spec.Born})
+	return board.config.Avoided.Avoided(cordon.Incarnation{ID: entry.spec.ID, StartedAt: entry.spec.StartedAt})
 }
 
 // usable reports whether requests may be sent to an upstream.
-func (board *Board) usable(entry *upstream) bool {
+func (board *Picker) usable(entry *upstream) bool {
 	_, avoided := board.avoided(entry)
 	return !avoided && !entry.leaving()
 }
 
 // rest returns the time until the first upstream of a service that rests may be
 // used again, or 0 if none does.
-func (board *Board) rest(need Need) time.Duration {
+func (board *Picker) rest(need Request) time.Duration {
 	var rest time.Duration
 	for _, entry := range board.services[need.Service] {
 		until, _ := board.avoided(entry)
@@ -37,13 +37,13 @@
 }
 
 // nothing tells apart why a service has no usable upstream.
-func (board *Board) nothing(need Need) Result {
+func (board *Picker) nothing(need Request) Result {
 	for _, entry := range board.services[need.Service] {
 		if need.Engine && board.usable(entry) && !entry.report.Unreachable && !entry.reported.IsZero() && !entry.report.ModelLoaded {
 			return Starting
 		}
 	}
-	return None
+	return NoUpstream
 }
 
 func (entry *upstream) leaving() bool {
@@ -53,5 +53,5 @@
 // restarted reports whether the engine at the address has started anew since
 // the upstream was listed.
 func (entry *upstream) restarted() bool {
-	return entry.spec.Born > 0 && entry.report.Born > entry.spec.Born
+	return entry.spec.StartedAt > 0 && entry.report.StartedAt > entry.spec.StartedAt
 }
--- a/internal/flow/route/policy.go
+++ b/internal/flow/policy/policy.go
@@ -1,5 +1,5 @@
-// Package route chooses the upstream of a request.
-package route
+// Package policy chooses the upstream of a request.
+package policy
 
 import (
 	"time"
@@ -18,21 +18,21 @@
 
 // Request describes the work that needs an upstream.
 type Request struct {
-	// Adapter is place.AdapterHash, or 0 for a plain service.
-	Adapter uint64
-	// Prefix identifies the beginning of the prompt, or is 0.
-	Prefix uint64
-	Half   model.Half
-	// Tokens is the estimate of the prompt's length.
-	Tokens model.Tokens
+	// AdapterHash is place.AdapterHash, or 0 for a plain service.
+	AdapterHash uint64
+	// PrefixHash identifies the beginning of the prompt, or is 0.
+	PrefixHash uint64
+	Half       model.Half
+	// PromptTokens is the estimate of the prompt's length.
+	PromptTokens model.Tokens
 	// Avoid lists upstreams that are chosen only when no other is usable.
 	Avoid []string
-	// Only names the one upstream that may be chosen, or is empty.
-	Only string
+	// RequiredUpstream names the one upstream that may be chosen, or is empty.
+	RequiredUpstream string
 }
 
-// Load is the part of a side process's load report that decisions need.
-type Load struct {
+// LoadReport is the part of a side process's load report that decisions need.
+type LoadReport struct {
 	Incarnation  uint64
 	QueuedTokens model.Tokens
 	Queued       uint32
@@ -40,10 +40,10 @@
 	Slots        uint32
 	FreeSlots    uint32
 	ExpectedWait time.Duration
-	// Loaded holds hashes of the adapters that need no load. The Policy
+	// LoadedAdapters holds hashes of the adapters that need no load. The Policy
 	// copies it.
-	Loaded   []uint64
-	Draining bool
+	LoadedAdapters []uint64
+	Draining       bool
 }
 
 // Reason says why an upstream was chosen.
@@ -80,8 +80,8 @@
 // MaxCandidates bounds the candidates of one decision.
 const MaxCandidates = 4
 
-// Alternative is a candidate with its score in milliseconds.
-type Alternative struct {
+// Candidate is a candidate with its score in milliseconds.
+type Candidate struct {
 	Upstream string
 	Score    float64
 	Loaded   bool
@@ -94,12 +94,12 @@
 	// Incarnation is that of the side process when it last reported, or 0.
 	Incarnation uint64
 
-	alternatives [MaxCandidates]Alternative
+	alternatives [MaxCandidates]Candidate
 	count        int
 }
 
-// Alternatives returns the candidates, the chosen one included.
-func (decision *Decision) Alternatives() []Alternative {
+// Candidates returns the candidates, the chosen one included.
+func (decision *Decision) Candidates() []Candidate {
 	return decision.alternatives[:decision.count]
 }
 
@@ -110,26 +110,26 @@
 	SetMembers(members []Member, instances int)
 	// Choose picks an upstream and counts a send to it.
 	Choose(now time.Time, request Request) (Decision, bool)
-	// Ended says that a request sent to the upstream has ended.
-	Ended(upstream string)
-	// Report stores a load report of the upstream.
-	Report(now time.Time, upstream string, load Load)
+	// RequestEnded says that a request sent to the upstream has ended.
+	RequestEnded(upstream string)
+	// UpdateLoad stores a load report of the upstream.
+	UpdateLoad(now time.Time, upstream string, load LoadReport)
 }
 
 // Health says which upstreams are ejected.
 type Health interface {
 	// Usable reports whether the upstream may get a request now.
 	Usable(upstream string) bool
-	// Probe says that the upstream was chosen, which takes the only probe of
+	// TryProbe says that the upstream was chosen, which takes the only probe of
 	// an ejected one. The choice stands whatever it reports.
-	Probe(upstream string) bool
+	TryProbe(upstream string) bool
 }
 
-// Healthy is the default Health: it ejects nothing.
-type Healthy struct{}
+// NoEjection is the default Health: it ejects nothing.
+type NoEjection struct{}
 
 // Usable implements Health.
-func (Healthy) Usable(string) bool { return true }
+func (NoEjection) Usable(string) bool { return true }
 
-// Probe implements Health.
-func (Healthy) Probe(string) bool { return true }
+// TryProbe implements Health.
+func (NoEjection) TryProbe(string) bool { return true }
--- a/internal/flow/route/rotate.go
+++ b/internal/flow/policy/rotate.go
@@ -1,4 +1,4 @@
-package route
+package policy
 
 import (
 	"slices"
@@ -20,7 +20,7 @@
 // NewRoundRobin returns a RoundRobin. A nil health ejects nothing.
 func NewRoundRobin(health Health) *RoundRobin {
 	if health == nil {
-		health = Healthy{}
+		health = NoEjection{}
 	}
 	return &RoundRobin{health: health, incarnations: map[string]uint64{}}
 }
@@ -44,9 +44,9 @@
 			continue
 		}
 		decision := Decision{Upstream: member.ID, Reason: Rotation, Incarnation: roundRobin.incarnations[member.ID]}
-		decision.alternatives[0], decision.count = Alternative{Upstream: member.ID}, 1
+		decision.alternatives[0], decision.count = Candidate{Upstream: member.ID}, 1
 		if !slices.Contains(request.Avoid, member.ID) {
-			roundRobin.health.Probe(member.ID)
+			roundRobin.health.TryProbe(member.ID)
 			return decision, true
 		}
 		last = decision
@@ -55,7 +55,7 @@
 		return last, false
 	}
 	last.Reason = LastResort
-	roundRobin.health.Probe(last.Upstream)
+	roundRobin.health.TryProbe(last.Upstream)
 	return last, true
 }
 
@@ -63,17 +63,17 @@
 	if member.Leaving || !member.Half.Shares(request.Half) {
 		return false
 	}
-	if request.Only != "" && request.Only != member.ID {
+	if request.RequiredUpstream != "" && request.RequiredUpstream != member.ID {
 		return false
 	}
 	return roundRobin.health.Usable(member.ID)
 }
 
-// Ended implements Policy.
-func (*RoundRobin) Ended(string) {}
+// RequestEnded implements Policy.
+func (*RoundRobin) RequestEnded(string) {}
 
-// Report implements Policy.
-func (roundRobin *RoundRobin) Report(_ time.Time, upstream string, load Load) {
+// UpdateLoad implements Policy.
+func (roundRobin *RoundRobin) UpdateLoad(_ time.Time, upstream string, load LoadReport) {
 	roundRobin.mutex.Lock()
 	defer roundRobin.mutex.Unlock()
 	roundRobin.incarnations[upstream] = load.Incarnation
--- a/internal/flow/route/router.go
+++ b/internal/flow/policy/router.go
@@ -1,4 +1,4 @@
-package route
+package policy
 
 import (
 	"math"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/flow/place"
+	"jacinthfront.dev/jacinthfront/internal/flow/ring"
 )
 
 // prefixes is the number of prompt prefixes remembered.
@@ -18,9 +18,9 @@
 	config Config
 
 	mutex      sync.Mutex
-	ring       *place.Ring
+	ring       *ring.Ring
 	upstreams  []upstream
-	popularity *place.Popularity
+	popularity *ring.Popularity
 	instances  float64
 	generation uint64
 	random     *rand.Rand
@@ -40,10 +40,10 @@
 	}
 	return &Router{
 		config:    config,
-		ring:      place.NewRing(config.Upstreams),
+		ring:      ring.NewRing(config.Upstreams),
 		instances: 1,
 		random:    rand.New(rand.NewPCG(config.Seed, 0)),
-		popularity: place.NewPopularity(place.PopularityConfig{
+		popularity: ring.NewPopularity(ring.PopularityConfig{
 			Adapters: config.Adapters, HalfLife: config.HalfLife, Start: config.Start,
 		}),
 	}, nil
@@ -67,7 +67,7 @@
 }
 
 func (router *Router) put(member *Member) {
-	slot, known := router.ring.Slot(member.ID)
+	slot, known := router.ring.Index(member.ID)
 	if !known {
 		slot = router.ring.Add(member.ID)
 		if int(slot) == len(router.upstreams) {
@@ -83,23 +83,23 @@
 	}
 }
 
-// Report implements Policy.
-func (router *Router) Report(now time.Time, upstream string, load Load) {
+// UpdateLoad implements Policy.
+func (router *Router) UpdateLoad(now time.Time, upstream string, load LoadReport) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
-	if slot, ok := router.ring.Slot(upstream); ok {
+	if slot, ok := router.ring.Index(upstream); ok {
 		router.upstreams[slot].report(now.UnixNano(), &load)
 		router.upstreams[slot].least = router.least(now, &load)
 	}
 }
 
 // least returns the rate of the least popular adapter that a load would evict.
-func (router *Router) least(now time.Time, load *Load) float32 {
-	if len(load.Loaded) < int(load.Slots) {
+func (router *Router) least(now time.Time, load *LoadReport) float32 {
+	if len(load.LoadedAdapters) < int(load.Slots) {
 		return 0
 	}
 	least := math.Inf(1)
-	for _, adapter := range load.Loaded {
+	for _, adapter := range load.LoadedAdapters {
 		least = min(least, router.popularity.Rate(now, adapter))
 	}
 	if math.IsInf(least, 1) {
@@ -108,11 +108,11 @@
 	return float32(least * router.instances)
 }
 
-// Ended implements Policy.
-func (router *Router) Ended(upstream string) {
+// RequestEnded implements Policy.
+func (router *Router) RequestEnded(upstream string) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
-	if slot, ok := router.ring.Slot(upstream); ok && router.upstreams[slot].inFlight > 0 {
+	if slot, ok := router.ring.Index(upstream); ok && router.upstreams[slot].inFlight > 0 {
 		router.upstreams[slot].inFlight--
 	}
 }
@@ -121,7 +121,7 @@
 func (router *Router) Choose(now time.Time, request Request) (Decision, bool) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
-	if request.Only != "" {
+	if request.RequiredUpstream != "" {
 		return router.assign(now, &request)
 	}
 	search := router.search(now, &request)
@@ -144,16 +144,16 @@
 
 // assign returns the one upstream that the request allows.
 func (router *Router) assign(now time.Time, request *Request) (Decision, bool) {
-	slot, ok := router.ring.Slot(request.Only)
+	slot, ok := router.ring.Index(request.RequiredUpstream)
 	if !ok || !router.usable(now, slot, request) {
 		return Decision{}, false
 	}
 	state := &router.upstreams[slot]
-	decision := Decision{Upstream: request.Only, Reason: Assigned, Incarnation: state.incarnation}
+	decision := Decision{Upstream: request.RequiredUpstream, Reason: Assigned, Incarnation: state.incarnation}
 	score, loaded := state.score(now.UnixNano(), &router.config, request)
-	decision.alternatives[0], decision.count = Alternative{request.Only, score, loaded}, 1
+	decision.alternatives[0], decision.count = Candidate{request.RequiredUpstream, score, loaded}, 1
 	state.send(now.UnixNano(), request)
-	router.config.Health.Probe(request.Only)
+	router.config.Health.TryProbe(request.RequiredUpstream)
 	return decision, true
 }
 
@@ -163,11 +163,11 @@
 
 // replicas returns how many upstreams should serve the request's adapter.
 func (router *Router) replicas(now time.Time, request *Request) int {
-	if request.Adapter == 0 {
+	if request.AdapterHash == 0 {
 		return MaxCandidates
 	}
-	rate := router.popularity.Touch(now, request.Adapter) * router.instances
-	return place.Replicas(rate, router.config.ReplicaRate, MaxCandidates)
+	rate := router.popularity.CountRequest(now, request.AdapterHash) * router.instances
+	return ring.ReplicaCount(rate, router.config.ReplicaRate, MaxCandidates)
 }
 
 // decide scores the candidates and chooses one of them.
@@ -193,25 +193,25 @@
 		decision.Reason = TwoChoices
 	}
 	router.upstreams[slot].send(search.now.UnixNano(), &search.request)
-	router.config.Health.Probe(decision.Upstream)
-	if prefix := search.request.Prefix; prefix != 0 {
+	router.config.Health.TryProbe(decision.Upstream)
+	if prefix := search.request.PrefixHash; prefix != 0 {
 		router.prefixes[prefix%prefixes] = prefixMark{prefix, slot}
 	}
 	return decision
 }
 
 // rate returns a candidate with its score.
-func (router *Router) rate(search *search, index int, slot uint32) Alternative {
+func (router *Router) rate(search *search, index int, slot uint32) Candidate {
 	request := &search.request
 	score, loaded := router.upstreams[slot].score(search.now.UnixNano(), &router.config, request)
 	if index >= search.replicas {
 		score += router.config.Weights.Overflow
 	}
-	mark := router.prefixes[request.Prefix%prefixes]
-	if request.Prefix != 0 && mark.prefix == request.Prefix && mark.slot == slot {
+	mark := router.prefixes[request.PrefixHash%prefixes]
+	if request.PrefixHash != 0 && mark.prefix == request.PrefixHash && mark.slot == slot {
 		score -= router.config.Weights.Prefix
 	}
-	return Alternative{Upstream: router.ring.ID(slot), Score: score, Loaded: loaded}
+	return Candidate{Upstream: router.ring.ID(slot), Score: score, Loaded: loaded}
 }
 
 // choose takes two candidates at random among those whose scores equal the
--- a/internal/flow/route/router_test.go
+++ b/internal/flow/policy/router_test.go
@@ -1,4 +1,4 @@
-package route
+package policy
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"jacinthfront.dev/jacinthfront/internal/flow/place"
+	"jacinthfront.dev/jacinthfront/internal/flow/ring"
 	"jacinthfront.dev/jacinthfront/internal/state/model"
 )
 
@@ -18,8 +18,8 @@
 
 func (ejected ejected) Usable(upstream string) bool { return !ejected[upstream] }
 
-// Probe marks probed upstreams by a name that no upstream has.
-func (ejected ejected) Probe(upstream string) bool {
+// TryProbe marks probed upstreams by a name that no upstream has.
+func (ejected ejected) TryProbe(upstream string) bool {
 	ejected["probed "+upstream] = true
 	return true
 }
@@ -78,7 +78,7 @@
 // TestChoose guards against choices that ignore load, loaded adapters, distance
 // or exclusions. Upstreams are named by their place on the adapter's ring.
 func TestChoose(t *testing.T) {
-	adapter := place.AdapterHash("oak", 1)
+	adapter := ring.AdapterHash("oak", 1)
 	tests := []struct {
 		name    string
 		weights Weights
@@ -89,24 +89,24 @@
 	}{
 		{name: "home", want: 0, reason: LowestScore},
 		{name: "loaded at the next", setup: func(setup *setup) {
-			setup.router.Report(now, setup.order[1], Load{Loaded: []uint64{adapter}})
+			setup.router.UpdateLoad(now, setup.order[1], LoadReport{LoadedAdapters: []uint64{adapter}})
 		}, want: 1},
 		{name: "queue at home", setup: func(setup *setup) {
-			setup.router.Report(now, setup.order[0], Load{ExpectedWait: time.Second})
+			setup.router.UpdateLoad(now, setup.order[0], LoadReport{ExpectedWait: time.Second})
 		}, want: 1},
 		{name: "queue at home worked off", setup: func(setup *setup) {
-			setup.router.Report(now.Add(-time.Second), setup.order[0], Load{ExpectedWait: time.Second})
+			setup.router.UpdateLoad(now.Add(-time.Second), setup.order[0], LoadReport{ExpectedWait: time.Second})
 		}, want: 0},
 		{name: "gourd waits for the loaded adapter", weights: Gourd(), setup: func(setup *setup) {
-			setup.router.Report(now, setup.order[0], Load{ExpectedWait: 400 * time.Millisecond, Loaded: []uint64{adapter}})
+			setup.router.UpdateLoad(now, setup.order[0], LoadReport{ExpectedWait: 400 * time.Millisecond, LoadedAdapters: []uint64{adapter}})
 		}, want: 0},
 		{name: "bonsai does not", weights: Bonsai(), setup: func(setup *setup) {
-			setup.router.Report(now, setup.order[0], Load{ExpectedWait: 400 * time.Millisecond, Loaded: []uint64{adapter}})
+			setup.router.UpdateLoad(now, setup.order[0], LoadReport{ExpectedWait: 400 * time.Millisecond, LoadedAdapters: []uint64{adapter}})
 		}, want: 1},
 		{name: "ejected", setup: func(setup *setup) { setup.ejected[setup.order[0]] = true }, want: 1, reason: RingSearch},
-		{name: "draining", setup: func(setup *setup) { setup.router.Report(now, setup.order[0], Load{Draining: true}) }, want: 1, reason: RingSearch},
+		{name: "draining", setup: func(setup *setup) { setup.router.UpdateLoad(now, setup.order[0], LoadReport{Draining: true}) }, want: 1, reason: RingSearch},
 		{name: "draining long ago", setup: func(setup *setup) {
-			setup.router.Report(now.Add(-time.Minute), setup.order[0], Load{Draining: true})
+			setup.router.UpdateLoad(now.Add(-time.Minute), setup.order[0], LoadReport{Draining: true})
 		}, want: 0},
 		{name: "leaving", setup: func(setup *setup) { setup.leave(0) }, want: 1, reason: RingSearch},
 		{name: "other half", setup: func(setup *setup) {
@@ -116,13 +116,13 @@
 		}, want: 2, reason: LowestScore},
 		{name: "tried", setup: func(setup *setup) { setup.request.Avoid = setup.order[:1] }, want: 1, reason: RingSearch},
 		{name: "all tried", setup: func(setup *setup) { setup.request.Avoid = setup.order }, want: 0, reason: LastResort},
-		{name: "only", setup: func(setup *setup) { setup.request.Only = setup.order[2] }, want: 2, reason: Assigned},
+		{name: "only", setup: func(setup *setup) { setup.request.RequiredUpstream = setup.order[2] }, want: 2, reason: Assigned},
 		{name: "only, but ejected", setup: func(setup *setup) {
-			setup.request.Only = setup.order[2]
+			setup.request.RequiredUpstream = setup.order[2]
 			setup.ejected[setup.order[2]] = true
 		}, none: true},
 		{name: "only, but in the other half", setup: func(setup *setup) {
-			setup.request.Half, setup.request.Only = "north", setup.order[2]
+			setup.request.Half, setup.request.RequiredUpstream = "north", setup.order[2]
 			setup.halve(2)
 		}, none: true},
 		{name: "all ejected", setup: func(setup *setup) {
@@ -131,15 +131,15 @@
 			}
 		}, none: true},
 		{name: "own sends count", weights: Weights{Load: 1, Send: 200, Overflow: 100}, setup: func(setup *setup) {
-			_, _ = setup.router.Choose(now, Request{Only: setup.order[0], Adapter: 5})
+			_, _ = setup.router.Choose(now, Request{RequiredUpstream: setup.order[0], AdapterHash: 5})
 		}, want: 1},
 		{name: "distance", weights: Weights{Distance: 1000}, setup: func(setup *setup) {
 			setup.change(0, func(member *Member) { member.FailureDomain = "far" })
 		}, want: 1},
 		{name: "prefix", weights: Weights{Prefix: 1000, Overflow: 10}, setup: func(setup *setup) {
-			setup.request.Prefix = 99
+			setup.request.PrefixHash = 99
 			setup.router.SetMembers(setup.members, 1000)
-			_, _ = setup.router.Choose(now, Request{Adapter: adapter, Prefix: 99, Avoid: setup.order[:1]})
+			_, _ = setup.router.Choose(now, Request{AdapterHash: adapter, PrefixHash: 99, Avoid: setup.order[:1]})
 		}, want: 1},
 	}
 	for _, test := range tests {
@@ -147,7 +147,7 @@
 			out := ejected{}
 			members := threeMembers()
 			router := newRouter(t, Config{Weights: test.weights, Health: out}, members)
-			request := Request{Adapter: adapter}
+			request := Request{AdapterHash: adapter}
 			order := homes(router, adapter)
 			if test.setup != nil {
 				test.setup(&setup{router, order, members, out, &request})
@@ -163,7 +163,7 @@
 				t.Error("the choice was not reported as a probe")
 			}
 			if diff := cmp.Diff([]string{order[test.want], test.reason.String()}, []string{decision.Upstream, decision.Reason.String()}); diff != "" {
-				t.Errorf("choice (-want +got):\n%s%+v", diff, decision.Alternatives())
+				t.Errorf("choice (-want +got):\n%s%+v", diff, decision.Candidates())
 			}
 		})
 	}
@@ -192,7 +192,7 @@
 			router.SetMembers(members, test.instances)
 			used := map[string]bool{}
 			for range test.requests {
-				decision, _ := router.Choose(now, Request{Adapter: 77})
+				decision, _ := router.Choose(now, Request{AdapterHash: 77})
 				used[decision.Upstream] = true
 			}
 			if diff := cmp.Diff(test.want, len(used)); diff != "" {
@@ -231,11 +231,11 @@
 	for round := range 500 {
 		id := fmt.Sprintf("upstream-%d", round)
 		router.SetMembers([]Member{{ID: id}}, 1)
-		decision, ok := router.Choose(now, Request{Adapter: uint64(round)<<48 + 1})
+		decision, ok := router.Choose(now, Request{AdapterHash: uint64(round)<<48 + 1})
 		if !ok || decision.Upstream != id || decision.Incarnation != 0 {
 			t.Fatalf("round %d: %+v, %t", round, decision, ok)
 		}
-		router.Report(now, id, Load{Incarnation: 3, ExpectedWait: time.Hour})
+		router.UpdateLoad(now, id, LoadReport{Incarnation: 3, ExpectedWait: time.Hour})
 	}
 	if len(router.upstreams) > 200 {
 		t.Errorf("%d slots for 1 upstream", len(router.upstreams))
@@ -274,7 +274,7 @@
 		for slot := range loaded {
 			loaded[slot] = random.Uint64()
 		}
-		router.Report(now, members[index].ID, Load{Incarnation: 1, ExpectedWait: time.Duration(random.IntN(1e8)), Loaded: loaded})
+		router.UpdateLoad(now, members[index].ID, LoadReport{Incarnation: 1, ExpectedWait: time.Duration(random.IntN(1e8)), LoadedAdapters: loaded})
 	}
 	return router
 }
@@ -285,7 +285,7 @@
 	adapter := uint64(0)
 	got := testing.AllocsPerRun(1000, func() {
 		adapter += 0x9e3779b97f4a7c15
-		_, _ = router.Choose(now, Request{Adapter: adapter, Prefix: adapter, Half: "north", Tokens: 100})
+		_, _ = router.Choose(now, Request{AdapterHash: adapter, PrefixHash: adapter, Half: "north", PromptTokens: 100})
 	})
 	if got != 0 {
 		t.Errorf("%v allocations, want 0", got)
@@ -304,7 +304,7 @@
 	for b.Loop() {
 		at = at.Add(100 * time.Microsecond)
 		adapter := adapters[random.IntN(len(adapters))]
-		_, _ = router.Choose(at, Request{Adapter: adapter, Prefix: adapter, Half: "north", Tokens: 100})
+		_, _ = router.Choose(at, Request{AdapterHash: adapter, PrefixHash: adapter, Half: "north", PromptTokens: 100})
 	}
 }
 
--- a/internal/flow/route/search.go
+++ b/internal/flow/policy/search.go
@@ -1,4 +1,4 @@
-package route
+package policy
 
 import (
 	"slices"
@@ -25,7 +25,7 @@
 }
 
 func (router *Router) search(now time.Time, request *Request) search {
-	start := request.Adapter
+	start := request.AdapterHash
 	if start == 0 {
 		start = router.random.Uint64()
 	}
@@ -59,7 +59,7 @@
 // scan looks at all upstreams, from a random one on.
 func (search *search) scan() {
 	ring := search.router.ring
-	slots := uint32(ring.Slots())
+	slots := uint32(ring.IndexLimit())
 	if slots == 0 {
 		return
 	}
--- a/internal/flow/route/upstream.go
+++ b/internal/flow/policy/upstream.go
@@ -1,4 +1,4 @@
-package route
+package policy
 
 import (
 	"slices"
@@ -60,7 +60,7 @@
 	seen        uint64
 }
 
-func (upstream *upstream) report(now int64, load *Load) {
+func (upstream *upstream) report(now int64, load *LoadReport) {
 	if load.Incarnation != upstream.incarnation {
 		upstream.marks = [sendMarks]uint32{}
 	}
@@ -70,9 +70,9 @@
 	upstream.running, upstream.queued = load.Running, load.Queued
 	upstream.slots, upstream.freeSlots = load.Slots, load.FreeSlots
 	upstream.draining = load.Draining
-	upstream.loadedCount = uint8(min(len(load.Loaded), maxLoaded))
+	upstream.loadedCount = uint8(min(len(load.LoadedAdapters), maxLoaded))
 	for index := range upstream.loadedCount {
-		upstream.loaded[index] = uint32(load.Loaded[index])
+		upstream.loaded[index] = uint32(load.LoadedAdapters[index])
 	}
 	upstream.sent, upstream.sentTokens = 0, 0
 }
@@ -84,14 +84,14 @@
 func (upstream *upstream) send(now int64, request *Request) {
 	upstream.inFlight++
 	upstream.sent++
-	upstream.sentTokens += request.Tokens
-	if request.Adapter == 0 || upstream.holds(request.Adapter) {
+	upstream.sentTokens += request.PromptTokens
+	if request.AdapterHash == 0 || upstream.holds(request.AdapterHash) {
 		return
 	}
-	if slices.Contains(upstream.marks[:], uint32(request.Adapter)) {
+	if slices.Contains(upstream.marks[:], uint32(request.AdapterHash)) {
 		return
 	}
-	upstream.marks[upstream.nextMark] = uint32(request.Adapter)
+	upstream.marks[upstream.nextMark] = uint32(request.AdapterHash)
 	upstream.markTimes[upstream.nextMark] = now
 	upstream.nextMark = (upstream.nextMark + 1) % sendMarks
 }
@@ -128,10 +128,10 @@
 	wait := max(0, upstream.wait-time.Duration(now-upstream.reported))
 	score := weights.Wait*milliseconds(wait) + weights.Distance*upstream.distance
 	score += weights.Send*float64(upstream.sent) + weights.Prefill*float64(upstream.sentTokens)
-	if request.Adapter == 0 {
+	if request.AdapterHash == 0 {
 		return score, false
 	}
-	left, loaded := upstream.loadLeft(now, request.Adapter, config.LoadTime)
+	left, loaded := upstream.loadLeft(now, request.AdapterHash, config.LoadTime)
 	if !loaded {
 		// Requests queue for loads, which get their permits one after another.
 		left += time.Duration(min(upstream.queued, fullBacklog)) * config.LoadTime
--- a/internal/flow/route/weights.go
+++ b/internal/flow/policy/weights.go
@@ -1,4 +1,4 @@
-package route
+package policy
 
 import (
 	"time"
@@ -105,7 +105,7 @@
 		config.Upstreams = 64
 	}
 	if config.Health == nil {
-		config.Health = Healthy{}
+		config.Health = NoEjection{}
 	}
 	if config.Start.IsZero() {
 		config.Start = time.Now()
--- a/internal/flow/quota/baseline_test.go
+++ b/internal/flow/quota/baseline_test.go
@@ -57,9 +57,9 @@
 // rate and burst.
 func newStatic(schedule schedule) *cluster {
 	schedule.shards = schedule.processes
-	return newCluster(schedule, func(process *process, config WalletConfig) WalletConfig {
-		config.Source = staticSource{process}
-		config.Shards, config.Own = 1, []int{0}
+	return newCluster(schedule, func(process *process, config ClientConfig) ClientConfig {
+		config.Transport = staticSource{process}
+		config.ShardCount, config.LocalShards = 1, []int{0}
 		config.Rate = Part(config.Rate, process.index, schedule.processes)
 		return config
 	})
@@ -81,9 +81,9 @@
 func newRecorded(schedule schedule, logbook *logbook) *cluster {
 	schedule.shards = 1
 	shard := NewShard(ShardConfig{Rate: schedule.rate, Burst: schedule.burst, Start: time.Now()})
-	return newCluster(schedule, func(_ *process, config WalletConfig) WalletConfig {
-		config.Source = recordedSource{logbook: logbook, shard: shard}
-		config.Own = nil
+	return newCluster(schedule, func(_ *process, config ClientConfig) ClientConfig {
+		config.Transport = recordedSource{logbook: logbook, shard: shard}
+		config.LocalShards = nil
 		return config
 	})
 }
--- a/internal/flow/quota/cluster_test.go
+++ b/internal/flow/quota/cluster_test.go
@@ -30,7 +30,7 @@
 	outcomes []outcome
 	running  sync.WaitGroup
 	// adapt changes the wallets of baselines.
-	adapt func(*process, WalletConfig) WalletConfig
+	adapt func(*process, ClientConfig) ClientConfig
 	// leased says that a restarted process does not host its shards again.
 	leased bool
 }
@@ -40,7 +40,7 @@
 	cluster *cluster
 	index   int
 	shards  map[int]*Shard
-	wallet  *Wallet
+	wallet  *Client
 	mutex   sync.Mutex
 	dead    bool
 	paused  time.Time // until
@@ -53,7 +53,7 @@
 	wait    time.Duration
 }
 
-func newCluster(schedule schedule, adapt func(*process, WalletConfig) WalletConfig) *cluster {
+func newCluster(schedule schedule, adapt func(*process, ClientConfig) ClientConfig) *cluster {
 	cluster := &cluster{
 		schedule: schedule,
 		observer: newObserver(time.Now(), schedule.rate, schedule.burst),
@@ -81,14 +81,14 @@
 			process.shards[shard] = cluster.newShard(shard)
 		}
 	}
-	config := WalletConfig{
-		Source: process, Shards: len(cluster.hosts), Own: own,
+	config := ClientConfig{
+		Transport: process, ShardCount: len(cluster.hosts), LocalShards: own,
 		Rate: cluster.rate, Burst: cluster.burst, Seed: cluster.schedule.seed*1000 + uint64(index),
 	}
 	if cluster.adapt != nil {
 		config = cluster.adapt(process, config)
 	}
-	process.wallet = NewWallet(config)
+	process.wallet = NewClient(config)
 	return process
 }
 
@@ -254,7 +254,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), cluster.schedule.longestWait)
 	defer cancel()
 	for {
-		debit, err := process.wallet.Take(ctx, request.cost)
+		debit, err := process.wallet.Reserve(ctx, request.cost)
 		if beat := cluster.schedule.beat; beat > 0 {
 			time.Sleep(beat - time.Since(cluster.observer.start)%beat)
 		}
@@ -331,7 +331,7 @@
 	}
 	group.Wait()
 	cluster.observer.limit(time.Now(), disturbance.rate, most)
-	cluster.observer.limit(time.Now().Add(DefaultLifetime+DefaultMargin), disturbance.rate, disturbance.burst)
+	cluster.observer.limit(time.Now().Add(DefaultGrantLifetime+DefaultMargin), disturbance.rate, disturbance.burst)
 }
 
 // tally sums up the outcomes.
--- a/internal/flow/quota/gather.go
+++ b/internal/flow/quota/gather.go
@@ -32,7 +32,7 @@
 }
 
 // gather draws tokens until nobody waits.
-func (wallet *Wallet) gather() {
+func (wallet *Client) gather() {
 	for {
 		draws, wait, done := wallet.plan(time.Now())
 		if done {
@@ -53,7 +53,7 @@
 // plan serves waiters and decides what to draw, or how long to wait. The first
 // waiter alone decides what is missing, so that those behind it cannot keep a
 // large request waiting.
-func (wallet *Wallet) plan(now time.Time) (draws []draw, wait time.Duration, done bool) {
+func (wallet *Client) plan(now time.Time) (draws []draw, wait time.Duration, done bool) {
 	wallet.mutex.Lock()
 	defer wallet.mutex.Unlock()
 	wallet.expire(now)
@@ -81,7 +81,7 @@
 }
 
 // expected returns what the draws under way are taken to bring, and until when.
-func (wallet *Wallet) expected(now time.Time) (model.Tokens, time.Time) {
+func (wallet *Client) expected(now time.Time) (model.Tokens, time.Time) {
 	var sum model.Tokens
 	until := now.Add(maxWait)
 	for index := range wallet.views {
@@ -100,7 +100,7 @@
 // with some randomness so that wallets spread over the shards. A shard of which
 // nothing has been heard for the time of doubt is taken to be full, because
 // others may have returned tokens to it.
-func (wallet *Wallet) candidates(now time.Time, doubt time.Duration) ([]candidate, model.Tokens) {
+func (wallet *Client) candidates(now time.Time, doubt time.Duration) ([]candidate, model.Tokens) {
 	var list []candidate
 	var total model.Tokens
 	for index := range wallet.views {
@@ -126,7 +126,7 @@
 // choose picks the shards to ask, all at once. The first one is also asked for
 // what those behind the first waiter and recent demand make likely, up to half
 // of what it has beyond the need.
-func (wallet *Wallet) choose(now time.Time, candidates []candidate, missing model.Tokens) []draw {
+func (wallet *Client) choose(now time.Time, candidates []candidate, missing model.Tokens) []draw {
 	var draws []draw
 	useful := (missing + usefulPart - 1) / usefulPart
 	for pass := range 2 {
@@ -148,7 +148,7 @@
 }
 
 // ahead returns what is wanted beyond the first waiter.
-func (wallet *Wallet) ahead(now time.Time) model.Tokens {
+func (wallet *Client) ahead(now time.Time) model.Tokens {
 	ahead := wallet.demand.ahead(now)
 	var queued model.Tokens
 	for _, waiter := range wallet.queue[1:] {
@@ -161,7 +161,7 @@
 // to keep what has been gathered. It is kept only if it is at least half of
 // what the first waiter needs and the rest may come within its lifetime: if
 // every process kept small parts, none could serve a request.
-func (wallet *Wallet) hold(now time.Time, missing model.Tokens, drawing bool) time.Duration {
+func (wallet *Client) hold(now time.Time, missing model.Tokens, drawing bool) time.Duration {
 	rate := max(1, model.Tokens(float64(wallet.rate)*wallet.sharing.factor))
 	wait := jitter(wallet.random, max(minWait, min(maxWait, accrualTime(missing, rate))))
 	wallet.sharing.wait()
@@ -180,7 +180,7 @@
 }
 
 // draw asks one shard and records the answer.
-func (wallet *Wallet) draw(draw draw) {
+func (wallet *Client) draw(draw draw) {
 	sent := time.Now()
 	ctx, cancel := context.WithTimeout(wallet.ended, drawTimeout)
 	grant, err := wallet.source.Draw(ctx, draw.shard, draw.want, draw.least)
@@ -204,7 +204,7 @@
 }
 
 // add takes a grant in, or returns it when it came too late.
-func (wallet *Wallet) add(now time.Time, holding *holding) {
+func (wallet *Client) add(now time.Time, holding *holding) {
 	wallet.holdings = append(wallet.holdings, holding)
 	if !holding.spendable(now) || wallet.closed {
 		wallet.release(holding)
--- a/internal/flow/quota/holding.go
+++ b/internal/flow/quota/holding.go
@@ -29,8 +29,8 @@
 	attempts int
 }
 
-// Debit is what Take took for one request.
-type Debit struct {
+// Reservation is what Take took for one request.
+type Reservation struct {
 	spending *spending
 }
 
@@ -50,7 +50,7 @@
 // debit's grants have expired since Take, for example because the process was
 // paused; the caller then settles the debit with 0 and takes anew. The caller
 // sends the request directly after Commit.
-func (wallet *Wallet) Commit(debit Debit) bool {
+func (wallet *Client) Commit(debit Reservation) bool {
 	if debit.spending == nil {
 		return true
 	}
@@ -65,7 +65,7 @@
 
 // Settle returns the unused tokens of a request that has ended. A request that
 // was not dispatched used 0. Only the first call for a Debit counts.
-func (wallet *Wallet) Settle(debit Debit, used model.Tokens) {
+func (wallet *Client) Settle(debit Reservation, used model.Tokens) {
 	if debit.spending == nil {
 		return
 	}
@@ -109,7 +109,7 @@
 }
 
 // free returns the tokens that may be spent now.
-func (wallet *Wallet) free(now time.Time) model.Tokens {
+func (wallet *Client) free(now time.Time) model.Tokens {
 	var sum model.Tokens
 	for _, holding := range wallet.holdings {
 		if holding.spendable(now) {
@@ -120,7 +120,7 @@
 }
 
 // spend takes tokens from the holdings, which must suffice, oldest first.
-func (wallet *Wallet) spend(now time.Time, tokens model.Tokens) Debit {
+func (wallet *Client) spend(now time.Time, tokens model.Tokens) Reservation {
 	spending := &spending{}
 	for _, holding := range wallet.holdings {
 		if tokens == 0 {
@@ -139,11 +139,11 @@
 		}
 	}
 	wallet.holdings = slices.DeleteFunc(wallet.holdings, func(holding *holding) bool { return holding.left == 0 })
-	return Debit{spending: spending}
+	return Reservation{spending: spending}
 }
 
 // serve hands tokens to waiters in order, as far as they suffice.
-func (wallet *Wallet) serve(now time.Time) {
+func (wallet *Client) serve(now time.Time) {
 	for len(wallet.queue) > 0 && wallet.free(now) >= wallet.queue[0].tokens {
 		waiter := wallet.queue[0]
 		wallet.queue = wallet.queue[1:]
--- a/internal/flow/quota/refund.go
+++ b/internal/flow/quota/refund.go
@@ -22,7 +22,7 @@
 )
 
 // arm starts the timer that returns unused tokens.
-func (wallet *Wallet) arm(now time.Time) {
+func (wallet *Client) arm(now time.Time) {
 	if len(wallet.holdings) == 0 {
 		return
 	}
@@ -39,7 +39,7 @@
 }
 
 // sweep returns what has been held without demand, and what is about to expire.
-func (wallet *Wallet) sweep() {
+func (wallet *Client) sweep() {
 	wallet.mutex.Lock()
 	defer wallet.mutex.Unlock()
 	now := time.Now()
@@ -56,7 +56,7 @@
 
 // expire returns what can no longer be spent. The shard still counts it as
 // outstanding, so it is credited in full.
-func (wallet *Wallet) expire(now time.Time) {
+func (wallet *Client) expire(now time.Time) {
 	for _, holding := range slices.Clone(wallet.holdings) {
 		if !holding.spendable(now) {
 			wallet.release(holding)
@@ -65,14 +65,14 @@
 }
 
 // giveBack returns all tokens that have not been spent.
-func (wallet *Wallet) giveBack() {
+func (wallet *Client) giveBack() {
 	for _, holding := range slices.Clone(wallet.holdings) {
 		wallet.release(holding)
 	}
 }
 
 // release returns what is left of one grant.
-func (wallet *Wallet) release(released *holding) {
+func (wallet *Client) release(released *holding) {
 	released.returned += released.left
 	wallet.views[released.shard].credited(released.left)
 	released.left = 0
@@ -81,7 +81,7 @@
 }
 
 // schedule queues a return for a grant.
-func (wallet *Wallet) schedule(holding *holding, delay time.Duration) {
+func (wallet *Client) schedule(holding *holding, delay time.Duration) {
 	view := &wallet.views[holding.shard]
 	if !holding.queued {
 		holding.queued = true
@@ -91,7 +91,7 @@
 }
 
 // arrange makes sure that returns are sent to a shard after the delay.
-func (wallet *Wallet) arrange(shard int, delay time.Duration) {
+func (wallet *Client) arrange(shard int, delay time.Duration) {
 	view := &wallet.views[shard]
 	switch {
 	case view.sending:
@@ -103,7 +103,7 @@
 }
 
 // send sends the queued returns of one shard.
-func (wallet *Wallet) send(ctx context.Context, shard int) {
+func (wallet *Client) send(ctx context.Context, shard int) {
 	for {
 		holding, refund, ok := wallet.nextRefund(shard)
 		if !ok {
@@ -120,7 +120,7 @@
 
 // nextRefund picks the next return of a shard that is worth a message. It
 // reports false when there is none or another call is sending.
-func (wallet *Wallet) nextRefund(shard int) (*holding, Refund, bool) {
+func (wallet *Client) nextRefund(shard int) (*holding, Refund, bool) {
 	wallet.mutex.Lock()
 	defer wallet.mutex.Unlock()
 	view := &wallet.views[shard]
@@ -147,7 +147,7 @@
 }
 
 // sent records the outcome of a return and reports whether to go on.
-func (wallet *Wallet) sent(holding *holding, refund Refund, err error) bool {
+func (wallet *Client) sent(holding *holding, refund Refund, err error) bool {
 	wallet.mutex.Lock()
 	defer wallet.mutex.Unlock()
 	view := &wallet.views[holding.shard]
--- a/internal/flow/quota/shard.go
+++ b/internal/flow/quota/shard.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// DefaultLifetime is how long a drawer may spend a grant. It is long enough
+	// DefaultGrantLifetime is how long a drawer may spend a grant. It is long enough
 	// to gather tokens from several failure domains, and short enough that the
 	// tokens of a killed drawer are missing for less than a second.
-	DefaultLifetime = 500 * time.Millisecond
+	DefaultGrantLifetime = 500 * time.Millisecond
 	// DefaultMargin is how much longer a shard counts a grant. It allows for
 	// clocks whose speeds differ by a fifth.
 	DefaultMargin = 100 * time.Millisecond
@@ -92,7 +92,7 @@
 // margin after its start.
 func NewShard(config ShardConfig) *Shard {
 	if config.Lifetime <= 0 {
-		config.Lifetime = DefaultLifetime
+		config.Lifetime = DefaultGrantLifetime
 	}
 	if config.Margin <= 0 {
 		config.Margin = DefaultMargin
--- a/internal/flow/quota/shard_test.go
+++ b/internal/flow/quota/shard_test.go
@@ -194,7 +194,7 @@
 
 func (driver *driver) run() {
 	for range 80 {
-		pauses := []time.Duration{0, time.Millisecond, DefaultLifetime, time.Second, 5 * time.Second, time.Minute}
+		pauses := []time.Duration{0, time.Millisecond, DefaultGrantLifetime, time.Second, 5 * time.Second, time.Minute}
 		driver.now = driver.now.Add(pauses[driver.random.IntN(len(pauses))])
 		if driver.random.IntN(3) == 0 {
 			driver.now = driver.now.Add(time.Duration(driver.random.ExpFloat64() * float64(time.Second)))
@@ -205,7 +205,7 @@
 		case 1:
 			driver.draw()
 			driver.shard = NewShard(ShardConfig{Rate: driver.rate, Burst: driver.burst, Start: driver.now})
-			driver.now = driver.now.Add(DefaultLifetime)
+			driver.now = driver.now.Add(DefaultGrantLifetime)
 			driver.draw()
 		default:
 			driver.refund()
@@ -263,7 +263,7 @@
 	driver.rate = 1 + model.Tokens(driver.random.Int64N(1000))
 	driver.shard.Resize(driver.now, driver.rate, burst)
 	driver.observer.limit(driver.now, driver.rate, max(driver.burst, burst))
-	driver.now = driver.now.Add(DefaultLifetime + DefaultMargin)
+	driver.now = driver.now.Add(DefaultGrantLifetime + DefaultMargin)
 	driver.observer.limit(driver.now, driver.rate, burst)
 	driver.burst = burst
 }
--- a/internal/flow/quota/source.go
+++ b/internal/flow/quota/source.go
@@ -6,9 +6,9 @@
 	"jacinthfront.dev/jacinthfront/internal/state/model"
 )
 
-// Source reaches the shards of one organisation, numbered from 0, wherever
+// Transport reaches the shards of one organisation, numbered from 0, wherever
 // they are hosted.
-type Source interface {
+type Transport interface {
 	// Draw asks a shard for tokens. A refusal is a Grant without tokens and
 	// with RetryAfter; an error means that the outcome is unknown. Draw
 	// returns soon after ctx ends.
--- a/internal/flow/quota/static.go
+++ b/internal/flow/quota/static.go
@@ -7,9 +7,9 @@
 	"jacinthfront.dev/jacinthfront/internal/state/model"
 )
 
-// Static divides rates and bursts evenly over the entry instances, each of
+// StaticLimiter divides rates and bursts evenly over the entry instances, each of
 // which limits by itself. It is the baseline for shards and grants.
-type Static struct {
+type StaticLimiter struct {
 	mutex   sync.Mutex
 	buckets map[string]*staticBucket
 }
@@ -20,11 +20,11 @@
 	last  time.Time
 }
 
-// NewStatic returns a Static with full buckets.
-func NewStatic() *Static { return &Static{buckets: map[string]*staticBucket{}} }
+// NewStaticLimiter returns a Static with full buckets.
+func NewStaticLimiter() *StaticLimiter { return &StaticLimiter{buckets: map[string]*staticBucket{}} }
 
 // Take takes tokens, or returns how long they take to accrue.
-func (static *Static) Take(now time.Time, instances int, organisation model.OrganisationSpec, tokens model.Tokens) (time.Duration, bool) {
+func (static *StaticLimiter) Take(now time.Time, instances int, organisation model.OrganisationSpec, tokens model.Tokens) (time.Duration, bool) {
 	static.mutex.Lock()
 	defer static.mutex.Unlock()
 	rate, burst := float64(organisation.Rate)/float64(instances), float64(organisation.Burst)/float64(instances)
--- a/internal/flow/quota/static_test.go
+++ b/internal/flow/quota/static_test.go
@@ -24,7 +24,7 @@
 		{"a part has accrued", 500 * time.Millisecond, 50, true, 0},
 		{"the burst bounds the level", time.Hour, 201, false, 10 * time.Millisecond},
 	}
-	static := NewStatic()
+	static := NewStaticLimiter()
 	for _, test := range tests {
 		wait, ok := static.Take(start.Add(test.after), 3, organisation, test.tokens)
 		if ok != test.want || wait != test.wait {
--- a/internal/flow/quota/view.go
+++ b/internal/flow/quota/view.go
@@ -47,9 +47,9 @@
 
 // newView returns the view of a shard of which nothing is known yet. It is
 // taken to be full.
-func newView(config WalletConfig, index int) view {
-	view := view{own: slices.Contains(config.Own, index)}
-	view.resize(config.Rate, config.Burst, index, config.Shards)
+func newView(config ClientConfig, index int) view {
+	view := view{own: slices.Contains(config.LocalShards, index)}
+	view.resize(config.Rate, config.Burst, index, config.ShardCount)
 	view.level = view.burst
 	return view
 }
--- a/internal/flow/quota/wallet.go
+++ b/internal/flow/quota/wallet.go
@@ -11,14 +11,14 @@
 	"jacinthfront.dev/jacinthfront/internal/state/model"
 )
 
-// WalletConfig configures a Wallet.
-type WalletConfig struct {
-	// Source reaches the shards.
-	Source Source
-	// Shards is the number of the organisation's shards.
-	Shards int
-	// Own lists the shards hosted by this process; they are asked first.
-	Own []int
+// ClientConfig configures a Wallet.
+type ClientConfig struct {
+	// Transport reaches the shards.
+	Transport Transport
+	// ShardCount is the number of the organisation's shards.
+	ShardCount int
+	// LocalShards lists the shards hosted by this process; they are asked first.
+	LocalShards []int
 	// Rate and Burst are the whole organisation's.
 	Rate  model.Tokens
 	Burst model.Tokens
@@ -26,11 +26,11 @@
 	Seed uint64
 }
 
-// Wallet is the consumer of one organisation's tokens at one side process. Its
+// Client is the consumer of one organisation's tokens at one side process. Its
 // methods may be called concurrently. It runs no goroutine while it has neither
 // waiting calls of Take nor tokens to return.
-type Wallet struct {
-	source Source
+type Client struct {
+	source Transport
 	wake   chan struct{}
 	ended  context.Context
 	end    context.CancelFunc
@@ -52,17 +52,17 @@
 // waiter is a waiting call of Take.
 type waiter struct {
 	tokens model.Tokens
-	ready  chan Debit
+	ready  chan Reservation
 }
 
-// NewWallet returns a wallet that holds nothing.
-func NewWallet(config WalletConfig) *Wallet {
-	wallet := &Wallet{
-		source: config.Source,
+// NewClient returns a wallet that holds nothing.
+func NewClient(config ClientConfig) *Client {
+	wallet := &Client{
+		source: config.Transport,
 		wake:   make(chan struct{}, 1),
 		rate:   config.Rate,
 		burst:  config.Burst,
-		views:  make([]view, config.Shards),
+		views:  make([]view, config.ShardCount),
 		random: rand.New(rand.NewPCG(config.Seed, 0)),
 	}
 	wallet.ended, wallet.end = context.WithCancel(context.Background())
@@ -72,10 +72,10 @@
 	return wallet
 }
 
-// Take waits until it has gathered tokens; calls are served in their order.
+// Reserve waits until it has gathered tokens; calls are served in their order.
 // The caller calls Commit directly before it dispatches the request, and Settle
 // when the request has ended.
-func (wallet *Wallet) Take(ctx context.Context, tokens model.Tokens) (Debit, error) {
+func (wallet *Client) Reserve(ctx context.Context, tokens model.Tokens) (Reservation, error) {
 	debit, waiter, err := wallet.enter(tokens)
 	if waiter == nil {
 		return debit, err
@@ -87,13 +87,13 @@
 	case <-wallet.ended.Done():
 	}
 	if wallet.leave(waiter) {
-		return Debit{}, wallet.refusal(ctx, tokens)
+		return Reservation{}, wallet.refusal(ctx, tokens)
 	}
 	return <-waiter.ready, nil
 }
 
 // Resize follows a configuration change. The number of shards never changes.
-func (wallet *Wallet) Resize(rate, burst model.Tokens) {
+func (wallet *Client) Resize(rate, burst model.Tokens) {
 	wallet.mutex.Lock()
 	defer wallet.mutex.Unlock()
 	wallet.rate, wallet.burst = rate, burst
@@ -105,7 +105,7 @@
 // EstimateWait returns how long a request of this cost would wait in Take. It
 // rests on the levels last seen and, while requests wait, on the rate at which
 // this process was served lately; it errs on the side of a short wait.
-func (wallet *Wallet) EstimateWait(tokens model.Tokens) time.Duration {
+func (wallet *Client) EstimateWait(tokens model.Tokens) time.Duration {
 	wallet.mutex.Lock()
 	defer wallet.mutex.Unlock()
 	now := time.Now()
@@ -124,7 +124,7 @@
 
 // Close returns everything that is held and fails the waiting calls of Take.
 // Debits can still be settled.
-func (wallet *Wallet) Close(ctx context.Context) {
+func (wallet *Client) Close(ctx context.Context) {
 	wallet.mutex.Lock()
 	wallet.closed = true
 	wallet.end()
@@ -138,35 +138,35 @@
 }
 
 // enter serves a call of Take at once or queues it.
-func (wallet *Wallet) enter(tokens model.Tokens) (Debit, *waiter, error) {
+func (wallet *Client) enter(tokens model.Tokens) (Reservation, *waiter, error) {
 	wallet.mutex.Lock()
 	defer wallet.mutex.Unlock()
 	now := time.Now()
 	switch {
 	case tokens <= 0:
-		return Debit{}, nil, nil
+		return Reservation{}, nil, nil
 	case wallet.closed:
-		return Debit{}, nil, errLeaving()
+		return Reservation{}, nil, errLeaving()
 	case tokens > wallet.burst:
-		return Debit{}, nil, fault.New(fault.RateExceeded, fault.NotRun,
+		return Reservation{}, nil, fault.New(fault.RateExceeded, fault.NotRun,
 			"the request costs %d tokens, more than the organisation's burst of %d; lower max_tokens or raise the burst", tokens, wallet.burst)
 	}
 	wallet.demand.note(now, tokens)
 	if len(wallet.queue) == 0 && wallet.free(now) >= tokens {
 		return wallet.spend(now, tokens), nil, nil
 	}
-	waiter := &waiter{tokens: tokens, ready: make(chan Debit, 1)}
+	waiter := &waiter{tokens: tokens, ready: make(chan Reservation, 1)}
 	wallet.queue = append(wallet.queue, waiter)
 	if !wallet.gathering {
 		wallet.gathering = true
 		wallet.sharing.begin(now)
 		go wallet.gather()
 	}
-	return Debit{}, waiter, nil
+	return Reservation{}, waiter, nil
 }
 
 // leave removes a waiter and reports whether it was still queued.
-func (wallet *Wallet) leave(waiter *waiter) bool {
+func (wallet *Client) leave(waiter *waiter) bool {
 	wallet.mutex.Lock()
 	defer wallet.mutex.Unlock()
 	for index, queued := range wallet.queue {
@@ -180,7 +180,7 @@
 }
 
 // refusal returns the fault of a call of Take that was not served.
-func (wallet *Wallet) refusal(ctx context.Context, tokens model.Tokens) error {
+func (wallet *Client) refusal(ctx context.Context, tokens model.Tokens) error {
 	switch err := ctx.Err(); {
 	case err == nil:
 		return errLeaving()
@@ -198,7 +198,7 @@
 }
 
 // signal wakes the gathering goroutine.
-func (wallet *Wallet) signal() {
+func (wallet *Client) signal() {
 	select {
 	case wallet.wake <- struct{}{}:
 	default:
--- a/internal/flow/quota/wallet_test.go
+++ b/internal/flow/quota/wallet_test.go
@@ -39,7 +39,7 @@
 	}
 	shelf.issued++
 	shelf.levels[shard] -= tokens
-	return Grant{ID: shelf.issued, Tokens: tokens, Level: shelf.levels[shard], Lifetime: DefaultLifetime}, nil
+	return Grant{ID: shelf.issued, Tokens: tokens, Level: shelf.levels[shard], Lifetime: DefaultGrantLifetime}, nil
 }
 
 func (shelf *shelf) Return(_ context.Context, _ int, refund Refund) error {
@@ -74,10 +74,10 @@
 	shelf.silent = true
 }
 
-func newShelf(shards int, level model.Tokens) (*shelf, *Wallet) {
+func newShelf(shards int, level model.Tokens) (*shelf, *Client) {
 	shelf := &shelf{levels: make([]model.Tokens, shards)}
 	shelf.put(level)
-	return shelf, NewWallet(WalletConfig{Source: shelf, Shards: shards, Rate: 1000, Burst: 8000, Seed: 1})
+	return shelf, NewClient(ClientConfig{Transport: shelf, ShardCount: shards, Rate: 1000, Burst: 8000, Seed: 1})
 }
 
 func kindOf(err error) fault.Kind {
@@ -117,7 +117,7 @@
 				case test.closed:
 					time.AfterFunc(time.Second, func() { wallet.Close(context.Background()) })
 				}
-				_, err := wallet.Take(ctx, test.tokens)
+				_, err := wallet.Reserve(ctx, test.tokens)
 				if diff := cmp.Diff(test.want, kindOf(err)); diff != "" {
 					t.Errorf("fault (-want +got):\n%s", diff)
 				}
@@ -137,7 +137,7 @@
 		var group sync.WaitGroup
 		for _, tokens := range []model.Tokens{4000, 5, 7} {
 			group.Go(func() {
-				if _, err := wallet.Take(t.Context(), tokens); err != nil {
+				if _, err := wallet.Reserve(t.Context(), tokens); err != nil {
 					t.Errorf("Take(%d): %v", tokens, err)
 				}
 				mutex.Lock()
@@ -165,17 +165,17 @@
 func TestReturns(t *testing.T) {
 	tests := []struct {
 		name string
-		run  func(*Wallet, Debit) (committed bool)
+		run  func(*Client, Reservation) (committed bool)
 		want []Refund
 	}{
-		{"commit, then settle twice", func(wallet *Wallet, debit Debit) bool {
+		{"commit, then settle twice", func(wallet *Client, debit Reservation) bool {
 			committed := wallet.Commit(debit)
 			time.Sleep(2 * time.Second)
 			wallet.Settle(debit, 300)
 			wallet.Settle(debit, 0)
 			return committed
 		}, []Refund{{ID: 1, Tokens: 100, Settled: true}}},
-		{"no commit after the lifetime", func(wallet *Wallet, debit Debit) bool {
+		{"no commit after the lifetime", func(wallet *Client, debit Reservation) bool {
 			time.Sleep(600 * time.Millisecond)
 			committed := wallet.Commit(debit)
 			wallet.Settle(debit, 0)
@@ -186,7 +186,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				shelf, wallet := newShelf(1, 8000)
-				debit, err := wallet.Take(t.Context(), 400)
+				debit, err := wallet.Reserve(t.Context(), 400)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -206,9 +206,9 @@
 func TestRemainderUnsettled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shelf, wallet := newShelf(1, 8000)
-		var debits []Debit
+		var debits []Reservation
 		for range 30 {
-			debit, err := wallet.Take(t.Context(), 50)
+			debit, err := wallet.Reserve(t.Context(), 50)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -235,7 +235,7 @@
 func TestUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shelf, wallet := newShelf(8, 1000)
-		debit, err := wallet.Take(t.Context(), 100)
+		debit, err := wallet.Reserve(t.Context(), 100)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -243,7 +243,7 @@
 		wallet.Settle(debit, 60)
 		ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 		defer cancel()
-		if _, err := wallet.Take(ctx, 100); kindOf(err) != fault.WaitExceeded {
+		if _, err := wallet.Reserve(ctx, 100); kindOf(err) != fault.WaitExceeded {
 			t.Errorf("Take: %v", err)
 		}
 		synctest.Wait()
@@ -270,7 +270,7 @@
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
-		go func() { _, _ = wallet.Take(ctx, 2000) }()
+		go func() { _, _ = wallet.Reserve(ctx, 2000) }()
 		time.Sleep(20 * time.Millisecond)
 		if wait := wallet.EstimateWait(1000); wait < 2*time.Second || wait > 3*time.Second {
 			t.Errorf("wait of %v for 3000 tokens at 1000/s", wait)
@@ -282,10 +282,10 @@
 
 func BenchmarkWalletTake(b *testing.B) {
 	shard := newTestShard(2_000_000_000, 8_000_000_000)
-	wallet := NewWallet(WalletConfig{Source: localSource{shard}, Shards: 1, Own: []int{0}, Rate: 2_000_000_000, Burst: 8_000_000_000})
+	wallet := NewClient(ClientConfig{Transport: localSource{shard}, ShardCount: 1, LocalShards: []int{0}, Rate: 2_000_000_000, Burst: 8_000_000_000})
 	b.ReportAllocs()
 	for b.Loop() {
-		debit, err := wallet.Take(b.Context(), 100)
+		debit, err := wallet.Reserve(b.Context(), 100)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -323,7 +323,7 @@
 			}
 			return shard
 		}},
-		{"wallet/idle", func() any { return NewWallet(WalletConfig{Shards: 8, Rate: 8000, Burst: 32000}) }},
+		{"wallet/idle", func() any { return NewClient(ClientConfig{ShardCount: 8, Rate: 8000, Burst: 32000}) }},
 	}
 	for _, test := range tests {
 		b.Run(test.name, func(b *testing.B) {
--- a/internal/flow/elect/elect.go
+++ b/internal/flow/rank/rank.go
@@ -1,8 +1,8 @@
-// Package elect chooses one member of a group for a task without an exchange:
+// Package rank chooses one member of a group for a task without an exchange:
 // every process ranks the members that it hears by rendezvous hash (Thaler and
 // Ravishankar 1998). Where views differ, two members may both be chosen, so the
 // task must be one that is only done more often then.
-package elect
+package rank
 
 import (
 	"cmp"
@@ -18,9 +18,9 @@
 		return ""
 	}
 	return slices.MaxFunc(members, func(a, b string) int {
-		return cmp.Or(cmp.Compare(Rank(task, a), Rank(task, b)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(Score(task, a), Score(task, b)), cmp.Compare(a, b))
 	})
 }
 
-// Rank returns a member's rank for a task. The highest comes first.
-func Rank(task, member string) uint64 { return xxh3.HashString(member + "\x00" + task) }
+// Score returns a member's rank for a task. The highest comes first.
+func Score(task, member string) uint64 { return xxh3.HashString(member + "\x00" + task) }
--- a/internal/flow/elect/elect_test.go
+++ b/internal/flow/rank/rank_test.go
@@ -1,4 +1,4 @@
-package elect
+package rank
 
 import (
 	"fmt"
--- a/internal/flow/retry/retry.go
+++ b/internal/flow/retry/retry.go
@@ -11,22 +11,22 @@
 
 // Defaults of Config.
 const (
-	DefaultPart    = 0.1
-	DefaultMinimum = 3
-	DefaultFirst   = 25 * time.Millisecond
-	DefaultLongest = 2 * time.Second
+	DefaultRatio          = 0.1
+	DefaultMinPerSecond   = 3
+	DefaultInitialBackoff = 25 * time.Millisecond
+	DefaultMaxBackoff     = 2 * time.Second
 )
 
 // Config configures a Budget. Zero values mean the defaults.
 type Config struct {
-	// Part is the number of retries that each request earns.
-	Part float64
-	// Minimum is the number of retries per second that is always allowed, so
+	// Ratio is the number of retries that each request earns.
+	Ratio float64
+	// MinPerSecond is the number of retries per second that is always allowed, so
 	// that an instance with few requests can retry at all.
-	Minimum float64
-	// First is the backoff before the first retry; it doubles up to Longest.
-	First   time.Duration
-	Longest time.Duration
+	MinPerSecond float64
+	// InitialBackoff is the backoff before the first retry; it doubles up to Longest.
+	InitialBackoff time.Duration
+	MaxBackoff     time.Duration
 	// Seed makes the jitter reproducible.
 	Seed uint64
 }
@@ -55,33 +55,33 @@
 
 // New returns a Budget, or a fault if a value is out of range.
 func New(config Config) (*Budget, error) {
-	setDefault(&config.Part, DefaultPart)
-	setDefault(&config.Minimum, DefaultMinimum)
-	setDefault(&config.First, DefaultFirst)
-	setDefault(&config.Longest, DefaultLongest)
-	if config.Part < 0 || config.Part > 1 || config.Minimum < 0 {
+	setDefault(&config.Ratio, DefaultRatio)
+	setDefault(&config.MinPerSecond, DefaultMinPerSecond)
+	setDefault(&config.InitialBackoff, DefaultInitialBackoff)
+	setDefault(&config.MaxBackoff, DefaultMaxBackoff)
+	if config.Ratio < 0 || config.Ratio > 1 || config.MinPerSecond < 0 {
 		return nil, fault.New(fault.Invalid, fault.NotRun,
-			"retry budget of %v per request and %v per second; set the part to 0..1 and the minimum to at least 0", config.Part, config.Minimum)
+			"retry budget of %v per request and %v per second; set the part to 0..1 and the minimum to at least 0", config.Ratio, config.MinPerSecond)
 	}
-	if config.First < 0 || config.Longest < config.First {
+	if config.InitialBackoff < 0 || config.MaxBackoff < config.InitialBackoff {
 		return nil, fault.New(fault.Invalid, fault.NotRun,
-			"retry backoff from %v to %v; set the first to at least 0 and the longest to at least the first", config.First, config.Longest)
+			"retry backoff from %v to %v; set the first to at least 0 and the longest to at least the first", config.InitialBackoff, config.MaxBackoff)
 	}
-	return &Budget{config: config, random: rand.New(rand.NewPCG(config.Seed, 0)), spare: config.Minimum, at: time.Now()}, nil
+	return &Budget{config: config, random: rand.New(rand.NewPCG(config.Seed, 0)), spare: config.MinPerSecond, at: time.Now()}, nil
 }
 
-// Request records a request, not counting its retries.
-func (budget *Budget) Request() {
+// RecordRequest records a request, not counting its retries.
+func (budget *Budget) RecordRequest() {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
 	budget.accrue()
-	budget.earned = min(earnedLimit, budget.earned+budget.config.Part)
-	budget.spare = max(0, budget.spare-budget.config.Part)
+	budget.earned = min(earnedLimit, budget.earned+budget.config.Ratio)
+	budget.spare = max(0, budget.spare-budget.config.Ratio)
 }
 
 func (budget *Budget) accrue() {
 	now := time.Now()
-	budget.spare = min(max(1, budget.config.Minimum), budget.spare+now.Sub(budget.at).Seconds()*budget.config.Minimum)
+	budget.spare = min(max(1, budget.config.MinPerSecond), budget.spare+now.Sub(budget.at).Seconds()*budget.config.MinPerSecond)
 	budget.at = now
 }
 
@@ -103,9 +103,9 @@
 // one. The wait is uniform between nothing and the doubled limit, which spreads
 // the retries of requests that failed together.
 func (budget *Budget) Backoff(attempt int) time.Duration {
-	limit := budget.config.Longest
+	limit := budget.config.MaxBackoff
 	if shift := max(0, attempt-1); shift < 32 {
-		limit = min(limit, budget.config.First<<shift)
+		limit = min(limit, budget.config.InitialBackoff<<shift)
 	}
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
--- a/internal/flow/retry/retry_test.go
+++ b/internal/flow/retry/retry_test.go
@@ -33,7 +33,7 @@
 					t.Fatal(err)
 				}
 				for range test.requests {
-					budget.Request()
+					budget.RecordRequest()
 				}
 				time.Sleep(test.calm)
 				got := 0
@@ -73,14 +73,14 @@
 			t.Errorf("attempt %d: only %d distinct waits of 100", attempt, len(distinct))
 		}
 	}
-	if wait := must(t, Config{}).Backoff(1 << 40); wait > DefaultLongest {
+	if wait := must(t, Config{}).Backoff(1 << 40); wait > DefaultMaxBackoff {
 		t.Errorf("wait %v", wait)
 	}
 }
 
 // Guards against settings that would allow more retries than requests.
 func TestConfig(t *testing.T) {
-	for _, config := range []Config{{Part: 1.5}, {Part: -1}, {Minimum: -1}, {First: time.Hour}, {First: -1}} {
+	for _, config := range []Config{{Ratio: 1.5}, {Ratio: -1}, {MinPerSecond: -1}, {InitialBackoff: time.Hour}, {InitialBackoff: -1}} {
 		_, err := New(config)
 		if found, ok := fault.As(err); !ok || found.Kind() != fault.Invalid {
 			t.Errorf("New(%+v): %v", config, err)
--- a/internal/flow/place/hash.go
+++ b/internal/flow/ring/hash.go
@@ -1,6 +1,6 @@
-// Package place assigns adapters to upstreams: a consistent-hash ring, the
+// Package ring assigns adapters to upstreams: a consistent-hash ring, the
 // rendezvous order for idempotency keys and the popularity of adapters.
-package place
+package ring
 
 import (
 	"strconv"
--- a/internal/flow/place/popular.go
+++ b/internal/flow/ring/popular.go
@@ -1,4 +1,4 @@
-package place
+package ring
 
 import (
 	"math"
@@ -55,9 +55,9 @@
 	}
 }
 
-// Touch counts a request for the adapter and returns its rate per second before
+// CountRequest counts a request for the adapter and returns its rate per second before
 // this request: a single request says nothing about a rate.
-func (popularity *Popularity) Touch(now time.Time, adapter uint64) float64 {
+func (popularity *Popularity) CountRequest(now time.Time, adapter uint64) float64 {
 	at := popularity.ticks(now)
 	entry := popularity.find(at, adapter)
 	count := float32(0)
@@ -124,8 +124,8 @@
 	return float64(count) * math.Ln2 / (popularity.halfLife * tick.Seconds())
 }
 
-// Replicas returns the number of upstreams that should hold an adapter with
+// ReplicaCount returns the number of upstreams that should hold an adapter with
 // this rate, when each carries perReplica requests per second.
-func Replicas(rate, perReplica float64, most int) int {
+func ReplicaCount(rate, perReplica float64, most int) int {
 	return int(min(float64(most), 1+math.Floor(rate/perReplica)))
 }
--- a/internal/flow/place/popular_test.go
+++ b/internal/flow/ring/popular_test.go
@@ -1,4 +1,4 @@
-package place
+package ring
 
 import (
 	"fmt"
@@ -23,7 +23,7 @@
 		now = now.Add(time.Duration(random.IntN(20)) * tick)
 		adapter := AdapterHash(fmt.Sprint(int(20*math.Pow(random.Float64(), 3))), 1)
 		naive[adapter] = append(naive[adapter], now)
-		popularity.Touch(now, adapter)
+		popularity.CountRequest(now, adapter)
 	}
 	for adapter, touches := range naive {
 		want := 0.0
@@ -42,8 +42,8 @@
 	popularity := NewPopularity(PopularityConfig{Adapters: 512, HalfLife: time.Second, Start: start})
 	hot := AdapterHash("hot", 1)
 	for index := range 10_000 {
-		popularity.Touch(start, hot)
-		popularity.Touch(start, AdapterHash(fmt.Sprint(index), 1))
+		popularity.CountRequest(start, hot)
+		popularity.CountRequest(start, AdapterHash(fmt.Sprint(index), 1))
 	}
 	if rate := popularity.Rate(start, hot); rate < 6000 {
 		t.Errorf("the popular adapter has rate %v", rate)
@@ -62,7 +62,7 @@
 	const adapters = 170_000
 	popularity := NewPopularity(PopularityConfig{Adapters: adapters, HalfLife: time.Minute, Start: start})
 	for index := range adapters {
-		popularity.Touch(start, AdapterHash(fmt.Sprintf("adapter-%d", index), 1))
+		popularity.CountRequest(start, AdapterHash(fmt.Sprintf("adapter-%d", index), 1))
 	}
 	size := uintptr(len(popularity.sets)) * unsafe.Sizeof(popularity.sets[0])
 	perEntry := float64(size) / adapters
@@ -80,6 +80,6 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		popularity.Touch(now, uint64(random.IntN(170_000))*0x9e3779b97f4a7c15)
+		popularity.CountRequest(now, uint64(random.IntN(170_000))*0x9e3779b97f4a7c15)
 	}
 }
--- a/internal/flow/place/ring.go
+++ b/internal/flow/ring/ring.go
@@ -1,4 +1,4 @@
-package place
+package ring
 
 import (
 	"cmp"
@@ -53,15 +53,15 @@
 // Len returns the number of upstreams on the ring.
 func (ring *Ring) Len() int { return ring.lives }
 
-// Slot returns the slot of an upstream. Slots are small numbers that stay with
+// Index returns the slot of an upstream. Slots are small numbers that stay with
 // an upstream as long as it is on the ring.
-func (ring *Ring) Slot(id string) (uint32, bool) {
+func (ring *Ring) Index(id string) (uint32, bool) {
 	slot, ok := ring.slots[id]
 	return slot, ok && ring.live[slot]
 }
 
-// Slots returns a bound above all slots.
-func (ring *Ring) Slots() int { return len(ring.ids) }
+// IndexLimit returns a bound above all slots.
+func (ring *Ring) IndexLimit() int { return len(ring.ids) }
 
 // ID returns the upstream in a slot.
 func (ring *Ring) ID(slot uint32) string { return ring.ids[slot] }
--- a/internal/flow/place/ring_test.go
+++ b/internal/flow/ring/ring_test.go
@@ -1,4 +1,4 @@
-package place
+package ring
 
 import (
 	stdcmp "cmp"
@@ -66,8 +66,8 @@
 					t.Fatalf("step %d, candidates (-naive +ring):\n%s", step, diff)
 				}
 			}
-			if len(ring.free)+ring.lives+len(ring.marked) != ring.Slots() || len(ring.free) == 0 && ring.Slots() == 400 {
-				t.Errorf("%d slots, %d live, %d marked, %d free", ring.Slots(), ring.lives, len(ring.marked), len(ring.free))
+			if len(ring.free)+ring.lives+len(ring.marked) != ring.IndexLimit() || len(ring.free) == 0 && ring.IndexLimit() == 400 {
+				t.Errorf("%d slots, %d live, %d marked, %d free", ring.IndexLimit(), ring.lives, len(ring.marked), len(ring.free))
 			}
 		})
 	}
--- a/internal/flow/slots/loads.go
+++ b/internal/flow/slots/loads.go
@@ -16,17 +16,17 @@
 	until time.Time
 }
 
-// Start sets the moment from which the time of a load counts, once it is not
+// LoadStarted sets the moment from which the time of a load counts, once it is not
 // held up by permits any more.
-func (table *Table) Start(now time.Time, ref Ref) {
+func (table *Table) LoadStarted(now time.Time, ref AdapterRef) {
 	if slot, ok := table.slots[ref]; ok && slot.loading {
 		slot.started = now
 	}
 }
 
-// Finish reports the end of a load. It returns whether the requests that wait
+// LoadFinished reports the end of a load. It returns whether the requests that wait
 // for the adapter should go to another upstream.
-func (table *Table) Finish(now time.Time, ref Ref, err error) (giveUp bool) {
+func (table *Table) LoadFinished(now time.Time, ref AdapterRef, err error) (giveUp bool) {
 	slot, ok := table.slots[ref]
 	if !ok || !slot.loading {
 		return false
@@ -53,9 +53,9 @@
 // keepTime is how long an adapter stays that the engine refused to evict.
 const keepTime = time.Second
 
-// Refused reports that the engine did not carry out the eviction of an order,
+// EvictionRefused reports that the engine did not carry out the eviction of an order,
 // so that its load did not begin. It is no failure of the load.
-func (table *Table) Refused(now time.Time, order Order) {
+func (table *Table) EvictionRefused(now time.Time, order Order) {
 	if slot, ok := table.slots[order.Load]; ok && slot.loading {
 		delete(table.slots, order.Load)
 		table.throttle.inFlight = max(table.throttle.inFlight-1, 0)
@@ -88,14 +88,14 @@
 	return delay/2 + time.Duration(table.random.Int64N(int64(delay/2)+1))
 }
 
-func (table *Table) backingOff(now time.Time, ref Ref) bool {
+func (table *Table) backingOff(now time.Time, ref AdapterRef) bool {
 	known, ok := table.failures[ref]
 	return ok && known.until.After(now)
 }
 
-// Refuses reports whether loads of the adapter failed so often that requests
+// RejectFor reports whether loads of the adapter failed so often that requests
 // should go to another upstream, and for how long.
-func (table *Table) Refuses(now time.Time, ref Ref) (time.Duration, bool) {
+func (table *Table) RejectFor(now time.Time, ref AdapterRef) (time.Duration, bool) {
 	known, ok := table.failures[ref]
 	if !ok || known.count < giveUpAfter || !known.until.After(now) {
 		return 0, false
@@ -103,9 +103,9 @@
 	return known.until.Sub(now), true
 }
 
-// NextPlan returns when Plan may give other orders although nothing happened:
+// NextPlanTime returns when Plan may give other orders although nothing happened:
 // when a backoff or the pause between loads ends, or a demand becomes late.
-func (table *Table) NextPlan(now time.Time, demands []Demand) (time.Time, bool) {
+func (table *Table) NextPlanTime(now time.Time, demands []Demand) (time.Time, bool) {
 	var next time.Time
 	consider := func(moment time.Time) {
 		if moment.After(now) && (next.IsZero() || moment.Before(next)) {
@@ -119,7 +119,7 @@
 		if known, ok := table.failures[demand.Ref]; ok {
 			consider(known.until)
 		}
-		consider(demand.Oldest.Add(table.config.SwitchDeferral))
+		consider(demand.OldestArrival.Add(table.config.MaxLoadDeferral))
 		consider(table.throttle.pause)
 		for _, slot := range table.slots {
 			consider(slot.keep)
--- a/internal/flow/slots/plan.go
+++ b/internal/flow/slots/plan.go
@@ -10,32 +10,32 @@
 
 // Demand tells how many requests wait for an adapter.
 type Demand struct {
-	Ref     Ref
-	Class   model.Class
-	Waiters int
-	// Oldest is the arrival of the longest-waiting request.
-	Oldest time.Time
+	Ref             AdapterRef
+	Class           model.Class
+	WaitingRequests int
+	// OldestArrival is the arrival of the longest-waiting request.
+	OldestArrival time.Time
 }
 
 // Order asks the engine for a load, after the eviction of Evict if it is set.
 // An order without Load only evicts and is not answered by Finish.
 type Order struct {
-	Load  Ref
-	Evict Ref
+	Load  AdapterRef
+	Evict AdapterRef
 }
 
 // Plan returns the orders to give to the engine now. Each is answered by one
 // call of Finish. Demands name loaded adapters too, whose waiting requests
 // put off their eviction.
 func (table *Table) Plan(now time.Time, demands []Demand) []Order {
-	orders, _ := table.PlanLoads(now, demands, len(demands))
+	orders, _ := table.PlanAtMost(now, demands, len(demands))
 	return orders
 }
 
-// PlanLoads is Plan with a bound on the orders that load, and reports whether
+// PlanAtMost is Plan with a bound on the orders that load, and reports whether
 // the bound held one back.
-func (table *Table) PlanLoads(now time.Time, demands []Demand, most int) (orders []Order, more bool) {
-	waiting := make(map[Ref]bool, len(demands))
+func (table *Table) PlanAtMost(now time.Time, demands []Demand, most int) (orders []Order, more bool) {
+	waiting := make(map[AdapterRef]bool, len(demands))
 	wanted := demands[:0:0]
 	for _, demand := range demands {
 		if _, known := table.slots[demand.Ref]; known {
@@ -77,7 +77,7 @@
 func (table *Table) trim(now time.Time) []Order {
 	var orders []Order
 	for len(table.slots) > table.size {
-		ref, ok := table.least(now, func(_ Ref, slot *slot) bool { return slot.pins == 0 })
+		ref, ok := table.least(now, func(_ AdapterRef, slot *slot) bool { return slot.pins == 0 })
 		if !ok {
 			break
 		}
@@ -89,7 +89,7 @@
 
 // late reports whether a demand has been put off long enough.
 func (table *Table) late(now time.Time, demand Demand) bool {
-	return now.Sub(demand.Oldest) >= table.config.SwitchDeferral
+	return now.Sub(demand.OldestArrival) >= table.config.MaxLoadDeferral
 }
 
 // lateFactor is how many deferrals a demand waits before its age alone puts it
@@ -98,35 +98,35 @@
 
 // compare orders demands by class, waiting requests and age.
 func (table *Table) compare(now time.Time, left, right Demand) int {
-	overdue := lateFactor * table.config.SwitchDeferral
-	if now.Sub(left.Oldest) >= overdue || now.Sub(right.Oldest) >= overdue {
-		if order := left.Oldest.Compare(right.Oldest); order != 0 {
+	overdue := lateFactor * table.config.MaxLoadDeferral
+	if now.Sub(left.OldestArrival) >= overdue || now.Sub(right.OldestArrival) >= overdue {
+		if order := left.OldestArrival.Compare(right.OldestArrival); order != 0 {
 			return order
 		}
 	}
 	return cmp.Or(
 		cmp.Compare(left.Class, right.Class),
-		cmp.Compare(right.Waiters, left.Waiters),
-		left.Oldest.Compare(right.Oldest),
+		cmp.Compare(right.WaitingRequests, left.WaitingRequests),
+		left.OldestArrival.Compare(right.OldestArrival),
 		compareRefs(left.Ref, right.Ref),
 	)
 }
 
-func compareRefs(left, right Ref) int {
+func compareRefs(left, right AdapterRef) int {
 	return cmp.Or(cmp.Compare(left.Adapter, right.Adapter), cmp.Compare(left.Version, right.Version))
 }
 
 // room finds a place for one more adapter: a free slot, or the least valuable
 // adapter that is not in use. Adapters with waiting requests are evicted only
 // for a late demand.
-func (table *Table) room(now time.Time, waiting map[Ref]bool, late bool) (Ref, bool) {
+func (table *Table) room(now time.Time, waiting map[AdapterRef]bool, late bool) (AdapterRef, bool) {
 	if len(table.slots) < table.size {
-		return Ref{}, true
+		return AdapterRef{}, true
 	}
 	if len(table.slots) > table.size {
-		return Ref{}, false
+		return AdapterRef{}, false
 	}
-	return table.least(now, func(ref Ref, slot *slot) bool {
+	return table.least(now, func(ref AdapterRef, slot *slot) bool {
 		return slot.pins == 0 && (late || slot.closing || !waiting[ref])
 	})
 }
@@ -135,15 +135,15 @@
 // slots are closing. Without it, a steady load on the loaded adapters would
 // keep every slot pinned for ever. One slot closes at a time: closing up to half
 // of them raised the waits for loads by half against the engine stand-in.
-func (table *Table) close(now time.Time, waiting map[Ref]bool) {
+func (table *Table) close(now time.Time, waiting map[AdapterRef]bool) {
 	for _, slot := range table.slots {
 		if slot.closing {
 			return
 		}
 	}
-	ref, ok := table.least(now, func(ref Ref, _ *slot) bool { return !waiting[ref] })
+	ref, ok := table.least(now, func(ref AdapterRef, _ *slot) bool { return !waiting[ref] })
 	if !ok {
-		ref, ok = table.least(now, func(Ref, *slot) bool { return true })
+		ref, ok = table.least(now, func(AdapterRef, *slot) bool { return true })
 	}
 	if ok {
 		table.slots[ref].closing = true
@@ -159,8 +159,8 @@
 
 // least returns the adapter of least value among those that may go: by decayed
 // use, then by oldest use.
-func (table *Table) least(now time.Time, may func(Ref, *slot) bool) (Ref, bool) {
-	var best Ref
+func (table *Table) least(now time.Time, may func(AdapterRef, *slot) bool) (AdapterRef, bool) {
+	var best AdapterRef
 	var bestSlot *slot
 	for ref, slot := range table.slots {
 		if slot.loading || slot.keep.After(now) || !may(ref, slot) {
@@ -173,7 +173,7 @@
 	return best, bestSlot != nil
 }
 
-func (table *Table) less(now time.Time, ref Ref, slot *slot, best Ref, bestSlot *slot) bool {
+func (table *Table) less(now time.Time, ref AdapterRef, slot *slot, best AdapterRef, bestSlot *slot) bool {
 	return cmp.Or(
 		cmp.Compare(slot.value(now, table.config.HalfLife), bestSlot.value(now, table.config.HalfLife)),
 		slot.lastUsed.Compare(bestSlot.lastUsed),
