--- a/internal/flow/slots/slots.go
+++ b/internal/flow/slots/slots.go
@@ -11,31 +11,31 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Ref names an adapter in one version.
-type Ref struct {
+// AdapterRef names an adapter in one version.
+type AdapterRef struct {
 	Adapter string
 	Version uint32
 }
 
 // String returns the reference as callers write it.
-func (ref Ref) String() string {
+func (ref AdapterRef) String() string {
 	return ref.Adapter + "@" + strconv.FormatUint(uint64(ref.Version), 10)
 }
 
 // Hash returns the hash under which load reports name the adapter.
-func (ref Ref) Hash() uint64 { return xxh3.HashString(ref.String()) }
+func (ref AdapterRef) Hash() uint64 { return xxh3.HashString(ref.String()) }
 
 // Config sets up a Table. Zero fields take their defaults.
 type Config struct {
 	Slots int
 	Seed  uint64
-	// Target is the load time at which concurrency stays as it is.
-	Target time.Duration
-	// Concurrency bounds the loads in flight.
-	Concurrency int
-	// SwitchDeferral bounds how long requests for loaded adapters may put off
+	// TargetLoadTime is the load time at which concurrency stays as it is.
+	TargetLoadTime time.Duration
+	// MaxConcurrentLoads bounds the loads in flight.
+	MaxConcurrentLoads int
+	// MaxLoadDeferral bounds how long requests for loaded adapters may put off
 	// the load of another one.
-	SwitchDeferral time.Duration
+	MaxLoadDeferral time.Duration
 	// HalfLife is how fast use counts decay.
 	HalfLife time.Duration
 }
@@ -52,14 +52,14 @@
 )
 
 func (config Config) withDefaults() Config {
-	if config.Target <= 0 {
-		config.Target = defaultTarget
+	if config.TargetLoadTime <= 0 {
+		config.TargetLoadTime = defaultTarget
 	}
-	if config.Concurrency <= 0 {
-		config.Concurrency = defaultConcurrency
+	if config.MaxConcurrentLoads <= 0 {
+		config.MaxConcurrentLoads = defaultConcurrency
 	}
-	if config.SwitchDeferral <= 0 {
-		config.SwitchDeferral = defaultSwitchDeferral
+	if config.MaxLoadDeferral <= 0 {
+		config.MaxLoadDeferral = defaultSwitchDeferral
 	}
 	if config.HalfLife <= 0 {
 		config.HalfLife = defaultHalfLife
@@ -87,9 +87,9 @@
 // Table is the slot table of one engine. It is not safe for concurrent use.
 type Table struct {
 	config   Config
-	slots    map[Ref]*slot
+	slots    map[AdapterRef]*slot
 	size     int
-	failures map[Ref]*failure
+	failures map[AdapterRef]*failure
 	throttle throttle
 	random   *rand.Rand
 }
@@ -100,8 +100,8 @@
 	return &Table{
 		config:   config,
 		size:     config.Slots,
-		slots:    map[Ref]*slot{},
-		failures: map[Ref]*failure{},
+		slots:    map[AdapterRef]*slot{},
+		failures: map[AdapterRef]*failure{},
 		throttle: newThrottle(config),
 		random:   rand.New(rand.NewPCG(config.Seed, 0)),
 	}
@@ -109,9 +109,9 @@
 
 // Reset replaces the contents after the engine started anew. Pins and loads
 // from before are void; Unpin and Finish of them are ignored by the caller.
-func (table *Table) Reset(now time.Time, size int, loaded []Ref) {
+func (table *Table) Reset(now time.Time, size int, loaded []AdapterRef) {
 	table.size = size
-	table.slots = make(map[Ref]*slot, size)
+	table.slots = make(map[AdapterRef]*slot, size)
 	table.throttle.inFlight = 0
 	for _, ref := range loaded {
 		table.slots[ref] = &slot{lastUsed: now}
@@ -125,8 +125,8 @@
 // Reconcile corrects the table after an order failed, when it is not known
 // what the engine did: adapters that the engine holds are added, and those not
 // in use that it lacks are dropped.
-func (table *Table) Reconcile(now time.Time, loaded []Ref) {
-	held := make(map[Ref]bool, len(loaded))
+func (table *Table) Reconcile(now time.Time, loaded []AdapterRef) {
+	held := make(map[AdapterRef]bool, len(loaded))
 	for _, ref := range loaded {
 		held[ref] = true
 		if _, known := table.slots[ref]; !known {
@@ -143,8 +143,8 @@
 // Size returns the number of slots.
 func (table *Table) Size() int { return table.size }
 
-// Free returns the number of slots without an adapter in use or loading.
-func (table *Table) Free() int {
+// FreeSlots returns the number of slots without an adapter in use or loading.
+func (table *Table) FreeSlots() int {
 	free := table.size
 	for _, slot := range table.slots {
 		if slot.loading || slot.pins > 0 {
@@ -154,9 +154,9 @@
 	return max(free, 0)
 }
 
-// Loaded returns the loaded adapters, at most limit of them.
-func (table *Table) Loaded(limit int) []Ref {
-	refs := make([]Ref, 0, min(limit, len(table.slots)))
+// LoadedAdapters returns the loaded adapters, at most limit of them.
+func (table *Table) LoadedAdapters(limit int) []AdapterRef {
+	refs := make([]AdapterRef, 0, min(limit, len(table.slots)))
 	for ref, slot := range table.slots {
 		if !slot.loading && len(refs) < limit {
 			refs = append(refs, ref)
@@ -166,14 +166,14 @@
 }
 
 // Ready reports whether a request for the adapter may start now.
-func (table *Table) Ready(ref Ref) bool {
+func (table *Table) Ready(ref AdapterRef) bool {
 	slot, ok := table.slots[ref]
 	return ok && !slot.loading && !slot.closing
 }
 
 // Pin marks the adapter as in use by one more request and reports whether it
 // was ready.
-func (table *Table) Pin(now time.Time, ref Ref) bool {
+func (table *Table) Pin(now time.Time, ref AdapterRef) bool {
 	if !table.Ready(ref) {
 		return false
 	}
@@ -185,7 +185,7 @@
 }
 
 // Unpin ends one use of the adapter.
-func (table *Table) Unpin(ref Ref) {
+func (table *Table) Unpin(ref AdapterRef) {
 	if slot, ok := table.slots[ref]; ok && slot.pins > 0 {
 		slot.pins--
 	}
--- a/internal/flow/slots/slots_test.go
+++ b/internal/flow/slots/slots_test.go
@@ -19,11 +19,11 @@
 
 var errStore = errors.New("store down")
 
-func ref(name string) Ref { return Ref{Adapter: name, Version: 1} }
+func ref(name string) AdapterRef { return AdapterRef{Adapter: name, Version: 1} }
 
 // naiveSlot remembers every use.
 type naiveSlot struct {
-	ref              Ref
+	ref              AdapterRef
 	loading, closing bool
 	pins             int
 	uses             []time.Time
@@ -38,10 +38,10 @@
 	slots  []*naiveSlot
 	// until is the end of each adapter's backoff, taken from the table since
 	// it is random.
-	until func(Ref) time.Time
+	until func(AdapterRef) time.Time
 }
 
-func (naive *naive) find(ref Ref) *naiveSlot {
+func (naive *naive) find(ref AdapterRef) *naiveSlot {
 	for _, slot := range naive.slots {
 		if slot.ref == ref {
 			return slot
@@ -50,7 +50,7 @@
 	return nil
 }
 
-func (naive *naive) drop(ref Ref) {
+func (naive *naive) drop(ref AdapterRef) {
 	naive.slots = slices.DeleteFunc(naive.slots, func(slot *naiveSlot) bool { return slot.ref == ref })
 }
 
@@ -77,7 +77,7 @@
 
 func (naive *naive) plan(now time.Time, demands []Demand) (orders []Order) {
 	var wanted []Demand
-	waiting := map[Ref]bool{}
+	waiting := map[AdapterRef]bool{}
 	for _, demand := range demands {
 		if naive.find(demand.Ref) != nil {
 			waiting[demand.Ref] = true
@@ -85,13 +85,13 @@
 			wanted = append(wanted, demand)
 		}
 	}
-	overdue := func(demand Demand) bool { return now.Sub(demand.Oldest) >= 8*naive.config.SwitchDeferral }
+	overdue := func(demand Demand) bool { return now.Sub(demand.OldestArrival) >= 8*naive.config.MaxLoadDeferral }
 	slices.SortFunc(wanted, func(left, right Demand) int {
-		if order := left.Oldest.Compare(right.Oldest); order != 0 && (overdue(left) || overdue(right)) {
+		if order := left.OldestArrival.Compare(right.OldestArrival); order != 0 && (overdue(left) || overdue(right)) {
 			return order
 		}
-		return cmp.Or(cmp.Compare(left.Class, right.Class), cmp.Compare(right.Waiters, left.Waiters),
-			left.Oldest.Compare(right.Oldest), compareRefs(left.Ref, right.Ref))
+		return cmp.Or(cmp.Compare(left.Class, right.Class), cmp.Compare(right.WaitingRequests, left.WaitingRequests),
+			left.OldestArrival.Compare(right.OldestArrival), compareRefs(left.Ref, right.Ref))
 	})
 	if len(wanted) == 0 {
 		for _, slot := range naive.slots {
@@ -102,8 +102,8 @@
 		if slices.ContainsFunc(naive.slots, func(slot *naiveSlot) bool { return slot.loading }) {
 			break
 		}
-		late := now.Sub(demand.Oldest) >= naive.config.SwitchDeferral
-		var evict Ref
+		late := now.Sub(demand.OldestArrival) >= naive.config.MaxLoadDeferral
+		var evict AdapterRef
 		if len(naive.slots) == naive.size {
 			victim := naive.least(now, func(slot *naiveSlot) bool {
 				return slot.pins == 0 && (late || slot.closing || !waiting[slot.ref])
@@ -123,7 +123,7 @@
 	return orders
 }
 
-func (naive *naive) close(now time.Time, waiting map[Ref]bool) {
+func (naive *naive) close(now time.Time, waiting map[AdapterRef]bool) {
 	if slices.ContainsFunc(naive.slots, func(slot *naiveSlot) bool { return slot.closing }) {
 		return
 	}
@@ -141,16 +141,16 @@
 func TestTableAgainstNaive(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 2))
-		config := Config{Slots: 4, Seed: seed, Target: time.Hour, Concurrency: 1, HalfLife: 10 * time.Second}.withDefaults()
+		config := Config{Slots: 4, Seed: seed, TargetLoadTime: time.Hour, MaxConcurrentLoads: 1, HalfLife: 10 * time.Second}.withDefaults()
 		table := New(config)
-		naive := &naive{size: 4, config: config, until: func(ref Ref) time.Time {
+		naive := &naive{size: 4, config: config, until: func(ref AdapterRef) time.Time {
 			if known, ok := table.failures[ref]; ok {
 				return known.until
 			}
 			return time.Time{}
 		}}
 		now := start
-		var pinned []Ref
+		var pinned []AdapterRef
 		for step := range 400 {
 			now = now.Add(time.Duration(1+random.IntN(100)) * time.Millisecond)
 			name := ref(fmt.Sprint(random.IntN(9)))
@@ -174,8 +174,8 @@
 				var demands []Demand
 				for _, index := range random.Perm(9)[:random.IntN(5)] {
 					demands = append(demands, Demand{
-						Ref: ref(fmt.Sprint(index)), Class: model.Class(random.IntN(2)), Waiters: 1 + random.IntN(3),
-						Oldest: now.Add(-time.Duration(random.IntN(3000)) * time.Millisecond),
+						Ref: ref(fmt.Sprint(index)), Class: model.Class(random.IntN(2)), WaitingRequests: 1 + random.IntN(3),
+						OldestArrival: now.Add(-time.Duration(random.IntN(3000)) * time.Millisecond),
 					})
 				}
 				want := naive.plan(now, demands)
@@ -194,10 +194,10 @@
 						continue
 					}
 					if random.IntN(4) == 0 {
-						table.Finish(now, slot.ref, errStore)
+						table.LoadFinished(now, slot.ref, errStore)
 						naive.drop(slot.ref)
 					} else {
-						table.Finish(now, slot.ref, nil)
+						table.LoadFinished(now, slot.ref, nil)
 						slot.loading, slot.last = false, now
 					}
 					break
@@ -211,7 +211,7 @@
 func loaded(t *testing.T) *Table {
 	t.Helper()
 	table := New(Config{Slots: 2, Seed: 1})
-	table.Reset(start, 2, []Ref{ref("a"), ref("b")})
+	table.Reset(start, 2, []AdapterRef{ref("a"), ref("b")})
 	for _, name := range []string{"a", "a", "b"} {
 		if !table.Pin(start, ref(name)) {
 			t.Fatal("not loaded")
@@ -247,9 +247,9 @@
 			for _, name := range test.pins {
 				table.Pin(start, ref(name))
 			}
-			demands := []Demand{{Ref: ref("c"), Waiters: 1, Oldest: start}}
+			demands := []Demand{{Ref: ref("c"), WaitingRequests: 1, OldestArrival: start}}
 			for _, name := range test.waiting {
-				demands = append(demands, Demand{Ref: ref(name), Waiters: 1, Oldest: start})
+				demands = append(demands, Demand{Ref: ref(name), WaitingRequests: 1, OldestArrival: start})
 			}
 			now := start.Add(test.age)
 			if diff := compare.Diff(test.want, table.Plan(now, demands)); diff != "" {
@@ -274,16 +274,16 @@
 func TestBackoff(t *testing.T) {
 	table := New(Config{Slots: 1, Seed: 3})
 	now := start
-	demand := []Demand{{Ref: ref("a"), Waiters: 1, Oldest: start}}
+	demand := []Demand{{Ref: ref("a"), WaitingRequests: 1, OldestArrival: start}}
 	delay := 250 * time.Millisecond
 	for count := 1; count <= 8; count++ {
 		if orders := table.Plan(now, demand); len(orders) != 1 {
 			t.Fatalf("failure %d: orders %v", count, orders)
 		}
-		if giveUp := table.Finish(now, ref("a"), errStore); giveUp != (count >= 2) {
+		if giveUp := table.LoadFinished(now, ref("a"), errStore); giveUp != (count >= 2) {
 			t.Errorf("failure %d: give up %v", count, giveUp)
 		}
-		next, _ := table.NextPlan(now, demand)
+		next, _ := table.NextPlanTime(now, demand)
 		wait := table.failures[ref("a")].until.Sub(now)
 		if wait < delay/2 || wait > delay || next.After(now.Add(wait)) {
 			t.Errorf("failure %d: wait %v of %v, next plan after %v", count, wait, delay, next.Sub(now))
@@ -294,8 +294,8 @@
 		now, delay = now.Add(wait), min(2*delay, 8*time.Second)
 	}
 	table.Plan(now, demand)
-	table.Finish(now, ref("a"), nil)
-	if _, refuses := table.Refuses(now, ref("a")); refuses || len(table.failures) != 0 {
+	table.LoadFinished(now, ref("a"), nil)
+	if _, refuses := table.RejectFor(now, ref("a")); refuses || len(table.failures) != 0 {
 		t.Error("a success does not end the backoff")
 	}
 }
@@ -312,19 +312,19 @@
 		{400 * time.Millisecond, 1, 1}, {400 * time.Millisecond, 10, leastLimit},
 	}
 	for _, test := range tests {
-		table := New(Config{Slots: 1000, Concurrency: 8})
+		table := New(Config{Slots: 1000, MaxConcurrentLoads: 8})
 		now := start
 		for index := range test.loads {
 			name := ref(fmt.Sprint(index))
-			if orders := table.Plan(now, []Demand{{Ref: name, Oldest: now}}); len(orders) != 1 {
+			if orders := table.Plan(now, []Demand{{Ref: name, OldestArrival: now}}); len(orders) != 1 {
 				t.Fatalf("%+v: load %d is held up", test, index)
 			}
 			now = now.Add(test.took)
-			table.Finish(now, name, nil)
+			table.LoadFinished(now, name, nil)
 			now = now.Add(10 * time.Second)
 		}
-		if table.Concurrency() != test.want {
-			t.Errorf("%+v: concurrency %v", test, table.Concurrency())
+		if table.LoadConcurrency() != test.want {
+			t.Errorf("%+v: concurrency %v", test, table.LoadConcurrency())
 		}
 	}
 }
@@ -333,11 +333,11 @@
 func TestThrottlePause(t *testing.T) {
 	table := New(Config{Slots: 10})
 	table.throttle.limit = 0.5
-	demand := []Demand{{Ref: ref("b"), Oldest: start}}
-	table.Plan(start, []Demand{{Ref: ref("a"), Oldest: start}})
+	demand := []Demand{{Ref: ref("b"), OldestArrival: start}}
+	table.Plan(start, []Demand{{Ref: ref("a"), OldestArrival: start}})
 	now := start.Add(time.Second)
-	table.Finish(now, ref("a"), nil)
-	next, _ := table.NextPlan(now, demand)
+	table.LoadFinished(now, ref("a"), nil)
+	next, _ := table.NextPlanTime(now, demand)
 	if orders := table.Plan(now, demand); len(orders) != 0 || next.Sub(now) != 3*time.Second {
 		t.Errorf("orders %v, next plan after %v", orders, next.Sub(now))
 	}
@@ -352,15 +352,15 @@
 	tests := []struct {
 		name   string
 		change func(table *Table)
-		want   []Ref
+		want   []AdapterRef
 	}{
-		{"load done although its reply was lost", func(table *Table) { table.Reconcile(start, []Ref{ref("a"), ref("c")}) }, []Ref{ref("a"), ref("c")}},
-		{"more adapters than slots", func(table *Table) { table.Reconcile(start, []Ref{ref("a"), ref("b"), ref("c")}) }, []Ref{ref("a"), ref("b")}},
-		{"adapter gone", func(table *Table) { table.Reconcile(start, []Ref{ref("a")}) }, []Ref{ref("a")}},
-		{"fewer slots", func(table *Table) { table.Resize(1) }, []Ref{ref("a")}},
+		{"load done although its reply was lost", func(table *Table) { table.Reconcile(start, []AdapterRef{ref("a"), ref("c")}) }, []AdapterRef{ref("a"), ref("c")}},
+		{"more adapters than slots", func(table *Table) { table.Reconcile(start, []AdapterRef{ref("a"), ref("b"), ref("c")}) }, []AdapterRef{ref("a"), ref("b")}},
+		{"adapter gone", func(table *Table) { table.Reconcile(start, []AdapterRef{ref("a")}) }, []AdapterRef{ref("a")}},
+		{"fewer slots", func(table *Table) { table.Resize(1) }, []AdapterRef{ref("a")}},
 		{"eviction refused", func(table *Table) {
-			table.Refused(start, table.Plan(start, []Demand{{Ref: ref("c"), Oldest: start}})[0])
-		}, []Ref{ref("a"), ref("b")}},
+			table.EvictionRefused(start, table.Plan(start, []Demand{{Ref: ref("c"), OldestArrival: start}})[0])
+		}, []AdapterRef{ref("a"), ref("b")}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -368,7 +368,7 @@
 			table.Pin(start, ref("a"))
 			test.change(table)
 			table.Plan(start, nil)
-			got := table.Loaded(10)
+			got := table.LoadedAdapters(10)
 			slices.SortFunc(got, compareRefs)
 			if diff := compare.Diff(test.want, got); diff != "" {
 				t.Errorf("loaded (-want +got):\n%s", diff)
@@ -379,7 +379,7 @@
 
 func BenchmarkLookup(b *testing.B) {
 	table := New(Config{Slots: 32})
-	var refs []Ref
+	var refs []AdapterRef
 	for index := range 32 {
 		refs = append(refs, ref(fmt.Sprint("adapter-", index)))
 	}
--- a/internal/flow/slots/throttle.go
+++ b/internal/flow/slots/throttle.go
@@ -24,8 +24,8 @@
 }
 
 func newThrottle(config Config) throttle {
-	most := float64(config.Concurrency)
-	return throttle{target: config.Target, limit: min(startLimit, most), most: most}
+	most := float64(config.MaxConcurrentLoads)
+	return throttle{target: config.TargetLoadTime, limit: min(startLimit, most), most: most}
 }
 
 func (throttle *throttle) allows(now time.Time) bool {
@@ -54,5 +54,5 @@
 	}
 }
 
-// Concurrency returns the present limit of concurrent loads.
-func (table *Table) Concurrency() float64 { return table.throttle.limit }
+// LoadConcurrency returns the present limit of concurrent loads.
+func (table *Table) LoadConcurrency() float64 { return table.throttle.limit }
--- a/internal/flow/pace/pace.go
+++ b/internal/flow/speed/speed.go
@@ -1,7 +1,7 @@
-// Package pace estimates how fast an engine works from what its streams show:
+// Package speed estimates how fast an engine works from what its streams show:
 // how long the first event took, by the size of the prompt, and how far apart
 // the next events came. Engines of another make or size need no settings.
-package pace
+package speed
 
 import (
 	"slices"
@@ -37,9 +37,9 @@
 	took   time.Duration
 }
 
-// Read records how long it took from sending a prompt, with none before it, to
+// RecordFirstEvent records how long it took from sending a prompt, with none before it, to
 // the first event.
-func (estimator *Estimator) Read(prompt int64, took time.Duration) {
+func (estimator *Estimator) RecordFirstEvent(prompt int64, took time.Duration) {
 	if prompt <= 0 || took <= 0 {
 		return
 	}
@@ -47,20 +47,20 @@
 	estimator.rate, estimator.bound = estimator.estimate(), estimator.leastRate()
 }
 
-// Paused records the usual pause between two events of one stream.
-func (estimator *Estimator) Paused(pause time.Duration) {
+// RecordInterval records the usual pause between two events of one stream.
+func (estimator *Estimator) RecordInterval(pause time.Duration) {
 	if pause > 0 {
 		estimator.pauses = KeepNewest(append(estimator.pauses, pause), mostPauses)
 	}
 }
 
-// Rate returns how many prompt tokens the engine reads in a millisecond, 0 if
+// PrefillRate returns how many prompt tokens the engine reads in a millisecond, 0 if
 // that is not known.
-func (estimator *Estimator) Rate() float64 { return estimator.rate }
+func (estimator *Estimator) PrefillRate() float64 { return estimator.rate }
 
-// AtLeast returns a rate that the engine reaches at the least, 0 if none is
+// MinPrefillRate returns a rate that the engine reaches at the least, 0 if none is
 // known. It needs one reading, but counts the way there and back as reading.
-func (estimator *Estimator) AtLeast() float64 { return estimator.bound }
+func (estimator *Estimator) MinPrefillRate() float64 { return estimator.bound }
 
 // leastRate returns the median of the rates that the readings show.
 func (estimator *Estimator) leastRate() float64 {
@@ -71,8 +71,8 @@
 	return min(Median(rates), fastestRate)
 }
 
-// Pause returns the usual time between two events, 0 if it is not known.
-func (estimator *Estimator) Pause() time.Duration {
+// EventInterval returns the usual time between two events, 0 if it is not known.
+func (estimator *Estimator) EventInterval() time.Duration {
 	if len(estimator.pauses) < leastPauses {
 		return 0
 	}
--- a/internal/flow/pace/pace_test.go
+++ b/internal/flow/speed/speed_test.go
@@ -1,4 +1,4 @@
-package pace
+package speed
 
 import (
 	"math"
@@ -38,9 +38,9 @@
 					if random.Float64() < test.delay {
 						took += time.Duration(random.ExpFloat64() * float64(40*time.Millisecond))
 					}
-					estimator.Read(prompt, took)
+					estimator.RecordFirstEvent(prompt, took)
 				}
-				if got := estimator.Rate(); math.Abs(got/test.rate-1) > 0.25 {
+				if got := estimator.PrefillRate(); math.Abs(got/test.rate-1) > 0.25 {
 					t.Errorf("seed %d: rate %.1f, want %.1f", seed, got, test.rate)
 				}
 			}
@@ -77,9 +77,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			estimator := new(Estimator)
 			for number := range test.readings {
-				estimator.Read(test.prompt(number+1), test.took(number+1))
+				estimator.RecordFirstEvent(test.prompt(number+1), test.took(number+1))
 			}
-			if got := estimator.Rate(); got != 0 {
+			if got := estimator.PrefillRate(); got != 0 {
 				t.Errorf("rate %.2f from readings that tell none", got)
 			}
 		})
@@ -93,16 +93,16 @@
 	feed := func(rate float64, pause time.Duration) {
 		for number := range mostReadings {
 			prompt := int64(200 + 50*number)
-			estimator.Read(prompt, time.Duration(float64(prompt)/rate*float64(time.Millisecond)))
-			estimator.Paused(pause)
+			estimator.RecordFirstEvent(prompt, time.Duration(float64(prompt)/rate*float64(time.Millisecond)))
+			estimator.RecordInterval(pause)
 		}
 	}
 	feed(38, 30*time.Millisecond)
 	feed(12, 90*time.Millisecond)
-	if got := estimator.Rate(); math.Abs(got-12) > 1 {
+	if got := estimator.PrefillRate(); math.Abs(got-12) > 1 {
 		t.Errorf("rate %.1f after the engine turned slow, want 12", got)
 	}
-	if got := estimator.Pause(); got != 90*time.Millisecond {
+	if got := estimator.EventInterval(); got != 90*time.Millisecond {
 		t.Errorf("pause %v after the engine turned slow, want 90 ms", got)
 	}
 }
@@ -113,16 +113,16 @@
 func TestAtLeast(t *testing.T) {
 	const rate = 38.4
 	var estimator Estimator
-	if got := estimator.AtLeast(); got != 0 {
+	if got := estimator.MinPrefillRate(); got != 0 {
 		t.Errorf("bound %v of nothing, want 0", got)
 	}
 	for _, prompt := range []int64{628, 1800, 900} {
-		estimator.Read(prompt, 12*time.Millisecond+time.Duration(float64(prompt)/rate*float64(time.Millisecond)))
+		estimator.RecordFirstEvent(prompt, 12*time.Millisecond+time.Duration(float64(prompt)/rate*float64(time.Millisecond)))
 	}
-	if got := estimator.AtLeast(); got < 19 || got > rate {
+	if got := estimator.MinPrefillRate(); got < 19 || got > rate {
 		t.Errorf("bound %.1f after three readings, want 19 to %v", got, rate)
 	}
-	if got := estimator.Rate(); got != 0 {
+	if got := estimator.PrefillRate(); got != 0 {
 		t.Errorf("rate %v after three readings, want 0", got)
 	}
 }
--- a/internal/state/fleet/fleet.go
+++ b/internal/state/fleet/fleet.go
@@ -24,8 +24,8 @@
 	Draining      bool
 	// Remaining is the time until the upstream ends, 0 if it is not known.
 	Remaining time.Duration
-	// Born is the start in Unix milliseconds; another value is another start.
-	Born int64
+	// StartedAt is the start in Unix milliseconds; another value is another start.
+	StartedAt int64
 }
 
 // Config configures a List. Zero values mean the defaults.
--- a/internal/wire/codec/fleet_test.go
+++ b/internal/wire/codec/fleet_test.go
@@ -7,18 +7,18 @@
 	"github.com/google/go-cmp/cmp"
 
 	"jacinthfront.dev/jacinthfront/internal/flow/admit"
-	"jacinthfront.dev/jacinthfront/internal/flow/stock"
+	"jacinthfront.dev/jacinthfront/internal/flow/lora"
 )
 
 // TestFleet guards against a field that is lost, or changes its unit, between
 // two processes.
 func TestFleet(t *testing.T) {
-	adapter := stock.Adapter{Name: "a1", Version: 3}
-	adapters := []stock.Adapter{adapter}
-	uses := []stock.Use{{Adapter: adapter, Running: 2, Waiting: 1}}
-	asks := []admit.Ask{{ID: 7, Adapter: adapter, Prompt: 1460, Output: 170, Priority: 1}}
-	pace := admit.Pace{ReadRate: 38.4, Event: 31 * time.Millisecond}
-	readings := []admit.Reading{{Ask: 7, First: 17 * time.Millisecond, Pause: 30 * time.Millisecond}}
+	adapter := lora.Adapter{Name: "a1", Version: 3}
+	adapters := []lora.Adapter{adapter}
+	uses := []lora.AdapterUse{{Adapter: adapter, Running: 2, Waiting: 1}}
+	asks := []admit.Request{{ID: 7, Adapter: adapter, PromptTokens: 1460, OutputTokens: 170, Priority: 1}}
+	pace := admit.Speed{PrefillRate: 38.4, EventInterval: 31 * time.Millisecond}
+	readings := []admit.Measurement{{RequestID: 7, FirstEvent: 17 * time.Millisecond, EventInterval: 30 * time.Millisecond}}
 	tests := []struct {
 		name      string
 		want, got any
@@ -27,7 +27,7 @@
 		{"uses", uses, DecodeUses(EncodeUses(uses))},
 		{"asks", asks, DecodeAsks(EncodeAsks(asks))},
 		{"pace", pace, DecodePace(EncodePace(pace))},
-		{"unknown pace", admit.Pace{}, DecodePace(nil)},
+		{"unknown pace", admit.Speed{}, DecodePace(nil)},
 		{"readings", readings, DecodeReadings(EncodeReadings(readings))},
 	}
 	for _, test := range tests {
