--- a/internal/flow/picker/candidate.go
+++ b/internal/flow/picker/candidate.go
@@ -7,112 +7,123 @@
 	"time"
 )
 
-// candidate is an upstream with what decides about it.
+// candidate is an upstream that may get a request, with the values by which it
+// is compared.
 type candidate struct {
 	*upstream
-	load  int
-	work  int64
-	wait  time.Duration
-	full  bool
-	holds bool
-	near  bool
+	load       int
+	backlog    int64
+	wait       time.Duration
+	full       bool
+	hasAdapter bool
+	sameDomain bool
 }
 
-func (board *Picker) candidates(need Request) []candidate {
+// candidates returns the upstreams that may get the request, in random order.
+// Engines whose loader has not reported since they were listed are left out for
+// firstReportTimeout, unless there are no others.
+func (picker *Picker) candidates(request Request) []candidate {
 	now := time.Now()
-	var candidates, unheard []candidate
-	for _, entry := range board.services[need.Service] {
-		if !board.usable(entry) || slices.Contains(need.Exclude, entry.spec.ID) {
+	var candidates, unreported []candidate
+	for _, upstream := range picker.services[request.Service] {
+		if !picker.usable(upstream) || slices.Contains(request.Exclude, upstream.spec.ID) {
 			continue
 		}
-		if need.Engine && !entry.reported.IsZero() && (!entry.report.ModelLoaded || entry.report.Unreachable) {
+		if request.Engine && !upstream.reportedAt.IsZero() && (!upstream.report.ModelLoaded || upstream.report.Unreachable) {
 			continue
 		}
-		if board.config.Health != nil && !board.config.Health.Usable(need.Service, entry.spec.ID) {
+		if picker.config.Health != nil && !picker.config.Health.Usable(request.Service, upstream.spec.ID) {
 			continue
 		}
-		load := board.load(entry, now)
-		work := board.work(entry, load, need, now)
-		wait := board.wait(entry, work)
-		if need.WaitingAt == entry.spec.ID {
-			wait -= board.config.MoveThreshold
+		load := picker.load(upstream, now)
+		backlog := picker.backlog(upstream, load, request, now)
+		wait := picker.wait(upstream, backlog)
+		if request.WaitingAt == upstream.spec.ID {
+			wait -= picker.config.MoveThreshold
 		}
-		found := candidate{
-			upstream: entry,
-			load:     load,
-			work:     work,
-			wait:     wait,
-			full:     board.full(entry, load, need) || need.MaxWait > 0 && wait > need.MaxWait,
-			holds:    entry.holds(need.Adapter),
-			near:     entry.spec.FailureDomain == board.config.FailureDomain,
+		candidate := candidate{
+			upstream:   upstream,
+			load:       load,
+			backlog:    backlog,
+			wait:       wait,
+			full:       picker.isFull(upstream, load, request) || request.MaxWait > 0 && wait > request.MaxWait,
+			hasAdapter: upstream.hasAdapter(request.Adapter),
+			sameDomain: upstream.spec.FailureDomain == picker.config.FailureDomain,
 		}
-		if need.Engine && entry.reported.IsZero() && now.Sub(entry.listed) < silentStart {
-			unheard = append(unheard, found)
+		if request.Engine && upstream.reportedAt.IsZero() && now.Sub(upstream.listedAt) < firstReportTimeout {
+			unreported = append(unreported, candidate)
 			continue
 		}
-		candidates = append(candidates, found)
+		candidates = append(candidates, candidate)
 	}
 	if len(candidates) == 0 {
-		candidates = unheard
+		candidates = unreported
 	}
 	rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
 	return candidates
 }
 
-// work returns how many prompt tokens a request would have before it. Requests
-// that wait for an adapter are not before one whose adapter is there.
-func (board *Picker) work(entry *upstream, load int, need Request, now time.Time) int64 {
-	work := int64(load * runningWeight)
-	if board.fresh(entry, now) {
-		work += entry.report.Backlog
-		if need.Late {
-			work += entry.report.Late
+// backlog returns how many prompt tokens are ahead of a request at an upstream.
+// Requests that wait for an adapter are not ahead of one whose adapter is
+// loaded.
+func (picker *Picker) backlog(upstream *upstream, load int, request Request, now time.Time) int64 {
+	backlog := int64(load * tokensPerRunning)
+	if picker.reportIsRecent(upstream, now) {
+		backlog += upstream.report.Backlog
+		if request.Late {
+			backlog += upstream.report.Late
 		}
 	}
-	unseen := entry.reported.Add(-board.config.ReportLag)
-	for _, waiting := range entry.asks {
-		if waiting.placed.After(unseen) && entry.holds(waiting.Adapter) && (need.Late || !waiting.late(now)) {
-			work += waiting.PromptTokens
+	covered := upstream.reportedAt.Add(-picker.config.ReportLag)
+	for _, waiter := range upstream.waiting {
+		if waiter.addedAt.After(covered) && upstream.hasAdapter(waiter.Adapter) && (request.Late || !waiter.late(now)) {
+			backlog += waiter.PromptTokens
 		}
 	}
-	return work
+	return backlog
 }
 
-// wait returns how long an upstream takes to let work in.
-func (board *Picker) wait(entry *upstream, work int64) time.Duration {
-	intake := cmp.Or(entry.report.AdmissionRate, board.config.AdmissionRate)
-	return time.Duration(float64(work) / intake * float64(time.Millisecond))
+// wait returns how long an upstream takes to admit a backlog.
+func (picker *Picker) wait(upstream *upstream, backlog int64) time.Duration {
+	rate := cmp.Or(upstream.report.AdmissionRate, picker.config.AdmissionRate)
+	return time.Duration(float64(backlog) / rate * float64(time.Millisecond))
 }
 
-func (board *Picker) fresh(entry *upstream, now time.Time) bool {
-	return !entry.reported.IsZero() && now.Sub(entry.reported) < board.config.ReportTTL
+// reportIsRecent reports whether an upstream's last report may still be used.
+func (picker *Picker) reportIsRecent(upstream *upstream, now time.Time) bool {
+	return !upstream.reportedAt.IsZero() && now.Sub(upstream.reportedAt) < picker.config.ReportTTL
 }
 
-// load returns how many requests an upstream is thought to hold: what it
-// reported and what this instance sent since, or what this instance has there
-// times the number of instances.
-func (board *Picker) load(entry *upstream, now time.Time) int {
-	if board.fresh(entry, now) {
-		return max(entry.report.Running+entry.report.Queued+len(entry.sent), entry.running)
+// load estimates how many requests an upstream holds: those in a recent report
+// and those that this instance has sent since, else the load named in an answer
+// that has just come, else this instance's own requests there times the number
+// of instances.
+func (picker *Picker) load(upstream *upstream, now time.Time) int {
+	if picker.reportIsRecent(upstream, now) {
+		return max(upstream.report.Running+upstream.report.Queued+len(upstream.unreported), upstream.running)
 	}
-	if now.Sub(entry.answeredAt) < board.config.ReportLag {
-		return max(entry.answered, entry.running)
+	if now.Sub(upstream.answeredAt) < picker.config.ReportLag {
+		return max(upstream.answeredLoad, upstream.running)
 	}
-	return entry.running * board.instances
+	return upstream.running * picker.instances
 }
 
-func (board *Picker) full(entry *upstream, load int, need Request) bool {
-	limit := entry.spec.Slots
-	if need.Urgent || !need.Engine {
-		limit += board.config.Overcommit
+// isFull reports whether an upstream has no slot left for a request, or its
+// engine not enough KV-cache memory.
+func (picker *Picker) isFull(upstream *upstream, load int, request Request) bool {
+	limit := upstream.spec.Slots
+	if request.Urgent || !request.Engine {
+		limit += picker.config.Overcommit
 	}
 	if load >= limit {
 		return true
 	}
-	free := entry.report.TotalTokens - entry.report.UsedTokens
-	return need.Engine && entry.report.TotalTokens > 0 && free < need.KVTokens*int64(1+len(entry.sent))
+	free := upstream.report.TotalTokens - upstream.report.UsedTokens
+	return request.Engine && upstream.report.TotalTokens > 0 && free < request.KVTokens*int64(1+len(upstream.unreported))
 }
 
-func byLoad(a, b candidate) int {
-	return cmp.Or(cmp.Compare(a.wait, b.wait), compareBool(b.near, a.near))
+// compareWait orders candidates by wait. Of equal ones, those in this
+// instance's failure domain come first.
+func compareWait(a, b candidate) int {
+	return cmp.Or(cmp.Compare(a.wait, b.wait), compareBool(b.sameDomain, a.sameDomain))
 }
--- a/internal/flow/picker/choose.go
+++ b/internal/flow/picker/choose.go
@@ -9,39 +9,44 @@
 	"jacinthfront.dev/jacinthfront/internal/state/fleet"
 )
 
-// Request is what a request asks of an upstream.
+// Request is what a request needs of an upstream.
 type Request struct {
 	Service string
 	// Adapter is empty for requests to plain services.
 	Adapter lora.Adapter
 	// Engine is false for plain services.
 	Engine bool
-	// KVTokens is the memory that the request takes up at an engine.
+	// KVTokens is the KV-cache memory that the request takes up at an engine,
+	// in tokens.
 	KVTokens int64
-	// Exclude holds the upstreams that were tried.
+	// Exclude holds the ids of the upstreams that were tried.
 	Exclude []string
-	// Urgent requests may take more of the places beyond an engine's slots.
+	// Urgent requests may also use the overcommitted places beyond an engine's
+	// slots.
 	Urgent bool
-	// MaxWait is the wait beyond which waiting is in vain, or 0 for none.
+	// MaxWait is the wait beyond which an upstream counts as full, or 0 for
+	// none.
 	MaxWait time.Duration
-	// Late requests come after those on time.
+	// Late requests have missed their response-time goal and come after those
+	// on time.
 	Late bool
-	// WaitingAt is the upstream where the request waits already, or empty.
+	// WaitingAt is the id of the upstream where the request already waits, or
+	// empty.
 	WaitingAt string
 }
 
-// Result says what Choose found.
+// Result is the kind of a Choice.
 type Result uint8
 
 const (
 	// Found means that the request may be sent now.
 	Found Result = iota
-	// AdapterMissing means that the adapter has to be brought to the upstream first.
+	// AdapterMissing means that the upstream has to load the adapter first.
 	AdapterMissing
-	// Full means that all upstreams have as much as they can take.
+	// Full means that all upstreams are at capacity.
 	Full
-	// Starting means that engines of the service are loading their model, and
-	// that the others have as much as they can take.
+	// Starting means that engines of the service are loading their model and
+	// that the others, if any, are at capacity.
 	Starting
 	// NoUpstream means that the service has no usable upstream.
 	NoUpstream
@@ -51,59 +56,61 @@
 type Choice struct {
 	Result   Result
 	Upstream fleet.Upstream
-	// Load is the number of requests that the upstream is thought to hold, and
-	// Backlog the number of prompt tokens before this request.
+	// Load is the estimated number of requests at the upstream, and Backlog the
+	// number of prompt tokens ahead of this request.
 	Load    int
 	Backlog int64
-	// Wait is how long the request is thought to wait for its turn there.
+	// Wait is the expected time until the request is admitted there.
 	Wait time.Duration
-	// CopyTo is another upstream that should get the adapter too, if its id is
+	// CopyTo is another upstream that should load the adapter too, if its id is
 	// not empty.
 	CopyTo fleet.Upstream
-	// RetryAfter is the time until an upstream may be used again, if there is none
-	// before, or 0.
+	// RetryAfter is the time until the first upstream that asked for a backoff
+	// may be used again, if none can be used before, or 0.
 	RetryAfter time.Duration
 }
 
 // Choose returns the upstream for a request.
-func (board *Picker) Choose(need Request) Choice {
-	board.mutex.Lock()
-	defer board.mutex.Unlock()
-	candidates := board.candidates(need)
+func (picker *Picker) Choose(request Request) Choice {
+	picker.mutex.Lock()
+	defer picker.mutex.Unlock()
+	candidates := picker.candidates(request)
 	if len(candidates) == 0 {
-		return Choice{Result: board.nothing(need), RetryAfter: board.rest(need)}
+		return Choice{Result: picker.unavailableResult(request), RetryAfter: picker.retryAfter(request)}
 	}
 	var choice Choice
-	if need.Adapter.Name == "" {
-		choice = leastLoaded(candidates)
+	if request.Adapter.Name == "" {
+		choice = shortestWait(candidates)
 	} else {
-		choice = board.chooseHolder(candidates, need)
+		choice = picker.chooseForAdapter(candidates, request)
 	}
-	if choice.Result == Full && board.nothing(need) == Starting {
+	if choice.Result == Full && picker.unavailableResult(request) == Starting {
 		choice.Result = Starting
 	}
 	return choice
 }
 
-// chooseHolder prefers upstreams that hold the adapter, then those that bring it
-// back by themselves, unless they are so much fuller than others that a fetch
-// from the store pays.
-func (board *Picker) chooseHolder(candidates []candidate, need Request) Choice {
-	holders := slices.DeleteFunc(slices.Clone(candidates), func(entry candidate) bool { return !entry.holds })
-	others := slices.DeleteFunc(slices.Clone(candidates), func(entry candidate) bool { return entry.holds })
-	return board.weigh(holders, others, need)
+// chooseForAdapter chooses among upstreams for a request with an adapter.
+func (picker *Picker) chooseForAdapter(candidates []candidate, request Request) Choice {
+	holders := slices.DeleteFunc(slices.Clone(candidates), func(candidate candidate) bool { return !candidate.hasAdapter })
+	others := slices.DeleteFunc(slices.Clone(candidates), func(candidate candidate) bool { return candidate.hasAdapter })
+	return picker.compareWaits(holders, others, request)
 }
 
-func (board *Picker) weigh(holders, others []candidate, need Request) Choice {
-	best := leastLoaded(holders)
-	if recaller, ok := leastRecaller(others, need.Adapter); ok {
-		if best.Result != Found || recaller.wait+recallTime < best.Wait {
-			return board.cheaper(recaller, others, need)
+// compareWaits prefers upstreams that have the adapter, unless one that can
+// reload it from its local cache has a wait shorter by more than the time of
+// the reload. A fetch from the weight store is the last choice, unless it would
+// be ready before the reload.
+func (picker *Picker) compareWaits(holders, others []candidate, request Request) Choice {
+	best := shortestWait(holders)
+	if reloader, ok := reloadTarget(others, request.Adapter); ok {
+		if best.Result != Found || reloader.wait+reloadTime < best.Wait {
+			return picker.reloadOrFetch(reloader, others, request)
 		}
 	}
-	target, ok := board.target(others, need.Adapter)
+	target, ok := picker.loadTarget(others, request.Adapter)
 	if best.Result == Found {
-		if ok && best.Wait > target.wait+board.config.CopyThreshold && !target.coming(need.Adapter) {
+		if ok && best.Wait > target.wait+picker.config.CopyThreshold && !target.awaits(request.Adapter) {
 			best.CopyTo = target.spec
 		}
 		return best
@@ -111,30 +118,34 @@
 	if !ok {
 		return Choice{Result: Full}
 	}
-	return absent(target)
+	return adapterMissing(target)
 }
 
-// cheaper returns the engine that recalls an adapter, unless a fetch from the
-// store to another one is there sooner.
-func (board *Picker) cheaper(recaller candidate, others []candidate, need Request) Choice {
-	target, ok := board.target(others, need.Adapter)
-	if ok && target.wait+fetchTime < recaller.wait+recallTime {
-		return absent(target)
+// reloadOrFetch returns the engine that can reload the adapter from its local
+// cache, unless another one would have it sooner by a fetch from the weight
+// store.
+func (picker *Picker) reloadOrFetch(reloader candidate, others []candidate, request Request) Choice {
+	target, ok := picker.loadTarget(others, request.Adapter)
+	if ok && target.wait+fetchTime < reloader.wait+reloadTime {
+		return adapterMissing(target)
 	}
-	return absent(recaller)
+	return adapterMissing(reloader)
 }
 
-func absent(target candidate) Choice {
-	return Choice{Result: AdapterMissing, Upstream: target.spec, Load: target.load, Backlog: target.work, Wait: target.bringWait() + fetchTime}
+// adapterMissing returns the choice of an upstream that has to load the
+// adapter.
+func adapterMissing(target candidate) Choice {
+	return Choice{Result: AdapterMissing, Upstream: target.spec, Load: target.load, Backlog: target.backlog, Wait: target.loadWait() + fetchTime}
 }
 
-func leastLoaded(candidates []candidate) Choice {
-	open := slices.DeleteFunc(slices.Clone(candidates), func(entry candidate) bool { return entry.full })
-	if len(open) == 0 {
+// shortestWait returns the candidate with the shortest wait that is not full.
+func shortestWait(candidates []candidate) Choice {
+	available := slices.DeleteFunc(slices.Clone(candidates), func(candidate candidate) bool { return candidate.full })
+	if len(available) == 0 {
 		return Choice{Result: Full}
 	}
-	best := slices.MinFunc(open, byLoad)
-	return Choice{Result: Found, Upstream: best.spec, Load: best.load, Backlog: best.work, Wait: best.wait}
+	best := slices.MinFunc(available, compareWait)
+	return Choice{Result: Found, Upstream: best.spec, Load: best.load, Backlog: best.backlog, Wait: best.wait}
 }
 
 func compareBool(a, b bool) int {
@@ -152,17 +163,19 @@
 	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Version, b.Version))
 }
 
-func (entry *upstream) holds(adapter lora.Adapter) bool {
-	return lora.AnySatisfies(entry.report.Resident, adapter)
+// hasAdapter reports whether the upstream's last report names the adapter in
+// that version or a newer one.
+func (upstream *upstream) hasAdapter(adapter lora.Adapter) bool {
+	return lora.AnySatisfies(upstream.report.Resident, adapter)
 }
 
-// coming reports whether the adapter is on its way or asked for.
-func (entry *upstream) coming(adapter lora.Adapter) bool {
-	if lora.AnySatisfies(entry.report.Pending, adapter) || entry.wanted[adapter] > 0 {
+// awaits reports whether the adapter is pending or requested at the upstream.
+func (upstream *upstream) awaits(adapter lora.Adapter) bool {
+	if lora.AnySatisfies(upstream.report.Pending, adapter) || upstream.requestedCopies[adapter] > 0 {
 		return true
 	}
-	for _, waiting := range entry.asks {
-		if waiting.Adapter == adapter {
+	for _, waiter := range upstream.waiting {
+		if waiter.Adapter == adapter {
 			return true
 		}
 	}
--- a/internal/flow/picker/report.go
+++ b/internal/flow/picker/report.go
@@ -8,8 +8,10 @@
 	"jacinthfront.dev/jacinthfront/internal/flow/lora"
 )
 
-// Report is what a loader says of its engine.
+// Report is a loader's report of its engine.
 type Report struct {
+	// StartedAt is the start of the engine's incarnation in Unix milliseconds,
+	// and Serial counts the loader's reports.
 	StartedAt   int64
 	Serial      uint64
 	Running     int
@@ -18,144 +20,149 @@
 	TotalTokens int64
 	ModelLoaded bool
 	Draining    bool
-	// Unreachable means that the engine does not answer its loader, Silent that
-	// it does not even refuse connections and was not leaving.
+	// Unreachable means that the engine does not answer its loader.
+	// Unresponsive means that it does not refuse connections either and was not
+	// draining.
 	Unreachable  bool
 	Unresponsive bool
-	// Backlog is the number of prompt tokens that were let in lately, or wait for
-	// their turn with their adapter loaded and on time. Late counts those of late
-	// requests.
+	// Backlog is the number of prompt tokens ahead of a new request on time:
+	// those admitted lately or not yet prefilled, and those of waiting requests
+	// that are on time and whose adapter is loaded. Late counts the tokens of
+	// such requests that are late.
 	Backlog int64
 	Late    int64
-	// AdmissionRate is how many prompt tokens the engine reads in a millisecond, 0 if it
-	// is not known.
+	// AdmissionRate is how many prompt tokens per millisecond the loader
+	// admits, 0 if unknown.
 	AdmissionRate float64
-	// Speed is what was learned of the engine.
+	// Speed is the measured speed of the engine.
 	Speed admit.Speed
-	// CacheCapacity is the number of latest dropped adapters that the engine brings back
-	// by itself, and Dropped names them, the latest one last. Dropped is told
-	// once.
+	// CacheCapacity is how many of the adapters evicted last the engine can
+	// reload from its local cache. Dropped names the evicted adapters, the
+	// latest last; a loader sends it once.
 	CacheCapacity int
 	Dropped       []lora.Adapter
-	// FreeAdapterSlots is the number of places for adapters that no request uses.
+	// FreeAdapterSlots is the number of adapter slots that no request uses.
 	FreeAdapterSlots int
-	// QueuedLoads is the number of adapters on their way or still to be ordered.
+	// QueuedLoads is the number of adapters that are pending at the engine or
+	// still to be ordered.
 	QueuedLoads int
-	// OmitsAdapters reports name no adapters; those of the report with the serial
-	// FullSerial stand.
+	// OmitsAdapters means that the report names no adapters; those of the
+	// report with the serial FullSerial still hold.
 	OmitsAdapters bool
 	FullSerial    uint64
 	Resident      []lora.Adapter
 	Pending       []lora.Adapter
 }
 
-// RecordReport takes over a loader's report. Older ones are ignored.
-func (board *Picker) RecordReport(id string, report Report) {
-	board.mutex.Lock()
-	defer board.mutex.Unlock()
-	entry, ok := board.upstreams[id]
+// RecordReport stores a loader's report. It ignores reports older than the
+// stored one, and those that omit the adapters if the full report is missing.
+func (picker *Picker) RecordReport(id string, report Report) {
+	picker.mutex.Lock()
+	defer picker.mutex.Unlock()
+	upstream, ok := picker.upstreams[id]
 	if !ok {
 		return
 	}
 	now := time.Now()
-	recent := now.Sub(entry.reported) < board.config.ReportTTL
-	if recent && entry.report.StartedAt == report.StartedAt && report.Serial <= entry.report.Serial {
+	recent := now.Sub(upstream.reportedAt) < picker.config.ReportTTL
+	if recent && upstream.report.StartedAt == report.StartedAt && report.Serial <= upstream.report.Serial {
 		return
 	}
 	if report.OmitsAdapters {
-		if entry.report.FullSerial != report.FullSerial {
+		if upstream.report.FullSerial != report.FullSerial {
 			return
 		}
-		report.Resident, report.Pending = entry.report.Resident, entry.report.Pending
+		report.Resident, report.Pending = upstream.report.Resident, upstream.report.Pending
 	}
-	entry.remember(report)
-	entry.report, entry.reported = report, now
-	cut := now.Add(-board.config.ReportLag)
-	entry.sent = slices.DeleteFunc(entry.sent, func(at time.Time) bool { return at.Before(cut) })
+	upstream.recordEvicted(report)
+	upstream.report, upstream.reportedAt = report, now
+	cut := now.Add(-picker.config.ReportLag)
+	upstream.unreported = slices.DeleteFunc(upstream.unreported, func(at time.Time) bool { return at.Before(cut) })
 }
 
-// remember follows which adapters the engine has dropped since its start.
-func (entry *upstream) remember(report Report) {
-	if report.StartedAt != entry.report.StartedAt {
-		entry.memory = lora.EvictionHistory{}
+// recordEvicted updates which adapters the engine has evicted since its start.
+func (upstream *upstream) recordEvicted(report Report) {
+	if report.StartedAt != upstream.report.StartedAt {
+		upstream.evicted = lora.EvictionHistory{}
 	} else {
-		entry.memory.Update(entry.report.Resident, report.Resident)
+		upstream.evicted.Update(upstream.report.Resident, report.Resident)
 	}
 	if len(report.Dropped) > 0 {
-		entry.memory.Prepend(report.Dropped)
+		upstream.evicted.Prepend(report.Dropped)
 	}
 }
 
-// FullSerial returns the serial of the last report of an upstream that named its
+// FullSerial returns the serial of an upstream's last report that named its
 // adapters.
-func (board *Picker) FullSerial(id string) uint64 {
-	board.mutex.Lock()
-	defer board.mutex.Unlock()
-	if entry, ok := board.upstreams[id]; ok {
-		return entry.report.FullSerial
+func (picker *Picker) FullSerial(id string) uint64 {
+	picker.mutex.Lock()
+	defer picker.mutex.Unlock()
+	if upstream, ok := picker.upstreams[id]; ok {
+		return upstream.report.FullSerial
 	}
 	return 0
 }
 
-// CountReporting returns how many of the engines that reported once have done so lately,
-// and their number.
-func (board *Picker) CountReporting() (heard, engines int) {
-	board.mutex.Lock()
-	defer board.mutex.Unlock()
+// CountReporting returns how many engines have a recent report, and how many
+// have reported at all.
+func (picker *Picker) CountReporting() (recent, engines int) {
+	picker.mutex.Lock()
+	defer picker.mutex.Unlock()
 	now := time.Now()
-	for _, entry := range board.upstreams {
-		if entry.reported.IsZero() {
+	for _, upstream := range picker.upstreams {
+		if upstream.reportedAt.IsZero() {
 			continue
 		}
 		engines++
-		if board.fresh(entry, now) {
-			heard++
+		if picker.reportIsRecent(upstream, now) {
+			recent++
 		}
 	}
-	return heard, engines
+	return recent, engines
 }
 
-// Gone reports whether an upstream is known to have ended or gone dark, so that
-// what was sent there gets no answer. One that is leaving takes no connections
-// and goes on serving those that it has.
-func (board *Picker) Gone(id string) bool {
-	board.mutex.Lock()
-	defer board.mutex.Unlock()
-	entry, ok := board.upstreams[id]
-	return ok && (entry.report.Unresponsive && !entry.spec.Draining || entry.restarted())
+// Gone reports whether an upstream has ended or is unresponsive, so that
+// requests sent there get no answer. A draining upstream refuses connections
+// but goes on serving those that it has.
+func (picker *Picker) Gone(id string) bool {
+	picker.mutex.Lock()
+	defer picker.mutex.Unlock()
+	upstream, ok := picker.upstreams[id]
+	return ok && (upstream.report.Unresponsive && !upstream.spec.Draining || upstream.restarted())
 }
 
-// PendingElsewhere returns how many adapters are on their way to the upstreams of a
-// service other than the one with the id.
-func (board *Picker) PendingElsewhere(service, id string) int {
-	board.mutex.Lock()
-	defer board.mutex.Unlock()
-	coming := 0
-	for _, entry := range board.services[service] {
-		if entry.spec.ID != id && board.fresh(entry, time.Now()) {
-			coming += len(entry.report.Pending)
+// PendingElsewhere returns how many adapters are pending at the other upstreams
+// of a service.
+func (picker *Picker) PendingElsewhere(service, id string) int {
+	picker.mutex.Lock()
+	defer picker.mutex.Unlock()
+	pending := 0
+	for _, upstream := range picker.services[service] {
+		if upstream.spec.ID != id && picker.reportIsRecent(upstream, time.Now()) {
+			pending += len(upstream.report.Pending)
 		}
 	}
-	return coming
+	return pending
 }
 
-// RecordMissing records that an upstream said that it does not hold an adapter.
-func (board *Picker) RecordMissing(id string, adapter lora.Adapter) {
-	board.mutex.Lock()
-	defer board.mutex.Unlock()
-	if entry, ok := board.upstreams[id]; ok {
-		// The loaders' reports share their slices with no one else.
-		entry.report.Resident = slices.DeleteFunc(entry.report.Resident, func(held lora.Adapter) bool {
+// RecordMissing records that an upstream answered that it does not have an
+// adapter.
+func (picker *Picker) RecordMissing(id string, adapter lora.Adapter) {
+	picker.mutex.Lock()
+	defer picker.mutex.Unlock()
+	if upstream, ok := picker.upstreams[id]; ok {
+		// Nothing else holds the report's slice, so it may be changed in place.
+		upstream.report.Resident = slices.DeleteFunc(upstream.report.Resident, func(held lora.Adapter) bool {
 			return held.Name == adapter.Name
 		})
 	}
 }
 
 // RecordLoad records the load that an answer named.
-func (board *Picker) RecordLoad(id string, load int) {
-	board.mutex.Lock()
-	defer board.mutex.Unlock()
-	if entry, ok := board.upstreams[id]; ok {
-		entry.answered, entry.answeredAt = load, time.Now()
+func (picker *Picker) RecordLoad(id string, load int) {
+	picker.mutex.Lock()
+	defer picker.mutex.Unlock()
+	if upstream, ok := picker.upstreams[id]; ok {
+		upstream.answeredLoad, upstream.answeredAt = load, time.Now()
 	}
 }
--- a/internal/flow/picker/target.go
+++ b/internal/flow/picker/target.go
@@ -9,61 +9,63 @@
 	"jacinthfront.dev/jacinthfront/internal/flow/rank"
 )
 
-// target returns where an adapter should be brought: where it is already on its
-// way, else the less loaded of the two upstreams that rank first for it, so that
-// all instances tend to agree and an engine sees an adapter again.
-func (board *Picker) target(candidates []candidate, adapter lora.Adapter) (candidate, bool) {
-	open := slices.DeleteFunc(candidates, func(entry candidate) bool { return entry.full })
-	if len(open) == 0 {
+// loadTarget returns the upstream that should load an adapter. One where it is
+// already pending or requested comes first. Otherwise the upstreams are tried
+// in rendezvous order, so that all instances tend to choose the same one and an
+// engine gets the same adapters again: the next one is taken while its wait is
+// shorter by more than SpillThreshold.
+func (picker *Picker) loadTarget(candidates []candidate, adapter lora.Adapter) (candidate, bool) {
+	available := slices.DeleteFunc(candidates, func(candidate candidate) bool { return candidate.full })
+	if len(available) == 0 {
 		return candidate{}, false
 	}
-	if roomy := slices.DeleteFunc(slices.Clone(open), func(entry candidate) bool { return !entry.roomy(adapter) }); len(roomy) > 0 {
-		open = roomy
+	if withSlot := slices.DeleteFunc(slices.Clone(available), func(candidate candidate) bool { return !candidate.hasSlotFor(adapter) }); len(withSlot) > 0 {
+		available = withSlot
 	}
-	coming := slices.DeleteFunc(slices.Clone(open), func(entry candidate) bool { return !entry.coming(adapter) })
-	if len(coming) > 0 {
-		return slices.MinFunc(coming, byLoad), true
+	awaiting := slices.DeleteFunc(slices.Clone(available), func(candidate candidate) bool { return !candidate.awaits(adapter) })
+	if len(awaiting) > 0 {
+		return slices.MinFunc(awaiting, compareWait), true
 	}
-	slices.SortFunc(open, func(a, b candidate) int {
+	slices.SortFunc(available, func(a, b candidate) int {
 		return cmp.Compare(rank.Score(adapter.Name, b.spec.ID), rank.Score(adapter.Name, a.spec.ID))
 	})
-	first := open[0]
-	for _, entry := range open[1:] {
-		if first.bringWait() <= entry.bringWait()+board.config.SpillThreshold {
+	first := available[0]
+	for _, next := range available[1:] {
+		if first.loadWait() <= next.loadWait()+picker.config.SpillThreshold {
 			break
 		}
-		first = entry
+		first = next
 	}
 	return first, true
 }
 
-// leastRecaller returns the upstream with the shortest wait among those that
-// bring an adapter back by themselves and have a place for it.
-func leastRecaller(candidates []candidate, adapter lora.Adapter) (candidate, bool) {
-	able := slices.DeleteFunc(slices.Clone(candidates), func(entry candidate) bool {
-		return entry.full || !entry.recalls(adapter) || !entry.roomy(adapter)
+// reloadTarget returns the upstream with the shortest wait among those that can
+// reload the adapter from their local cache and have a slot for it.
+func reloadTarget(candidates []candidate, adapter lora.Adapter) (candidate, bool) {
+	reloaders := slices.DeleteFunc(slices.Clone(candidates), func(candidate candidate) bool {
+		return candidate.full || !candidate.canReload(adapter) || !candidate.hasSlotFor(adapter)
 	})
-	if len(able) == 0 {
+	if len(reloaders) == 0 {
 		return candidate{}, false
 	}
-	return slices.MinFunc(able, byLoad), true
+	return slices.MinFunc(reloaders, compareWait), true
 }
 
-// roomy reports whether the upstream has a place for an adapter, or has promised
-// it one.
-func (entry *upstream) roomy(adapter lora.Adapter) bool {
-	return entry.reported.IsZero() || entry.report.FreeAdapterSlots > 0 || entry.coming(adapter)
+// hasSlotFor reports whether the upstream has a free adapter slot or already
+// awaits the adapter. Without a report it is assumed to have one.
+func (upstream *upstream) hasSlotFor(adapter lora.Adapter) bool {
+	return upstream.reportedAt.IsZero() || upstream.report.FreeAdapterSlots > 0 || upstream.awaits(adapter)
 }
 
-// recalls reports whether the engine is thought to bring an adapter back by
-// itself.
-func (entry *upstream) recalls(adapter lora.Adapter) bool {
-	depth := entry.memory.Depth(adapter)
-	return depth != lora.NeverEvicted && depth < entry.report.CacheCapacity
+// canReload reports whether the engine is expected to have the adapter in its
+// local cache.
+func (upstream *upstream) canReload(adapter lora.Adapter) bool {
+	depth := upstream.evicted.Depth(adapter)
+	return depth != lora.NeverEvicted && depth < upstream.report.CacheCapacity
 }
 
-// bringWait returns how long a request waits whose adapter has to be brought,
-// apart from the time for its own.
-func (candidate candidate) bringWait() time.Duration {
-	return candidate.wait + time.Duration(candidate.report.QueuedLoads)*loadTime
+// loadWait returns the expected wait of a request whose adapter has to be
+// loaded, without the load itself.
+func (candidate candidate) loadWait() time.Duration {
+	return candidate.wait + time.Duration(candidate.report.QueuedLoads)*adapterLoadTime
 }
--- a/internal/flow/picker/usable.go
+++ b/internal/flow/picker/usable.go
@@ -6,52 +6,56 @@
 	"jacinthfront.dev/jacinthfront/internal/flow/cordon"
 )
 
-// avoided reports whether an upstream wants no requests, and until when.
-func (board *Picker) avoided(entry *upstream) (until time.Time, avoided bool) {
-	if board.config.Avoided == nil {
+// avoided reports whether an upstream is draining or in backoff, and until
+// when.
+func (picker *Picker) avoided(upstream *upstream) (until time.Time, avoided bool) {
+	if picker.config.Avoided == nil {
 		return time.Time{}, false
 	}
-	return board.config.Avoided.Avoided(cordon.Incarnation{ID: entry.spec.ID, StartedAt: entry.spec.StartedAt})
+	return picker.config.Avoided.Avoided(cordon.Incarnation{ID: upstream.spec.ID, StartedAt: upstream.spec.StartedAt})
 }
 
 // usable reports whether requests may be sent to an upstream.
-func (board *Picker) usable(entry *upstream) bool {
-	_, avoided := board.avoided(entry)
-	return !avoided && !entry.leaving()
+func (picker *Picker) usable(upstream *upstream) bool {
+	_, avoided := picker.avoided(upstream)
+	return !avoided && !upstream.draining()
 }
 
-// rest returns the time until the first upstream of a service that rests may be
-// used again, or 0 if none does.
-func (board *Picker) rest(need Request) time.Duration {
-	var rest time.Duration
-	for _, entry := range board.services[need.Service] {
-		until, _ := board.avoided(entry)
-		if until.IsZero() || entry.leaving() {
+// retryAfter returns the time until the first backoff asked for by an upstream
+// of the service ends, or 0 if there is none.
+func (picker *Picker) retryAfter(request Request) time.Duration {
+	var shortest time.Duration
+	for _, upstream := range picker.services[request.Service] {
+		until, _ := picker.avoided(upstream)
+		if until.IsZero() || upstream.draining() {
 			continue
 		}
-		if left := time.Until(until); rest == 0 || left < rest {
-			rest = left
+		if left := time.Until(until); shortest == 0 || left < shortest {
+			shortest = left
 		}
 	}
-	return rest
+	return shortest
 }
 
-// nothing tells apart why a service has no usable upstream.
-func (board *Picker) nothing(need Request) Result {
-	for _, entry := range board.services[need.Service] {
-		if need.Engine && board.usable(entry) && !entry.report.Unreachable && !entry.reported.IsZero() && !entry.report.ModelLoaded {
+// unavailableResult returns Starting if an engine of the service is loading its
+// model, else NoUpstream.
+func (picker *Picker) unavailableResult(request Request) Result {
+	for _, upstream := range picker.services[request.Service] {
+		if request.Engine && picker.usable(upstream) && !upstream.report.Unreachable && !upstream.reportedAt.IsZero() && !upstream.report.ModelLoaded {
 			return Starting
 		}
 	}
 	return NoUpstream
 }
 
-func (entry *upstream) leaving() bool {
-	return entry.spec.Draining || entry.report.Draining || entry.restarted()
+// draining reports whether the upstream takes no new requests, or has been
+// replaced by a later incarnation.
+func (upstream *upstream) draining() bool {
+	return upstream.spec.Draining || upstream.report.Draining || upstream.restarted()
 }
 
-// restarted reports whether the engine at the address has started anew since
-// the upstream was listed.
-func (entry *upstream) restarted() bool {
-	return entry.spec.StartedAt > 0 && entry.report.StartedAt > entry.spec.StartedAt
+// restarted reports whether the engine at the address has restarted since the
+// upstream was listed.
+func (upstream *upstream) restarted() bool {
+	return upstream.spec.StartedAt > 0 && upstream.report.StartedAt > upstream.spec.StartedAt
 }
