--- a/internal/flow/admit/admit.go
+++ b/internal/flow/admit/admit.go
@@ -1,8 +1,9 @@
-// Package admit decides when requests may start at one engine. An engine reads
-// prompts between the tokens of the streams that it runs, so prompts that come
-// together make all its streams pause. A Gate lets in, within any span of the
-// longest pause, no more prompt tokens than the engine reads beside the tokens
-// of one event; the others wait at the gate, the most urgent first.
+// Package admit is the admission control in front of one engine. An engine
+// prefills prompts between the decode steps of its running streams, so prompts
+// that arrive together delay the next event of every stream. A Controller
+// admits, within any window of MaxEventGap, no more prompt tokens than the
+// engine prefills beside one event. The other requests wait, the most urgent
+// ones first in line.
 package admit
 
 import (
@@ -18,29 +19,29 @@
 
 // Defaults of Config.
 const (
-	// DefaultPrefillRate is how many prompt tokens an engine reads in a
-	// millisecond, until that is known.
+	// DefaultPrefillRate is how many prompt tokens an engine prefills per
+	// millisecond, until its rate is known.
 	DefaultPrefillRate = 19.0
-	// DefaultDecodeStep is the time that an engine takes for one token of all its
-	// streams when it reads no prompts, until that is known.
+	// DefaultDecodeStep is the time of one decode step without prefill, until
+	// the interval between events is known.
 	DefaultDecodeStep = 14 * time.Millisecond
-	// DefaultPrefillChunk is the largest number of prompt tokens that an engine reads
-	// in one step.
+	// DefaultPrefillChunk is the largest number of prompt tokens that an engine
+	// prefills in one step.
 	DefaultPrefillChunk = 2048
-	// DefaultUtilisation is the part of the reading time that is given out. The rest
-	// covers the time between a grant and the request's arrival.
+	// DefaultUtilisation is the part of the prefill rate that is admitted. The
+	// rest covers the time between a grant and the request's arrival.
 	DefaultUtilisation = 0.94
-	// DefaultPriorityDelay is by how much earlier a request's turn comes for each rank
-	// that it is more urgent.
+	// DefaultPriorityDelay is by how much later a request is admitted for each
+	// level of Priority; 0 is the most urgent level.
 	DefaultPriorityDelay = 300 * time.Millisecond
-	// DefaultLateDelay is by how much later the turn of a late request comes.
+	// DefaultLateDelay is by how much later a late request is admitted.
 	DefaultLateDelay = 1500 * time.Millisecond
-	// DefaultEntryTimeout is how long the asks of an entry instance count after it was
-	// last heard.
+	// DefaultEntryTimeout is how long an entry instance's requests are kept
+	// after its last message.
 	DefaultEntryTimeout = 500 * time.Millisecond
 )
 
-// Config configures a Gate. Zero values mean the defaults.
+// Config configures a Controller. Zero values mean the defaults.
 type Config struct {
 	PrefillRate   float64
 	DecodeStep    time.Duration
@@ -51,23 +52,23 @@
 	EntryTimeout  time.Duration
 }
 
-// EngineConfig is what the configuration says of the engine and its streams.
+// EngineConfig holds what the settings say of the engine and its streams.
 type EngineConfig struct {
-	// Slots is the number of requests that run at once.
+	// Slots is the largest number of requests that run at once, 0 for no limit.
 	Slots int
 	// EventTokens is the number of tokens in one event.
 	EventTokens int
-	// MaxEventGap is the longest pause between events that meets the goal.
+	// MaxEventGap is the longest time between two events of a stream that still
+	// meets the service's goal.
 	MaxEventGap time.Duration
-	// TypicalSpeed is the pace of the service's other engines.
+	// TypicalSpeed is the speed of the service's other engines.
 	TypicalSpeed Speed
 }
 
-// EngineState is what the engine says of itself.
+// EngineState is what the engine reports of itself.
 type EngineState struct {
 	Running int
-	// Queued is the part of Running whose prompts the engine has not begun to
-	// read.
+	// Queued is the part of Running whose prefill has not begun.
 	Queued      int
 	UsedTokens  int64
 	TotalTokens int64
@@ -75,19 +76,19 @@
 	Holds func(lora.Adapter) bool
 }
 
-// Request is a request that waits for its turn.
+// Request is a request that waits for admission.
 type Request struct {
-	// ID is unique for the entry instance.
+	// ID is unique within the entry instance.
 	ID           uint64
 	Adapter      lora.Adapter
 	PromptTokens int64
 	OutputTokens int64
 	Priority     int
-	// Waited is how long it had waited when it began to wait here, so that a
-	// request that looked elsewhere before keeps its turn.
+	// Waited is how long the request had waited elsewhere before, so that a
+	// request that moves keeps its place in line.
 	Waited time.Duration
-	// Late requests miss their response-time goal. They get what those on time
-	// leave.
+	// Late means that the request misses its response-time goal. Late requests
+	// get the capacity that those on time leave.
 	Late bool
 }
 
@@ -96,43 +97,44 @@
 type Controller struct {
 	config Config
 
-	mutex   sync.Mutex
-	shape   EngineConfig
-	state   EngineState
-	entries map[string]*entry
-	// granted holds what was let in within the last span.
-	granted []grant
-	// unseen holds what was let in and is not in the engine's state yet.
-	unseen []grant
-	// unread is the number of prompt tokens that were let in and that the engine
-	// has not read by the time readAt.
-	unread float64
-	readAt time.Time
-	pace   speed.Estimator
-	// alone holds the grants that had no prompt before them; what they show of
-	// the engine's pace counts.
-	alone []lone
+	mutex        sync.Mutex
+	engineConfig EngineConfig
+	engineState  EngineState
+	entries      map[string]*entry
+	// recent holds the grants within the last window of MaxEventGap.
+	recent []grant
+	// unreported holds the grants that the engine's state does not show yet.
+	unreported []grant
+	// pendingPrefill is the estimated number of prompt tokens that were
+	// admitted and not prefilled by updatedAt.
+	pendingPrefill float64
+	updatedAt      time.Time
+	estimator      speed.Estimator
+	// solo holds the grants that had no prompt ahead of them. Only their first
+	// events are measured.
+	solo []soloGrant
 }
 
+// entry holds the waiting requests of one entry instance.
 type entry struct {
-	asks  map[uint64]*waiter
-	heard time.Time
+	waiters map[uint64]*waiter
+	heardAt time.Time
 }
 
 type waiter struct {
 	Request
-	entry   string
-	came    time.Time
-	granted bool
+	entry     string
+	arrivedAt time.Time
+	granted   bool
 }
 
 type grant struct {
-	at     time.Time
-	prompt int64
-	memory int64
+	at           time.Time
+	promptTokens int64
+	kvTokens     int64
 }
 
-// New returns a Gate that knows nothing yet.
+// New returns a Controller without requests, for an engine of unknown state.
 func New(config Config) *Controller {
 	config.PrefillRate = cmp.Or(config.PrefillRate, DefaultPrefillRate)
 	config.DecodeStep = cmp.Or(config.DecodeStep, DefaultDecodeStep)
@@ -145,73 +147,75 @@
 }
 
 // Observe records the engine's state.
-func (gate *Controller) Observe(state EngineState) {
-	gate.mutex.Lock()
-	defer gate.mutex.Unlock()
-	gate.state = state
-	// A request shows in the engine's state once it has arrived.
-	arrived := time.Now().Add(-arrivalTime)
-	gate.unseen = slices.DeleteFunc(gate.unseen, func(grant grant) bool { return grant.at.Before(arrived) })
-	gate.read(time.Now())
+func (controller *Controller) Observe(state EngineState) {
+	controller.mutex.Lock()
+	defer controller.mutex.Unlock()
+	controller.engineState = state
+	// The engine's state shows a request only once it has arrived.
+	arrived := time.Now().Add(-reportDelay)
+	controller.unreported = slices.DeleteFunc(controller.unreported, func(grant grant) bool { return grant.at.Before(arrived) })
+	controller.advance(time.Now())
 	if state.Queued == 0 {
-		most := float64(gate.config.PrefillChunk)
-		for _, grant := range gate.unseen {
-			most += float64(grant.prompt)
+		limit := float64(controller.config.PrefillChunk)
+		for _, grant := range controller.unreported {
+			limit += float64(grant.promptTokens)
 		}
-		gate.unread = min(gate.unread, most)
+		controller.pendingPrefill = min(controller.pendingPrefill, limit)
 	}
 }
 
-// arrivalTime is how long after its grant a request shows in the engine's
+// reportDelay is how long after its grant a request shows in the engine's
 // state.
-const arrivalTime = 60 * time.Millisecond
+const reportDelay = 60 * time.Millisecond
 
-// SetRequests records all that an entry instance asks for. Asks that it does not
-// name any more are withdrawn.
-func (gate *Controller) SetRequests(name string, shape EngineConfig, asks []Request) {
-	gate.mutex.Lock()
-	defer gate.mutex.Unlock()
+// SetRequests replaces the waiting requests of an entry instance. Requests that
+// it names again keep their place in line, those that it no longer names are
+// dropped.
+func (controller *Controller) SetRequests(name string, engineConfig EngineConfig, requests []Request) {
+	controller.mutex.Lock()
+	defer controller.mutex.Unlock()
 	now := time.Now()
-	gate.shape = shape
-	known, ok := gate.entries[name]
+	controller.engineConfig = engineConfig
+	known, ok := controller.entries[name]
 	if !ok {
 		known = &entry{}
-		gate.entries[name] = known
+		controller.entries[name] = known
 	}
-	kept := make(map[uint64]*waiter, len(asks))
-	for _, ask := range asks {
-		if waiting, ok := known.asks[ask.ID]; ok {
-			waiting.Late = ask.Late
-			kept[ask.ID] = waiting
+	kept := make(map[uint64]*waiter, len(requests))
+	for _, request := range requests {
+		if waiter, ok := known.waiters[request.ID]; ok {
+			waiter.Late = request.Late
+			kept[request.ID] = waiter
 			continue
 		}
-		kept[ask.ID] = &waiter{Request: ask, entry: name, came: now.Add(-ask.Waited)}
+		kept[request.ID] = &waiter{Request: request, entry: name, arrivedAt: now.Add(-request.Waited)}
 	}
-	known.asks, known.heard = kept, now
+	known.waiters, known.heardAt = kept, now
 }
 
-// Grant lets in the requests whose turn has come, and returns the ids of all
-// that were let in and are still asked for, by entry instance. changed names the
-// entry instances with a new one.
-func (gate *Controller) Grant() (granted map[string][]uint64, changed []string) {
-	gate.mutex.Lock()
-	defer gate.mutex.Unlock()
+// Grant admits the next requests in line as long as they fit. It returns the
+// ids of all requests that are admitted and still named by their entry
+// instance, by entry instance. changed names the entry instances with newly
+// admitted requests.
+func (controller *Controller) Grant() (granted map[string][]uint64, changed []string) {
+	controller.mutex.Lock()
+	defer controller.mutex.Unlock()
 	now := time.Now()
-	gate.forget(now)
-	gate.read(now)
-	for _, waiting := range gate.line() {
-		if !gate.fits(waiting) {
+	controller.expire(now)
+	controller.advance(now)
+	for _, waiter := range controller.queue() {
+		if !controller.fits(waiter) {
 			break
 		}
-		gate.admit(waiting, now)
-		if !slices.Contains(changed, waiting.entry) {
-			changed = append(changed, waiting.entry)
+		controller.admit(waiter, now)
+		if !slices.Contains(changed, waiter.entry) {
+			changed = append(changed, waiter.entry)
 		}
 	}
 	granted = make(map[string][]uint64)
-	for name, entry := range gate.entries {
-		for _, id := range slices.Sorted(maps.Keys(entry.asks)) {
-			if entry.asks[id].granted {
+	for name, entry := range controller.entries {
+		for _, id := range slices.Sorted(maps.Keys(entry.waiters)) {
+			if entry.waiters[id].granted {
 				granted[name] = append(granted[name], id)
 			}
 		}
@@ -219,95 +223,98 @@
 	return granted, changed
 }
 
-// HasWaiting reports whether requests of an entry instance wait for their turn.
-func (gate *Controller) HasWaiting(name string) bool {
-	gate.mutex.Lock()
-	defer gate.mutex.Unlock()
-	known, ok := gate.entries[name]
+// HasWaiting reports whether an entry instance has requests that were not
+// admitted.
+func (controller *Controller) HasWaiting(name string) bool {
+	controller.mutex.Lock()
+	defer controller.mutex.Unlock()
+	known, ok := controller.entries[name]
 	if !ok {
 		return false
 	}
-	for _, waiting := range known.asks {
-		if !waiting.granted {
+	for _, waiter := range known.waiters {
+		if !waiter.granted {
 			return true
 		}
 	}
 	return false
 }
 
-// forget drops what is past the span, and entry instances that fell silent.
-func (gate *Controller) forget(now time.Time) {
-	since := now.Add(-gate.shape.MaxEventGap)
-	gate.granted = slices.DeleteFunc(gate.granted, func(grant grant) bool { return !grant.at.After(since) })
-	maps.DeleteFunc(gate.entries, func(_ string, entry *entry) bool {
-		return now.Sub(entry.heard) > gate.config.EntryTimeout
+// expire drops the grants before the window and the entry instances that have
+// sent nothing for EntryTimeout.
+func (controller *Controller) expire(now time.Time) {
+	since := now.Add(-controller.engineConfig.MaxEventGap)
+	controller.recent = slices.DeleteFunc(controller.recent, func(grant grant) bool { return !grant.at.After(since) })
+	maps.DeleteFunc(controller.entries, func(_ string, entry *entry) bool {
+		return now.Sub(entry.heardAt) > controller.config.EntryTimeout
 	})
 }
 
-// able returns the requests that wait and whose adapter is loaded.
-func (gate *Controller) able() []*waiter {
-	var able []*waiter
-	for _, entry := range gate.entries {
-		for _, waiting := range entry.asks {
-			if !waiting.granted && gate.state.Holds != nil && gate.state.Holds(waiting.Adapter) {
-				able = append(able, waiting)
+// eligible returns the waiting requests whose adapter is loaded.
+func (controller *Controller) eligible() []*waiter {
+	var eligible []*waiter
+	for _, entry := range controller.entries {
+		for _, waiter := range entry.waiters {
+			if !waiter.granted && controller.engineState.Holds != nil && controller.engineState.Holds(waiter.Adapter) {
+				eligible = append(eligible, waiter)
 			}
 		}
 	}
-	return able
+	return eligible
 }
 
-// line returns the requests that wait and whose adapter is loaded, in the order
-// of their turns.
-func (gate *Controller) line() []*waiter {
-	line := gate.able()
-	slices.SortFunc(line, func(a, b *waiter) int {
-		return cmp.Or(gate.turn(a).Compare(gate.turn(b)), cmp.Compare(a.entry, b.entry), cmp.Compare(a.ID, b.ID))
+// queue returns the waiting requests whose adapter is loaded, in the order of
+// their admission.
+func (controller *Controller) queue() []*waiter {
+	queue := controller.eligible()
+	slices.SortFunc(queue, func(a, b *waiter) int {
+		return cmp.Or(controller.sortTime(a).Compare(controller.sortTime(b)), cmp.Compare(a.entry, b.entry), cmp.Compare(a.ID, b.ID))
 	})
-	return line
+	return queue
 }
 
-// turn returns when a request's turn comes, compared with others. Late ones
-// come later, so that they do not make those late that are on time, but not
-// last, so that they are served before their callers leave.
-func (gate *Controller) turn(waiting *waiter) time.Time {
-	turn := waiting.came.Add(time.Duration(waiting.Priority) * gate.config.PriorityDelay)
-	if waiting.Late {
-		turn = turn.Add(gate.config.LateDelay)
+// sortTime returns the time by which waiting requests are ordered. Late ones
+// are delayed, so that they do not make those on time late, but are not put
+// last, so that they are served before their callers give up.
+func (controller *Controller) sortTime(waiter *waiter) time.Time {
+	at := waiter.arrivedAt.Add(time.Duration(waiter.Priority) * controller.config.PriorityDelay)
+	if waiter.Late {
+		at = at.Add(controller.config.LateDelay)
 	}
-	return turn
+	return at
 }
 
-// fits reports whether a request may start now. One that is larger than the
-// whole span allows may start when nothing else did.
-func (gate *Controller) fits(waiting *waiter) bool {
-	if gate.shape.Slots > 0 && gate.state.Running+len(gate.unseen) >= gate.shape.Slots {
+// fits reports whether a request may be admitted now. One with more prompt
+// tokens than the limit fits when no tokens are ahead of it.
+func (controller *Controller) fits(waiter *waiter) bool {
+	if controller.engineConfig.Slots > 0 && controller.engineState.Running+len(controller.unreported) >= controller.engineConfig.Slots {
 		return false
 	}
-	memory := gate.state.UsedTokens + waiting.PromptTokens + waiting.OutputTokens
-	for _, grant := range gate.unseen {
-		memory += grant.memory
+	memory := controller.engineState.UsedTokens + waiter.PromptTokens + waiter.OutputTokens
+	for _, grant := range controller.unreported {
+		memory += grant.kvTokens
 	}
-	if gate.state.TotalTokens > 0 && memory > gate.state.TotalTokens {
+	if controller.engineState.TotalTokens > 0 && memory > controller.engineState.TotalTokens {
 		return false
 	}
-	limit := gate.limit()
+	limit := controller.tokenLimit()
 	if limit == 0 {
 		return true
 	}
-	ahead := gate.ahead()
-	return ahead == 0 || ahead+waiting.PromptTokens <= limit
+	ahead := controller.tokensAhead()
+	return ahead == 0 || ahead+waiter.PromptTokens <= limit
 }
 
-func (gate *Controller) admit(waiting *waiter, now time.Time) {
-	waiting.granted = true
-	let := grant{at: now, prompt: waiting.PromptTokens, memory: waiting.PromptTokens + waiting.OutputTokens}
-	gate.read(now)
-	if gate.unread == 0 {
-		gate.alone = append(gate.alone, lone{waiting.entry, waiting.ID, waiting.PromptTokens})
-		gate.alone = gate.alone[max(len(gate.alone)-mostAlone, 0):]
+// admit grants a waiting request.
+func (controller *Controller) admit(waiter *waiter, now time.Time) {
+	waiter.granted = true
+	granted := grant{at: now, promptTokens: waiter.PromptTokens, kvTokens: waiter.PromptTokens + waiter.OutputTokens}
+	controller.advance(now)
+	if controller.pendingPrefill == 0 {
+		controller.solo = append(controller.solo, soloGrant{waiter.entry, waiter.ID, waiter.PromptTokens})
+		controller.solo = controller.solo[max(len(controller.solo)-maxSoloGrants, 0):]
 	}
-	gate.unread += float64(let.prompt)
-	gate.granted = append(gate.granted, let)
-	gate.unseen = append(gate.unseen, let)
+	controller.pendingPrefill += float64(granted.promptTokens)
+	controller.recent = append(controller.recent, granted)
+	controller.unreported = append(controller.unreported, granted)
 }
--- /dev/null
+++ b/internal/flow/admit/prefill.go
@@ -0,0 +1,115 @@
+package admit
+
+import (
+	"cmp"
+	"time"
+)
+
+// queuedWindows is how many windows of prefill may be queued at an engine that
+// is not gap limited.
+const queuedWindows = 2
+
+// advance updates pendingPrefill to the present.
+func (controller *Controller) advance(now time.Time) {
+	elapsed := now.Sub(controller.updatedAt)
+	controller.updatedAt = now
+	controller.pendingPrefill = max(controller.pendingPrefill-elapsed.Seconds()*1000*controller.prefillRate()*controller.config.Utilisation, 0)
+}
+
+// gapLimited reports whether steps with full prefill chunks make the time
+// between events exceed MaxEventGap.
+func (controller *Controller) gapLimited() bool {
+	return controller.eventInterval()+controller.prefillTime(int64(controller.engineConfig.EventTokens)*controller.config.PrefillChunk) > controller.engineConfig.MaxEventGap
+}
+
+// eventInterval returns how long an engine takes for one event without prefill.
+func (controller *Controller) eventInterval() time.Duration {
+	return cmp.Or(controller.estimator.EventInterval(), controller.engineConfig.TypicalSpeed.EventInterval, time.Duration(controller.engineConfig.EventTokens)*controller.config.DecodeStep)
+}
+
+// prefillRate returns how many prompt tokens the engine prefills per
+// millisecond.
+func (controller *Controller) prefillRate() float64 {
+	return cmp.Or(controller.estimator.PrefillRate(), max(controller.fasterPrefillRate(), controller.engineConfig.TypicalSpeed.PrefillRate), controller.config.PrefillRate)
+}
+
+// tokenLimit returns how many prompt tokens may be ahead of the next request,
+// its own included. 0 means no limit: MaxEventGap is not set, or is too short
+// even without prefill.
+func (controller *Controller) tokenLimit() int64 {
+	switch {
+	case controller.engineConfig.MaxEventGap <= controller.eventInterval():
+		return 0
+	case controller.gapLimited():
+		return controller.admissibleTokens(controller.engineConfig.MaxEventGap - controller.eventInterval())
+	default:
+		return queuedWindows * controller.admissibleTokens(controller.engineConfig.MaxEventGap)
+	}
+}
+
+// tokensAhead returns how many prompt tokens are ahead of the next request:
+// those admitted within the last window if the engine is gap limited, else
+// those not prefilled yet.
+func (controller *Controller) tokensAhead() int64 {
+	if controller.gapLimited() {
+		return controller.recentTokens()
+	}
+	return int64(controller.pendingPrefill)
+}
+
+// admissibleTokens returns how many prompt tokens are admitted in a window.
+func (controller *Controller) admissibleTokens(window time.Duration) int64 {
+	return int64(float64(window.Milliseconds()) * controller.prefillRate() * controller.config.Utilisation)
+}
+
+// prefillTime returns how long an engine takes to prefill tokens.
+func (controller *Controller) prefillTime(tokens int64) time.Duration {
+	return time.Duration(float64(tokens) / controller.prefillRate() * float64(time.Millisecond))
+}
+
+// recentTokens returns the prompt tokens admitted within the last window.
+func (controller *Controller) recentTokens() int64 {
+	var sum int64
+	for _, grant := range controller.recent {
+		sum += grant.promptTokens
+	}
+	return sum
+}
+
+// NextTurn returns the time after which Grant may admit a request without any
+// other event, or 0 if no request is eligible or no grant is recent.
+func (controller *Controller) NextTurn() time.Duration {
+	controller.mutex.Lock()
+	defer controller.mutex.Unlock()
+	queue := controller.queue()
+	if len(queue) == 0 || len(controller.recent) == 0 {
+		return 0
+	}
+	controller.advance(time.Now())
+	next := controller.engineConfig.MaxEventGap - time.Since(controller.recent[0].at)
+	if !controller.gapLimited() {
+		next = controller.prefillTime(controller.tokensAhead() + queue[0].PromptTokens - controller.tokenLimit())
+	}
+	return max(next, time.Millisecond)
+}
+
+// Backlog returns the prompt tokens ahead of a new request. onTime counts those
+// already admitted and those of waiting requests on time, late those of late
+// ones. Requests whose adapter is not loaded do not count, as they delay no
+// other.
+func (controller *Controller) Backlog() (onTime, late int64) {
+	controller.mutex.Lock()
+	defer controller.mutex.Unlock()
+	now := time.Now()
+	controller.expire(now)
+	controller.advance(now)
+	onTime = controller.tokensAhead()
+	for _, waiter := range controller.eligible() {
+		if waiter.Late {
+			late += waiter.PromptTokens
+		} else {
+			onTime += waiter.PromptTokens
+		}
+	}
+	return onTime, late
+}
--- a/internal/flow/speed/speed.go
+++ b/internal/flow/speed/speed.go
@@ -1,6 +1,6 @@
-// Package speed estimates how fast an engine works from what its streams show:
-// how long the first event took, by the size of the prompt, and how far apart
-// the next events came. Engines of another make or size need no settings.
+// Package speed estimates how fast an engine works from its streams: from the
+// time to the first event by prompt length, and from the time between later
+// events. Engines of a different make or size therefore need no settings.
 package speed
 
 import (
@@ -9,113 +9,119 @@
 )
 
 const (
-	// mostReadings and mostPauses bound what is remembered; the newest count.
-	mostReadings = 40
-	mostPauses   = 24
-	// leastReadings and leastPauses are needed for an estimate.
-	leastReadings = 12
-	leastPauses   = 3
-	// leastDifference is by how many prompt tokens two readings must differ to
-	// say something of the rate.
-	leastDifference = 100
-	// slowestRate and fastestRate bound an estimate, in prompt tokens per
-	// millisecond.
-	slowestRate = 0.5
-	fastestRate = 2000
+	// maxSamples and maxIntervals bound the measurements that are kept; the
+	// newest ones count.
+	maxSamples   = 40
+	maxIntervals = 24
+	// minSamples and minIntervals are the numbers of measurements needed for an
+	// estimate.
+	minSamples   = 12
+	minIntervals = 3
+	// minTokenDifference is the smallest difference in prompt tokens between
+	// two samples that are compared.
+	minTokenDifference = 100
+	// minRate and maxRate bound an estimate, in prompt tokens per millisecond.
+	minRate = 0.5
+	maxRate = 2000
 )
 
-// Estimator learns the pace of one engine. It is not safe for concurrent use.
+// Estimator estimates the speed of one engine. It is not safe for concurrent
+// use.
 type Estimator struct {
-	readings []reading
-	pauses   []time.Duration
-	rate     float64
-	bound    float64
+	samples        []sample
+	intervals      []time.Duration
+	prefillRate    float64
+	minPrefillRate float64
 }
 
-type reading struct {
-	prompt int64
-	took   time.Duration
+// sample is the time to the first event of one request.
+type sample struct {
+	promptTokens int64
+	took         time.Duration
 }
 
-// RecordFirstEvent records how long it took from sending a prompt, with none before it, to
-// the first event.
-func (estimator *Estimator) RecordFirstEvent(prompt int64, took time.Duration) {
-	if prompt <= 0 || took <= 0 {
+// RecordFirstEvent records the time from sending a prompt, with no other ahead
+// of it, to its first event.
+func (estimator *Estimator) RecordFirstEvent(promptTokens int64, took time.Duration) {
+	if promptTokens <= 0 || took <= 0 {
 		return
 	}
-	estimator.readings = KeepNewest(append(estimator.readings, reading{prompt, took}), mostReadings)
-	estimator.rate, estimator.bound = estimator.estimate(), estimator.leastRate()
+	estimator.samples = KeepNewest(append(estimator.samples, sample{promptTokens, took}), maxSamples)
+	estimator.prefillRate, estimator.minPrefillRate = estimator.theilSenRate(), estimator.medianRate()
 }
 
-// RecordInterval records the usual pause between two events of one stream.
-func (estimator *Estimator) RecordInterval(pause time.Duration) {
-	if pause > 0 {
-		estimator.pauses = KeepNewest(append(estimator.pauses, pause), mostPauses)
+// RecordInterval records the usual time between two events of one stream.
+func (estimator *Estimator) RecordInterval(interval time.Duration) {
+	if interval > 0 {
+		estimator.intervals = KeepNewest(append(estimator.intervals, interval), maxIntervals)
 	}
 }
 
-// PrefillRate returns how many prompt tokens the engine reads in a millisecond, 0 if
-// that is not known.
-func (estimator *Estimator) PrefillRate() float64 { return estimator.rate }
+// PrefillRate returns how many prompt tokens the engine prefills per
+// millisecond, or 0 if unknown.
+func (estimator *Estimator) PrefillRate() float64 { return estimator.prefillRate }
 
-// MinPrefillRate returns a rate that the engine reaches at the least, 0 if none is
-// known. It needs one reading, but counts the way there and back as reading.
-func (estimator *Estimator) MinPrefillRate() float64 { return estimator.bound }
+// MinPrefillRate returns an estimated lower bound of the prefill rate, in
+// prompt tokens per millisecond, or 0 without samples. One sample is enough,
+// but the network round trip counts as prefill.
+func (estimator *Estimator) MinPrefillRate() float64 { return estimator.minPrefillRate }
 
-// leastRate returns the median of the rates that the readings show.
-func (estimator *Estimator) leastRate() float64 {
-	rates := make([]float64, 0, len(estimator.readings))
-	for _, reading := range estimator.readings {
-		rates = append(rates, float64(reading.prompt)/(reading.took.Seconds()*1000))
+// medianRate returns the median of prompt tokens per millisecond over all
+// samples.
+func (estimator *Estimator) medianRate() float64 {
+	rates := make([]float64, 0, len(estimator.samples))
+	for _, sample := range estimator.samples {
+		rates = append(rates, float64(sample.promptTokens)/(sample.took.Seconds()*1000))
 	}
-	return min(Median(rates), fastestRate)
+	return min(Median(rates), maxRate)
 }
 
-// EventInterval returns the usual time between two events, 0 if it is not known.
+// EventInterval returns the median time between two events, or 0 if unknown.
 func (estimator *Estimator) EventInterval() time.Duration {
-	if len(estimator.pauses) < leastPauses {
+	if len(estimator.intervals) < minIntervals {
 		return 0
 	}
-	return Median(estimator.pauses)
+	return Median(estimator.intervals)
 }
 
-// Reset forgets everything, as after a restart of the engine.
+// Reset forgets all measurements, for use after a restart of the engine.
 func (estimator *Estimator) Reset() { *estimator = Estimator{} }
 
-// estimate returns the median of the rates between all pairs of readings (Theil
-// 1950, Sen 1968). What all readings have in common, such as the way there and
-// back, cancels out, and up to a quarter of them may be far off: prompts whose
-// parts the engine had kept, or that waited for others.
-func (estimator *Estimator) estimate() float64 {
-	if len(estimator.readings) < leastReadings {
+// theilSenRate returns the prefill rate from the median slope between all pairs
+// of samples (Theil 1950, Sen 1968). A constant part of all samples, such as
+// the network round trip, cancels out. Up to a quarter of the samples may be
+// far off, as those of prompts that were partly cached or waited for others.
+func (estimator *Estimator) theilSenRate() float64 {
+	if len(estimator.samples) < minSamples {
 		return 0
 	}
-	var times []float64
-	for i, a := range estimator.readings {
-		for _, b := range estimator.readings[i+1:] {
-			tokens := a.prompt - b.prompt
-			if max(tokens, -tokens) < leastDifference {
+	var slopes []float64
+	for i, a := range estimator.samples {
+		for _, b := range estimator.samples[i+1:] {
+			tokens := a.promptTokens - b.promptTokens
+			if max(tokens, -tokens) < minTokenDifference {
 				continue
 			}
 			milliseconds := (a.took - b.took).Seconds() * 1000
-			times = append(times, milliseconds/float64(tokens))
+			slopes = append(slopes, milliseconds/float64(tokens))
 		}
 	}
-	if len(times) < leastReadings {
+	if len(slopes) < minSamples {
 		return 0
 	}
-	perToken := Median(times)
-	if perToken <= 1.0/fastestRate || perToken >= 1/slowestRate {
+	perToken := Median(slopes)
+	if perToken <= 1.0/maxRate || perToken >= 1/minRate {
 		return 0
 	}
 	return 1 / perToken
 }
 
-// Median returns the middle one of the values, the larger of two, or 0 of none.
+// Median returns the median of the values, the larger one of two in the middle,
+// or 0 of none.
 func Median[Value float64 | time.Duration](values []Value) Value { return Quantile(values, 0.5) }
 
-// Quantile returns the smallest of the values that is larger than a part of
-// them, or 0 of none. part is from 0 to 1.
+// Quantile returns the smallest value that is larger than the given part, from
+// 0 to 1, of the values, or 0 of none.
 func Quantile[Value float64 | time.Duration](values []Value, part float64) Value {
 	if len(values) == 0 {
 		return 0
@@ -124,7 +130,7 @@
 	return sorted[min(int(part*float64(len(sorted))), len(sorted)-1)]
 }
 
-// KeepNewest returns the last values, at most the given number.
-func KeepNewest[Value any](values []Value, most int) []Value {
-	return values[max(len(values)-most, 0):]
+// KeepNewest returns the last values of a slice, at most the given number.
+func KeepNewest[Value any](values []Value, limit int) []Value {
+	return values[max(len(values)-limit, 0):]
 }
