--- a/internal/flow/cordon/cordon.go
+++ b/internal/flow/cordon/cordon.go
@@ -1,7 +1,7 @@
-// Package cordon keeps which upstreams have said that they want no requests: for
-// good, since they are leaving, or for a time, since they have too much to do.
-// What an upstream said holds for the start that said it, whatever the instance
-// list says of it later.
+// Package cordon tracks the upstreams that must get no requests because they
+// said so: for good when they are draining, or for a time, as a backoff under
+// overload. What an upstream said holds for the incarnation that said it,
+// whatever the instance list shows later.
 package cordon
 
 import (
@@ -14,17 +14,16 @@
 
 // Defaults of Config.
 const (
-	// DefaultDrainRetention is how long after it was made or last looked up a note on an
-	// upstream that is leaving is kept. Entries of the instance list may lapse
-	// for shorter times and come back.
+	// DefaultDrainRetention is how long the mark of a draining upstream is kept
+	// after its last use. An entry of the instance list may expire and come
+	// back, but within a shorter time.
 	DefaultDrainRetention = 10 * time.Minute
-	// DefaultListingDelay is how long a note may be about a start that the instance
-	// list did not name yet.
+	// DefaultListingDelay is how long after a mark was made an incarnation that
+	// the instance list names only later may still be the one that made it.
 	DefaultListingDelay = 30 * time.Second
-	// DefaultNewsAge is how long a note is news for other instances.
+	// DefaultNewsAge is how long a mark is passed on to other instances.
 	DefaultNewsAge = 2 * time.Second
-	// MaxBackoff bounds the time for which an upstream is avoided at one word
-	// of its own.
+	// MaxBackoff bounds the backoff that an upstream can ask for.
 	MaxBackoff = 24 * time.Hour
 )
 
@@ -35,31 +34,32 @@
 	NewsAge        time.Duration
 }
 
-// Incarnation is one start of an upstream.
+// Incarnation is one run of an upstream, from its start to its end.
 type Incarnation struct {
 	ID string
-	// StartedAt is its time in Unix milliseconds, 0 if it is not known.
+	// StartedAt is the start in Unix milliseconds, 0 if unknown.
 	StartedAt int64
 }
 
-// Set holds the upstreams to avoid. Its methods may be called concurrently.
+// Set holds the cordoned upstreams. Its methods may be called concurrently.
 type Set struct {
 	config Config
 
 	mutex sync.Mutex
-	notes map[string]*note
+	marks map[string]*mark
 }
 
-// note is what one start of an upstream said.
-type note struct {
-	born int64
-	// made is when it said so last, with the time of day.
-	made time.Time
-	// used is when the note was last looked up.
-	used    time.Time
-	leaving bool
-	// until is the end of the latest rest.
-	until time.Time
+// mark holds what one incarnation of an upstream said of itself.
+type mark struct {
+	startedAt int64
+	// madeAt is when the upstream last said so. It is compared with start times
+	// and thus needs the wall clock.
+	madeAt time.Time
+	// usedAt is when the mark was last looked up.
+	usedAt   time.Time
+	draining bool
+	// backoffUntil is the latest end of the backoffs asked for.
+	backoffUntil time.Time
 }
 
 // New returns an empty Set.
@@ -67,105 +67,108 @@
 	config.DrainRetention = cmp.Or(config.DrainRetention, DefaultDrainRetention)
 	config.ListingDelay = cmp.Or(config.ListingDelay, DefaultListingDelay)
 	config.NewsAge = cmp.Or(config.NewsAge, DefaultNewsAge)
-	return &Set{config: config, notes: make(map[string]*note)}
+	return &Set{config: config, marks: make(map[string]*mark)}
 }
 
-// MarkDraining records that an upstream is leaving, and reports whether that is new.
-func (set *Set) MarkDraining(start Incarnation) bool {
+// MarkDraining records that an upstream is draining, and reports whether that
+// is new.
+func (set *Set) MarkDraining(incarnation Incarnation) bool {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
-	known := set.note(start)
-	if known == nil || known.leaving {
+	known := set.markFor(incarnation)
+	if known == nil || known.draining {
 		return false
 	}
-	known.leaving, known.made = true, time.Now()
+	known.draining, known.madeAt = true, time.Now()
 	return true
 }
 
-// SetBackoff records that an upstream wants nothing for a time. Of several such times
-// the one that ends last counts.
-func (set *Set) SetBackoff(start Incarnation, length time.Duration) {
+// SetBackoff records that an upstream wants no requests for a time. Of several
+// backoffs the one that ends last counts.
+func (set *Set) SetBackoff(incarnation Incarnation, length time.Duration) {
 	if length <= 0 {
 		return
 	}
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
-	known := set.note(start)
+	known := set.markFor(incarnation)
 	if known == nil {
 		return
 	}
-	known.made = time.Now()
-	if until := known.made.Add(min(length, MaxBackoff)); until.After(known.until) {
-		known.until = until
+	known.madeAt = time.Now()
+	if until := known.madeAt.Add(min(length, MaxBackoff)); until.After(known.backoffUntil) {
+		known.backoffUntil = until
 	}
 }
 
-// note returns what is known of a start, or nil if a later one is known.
-func (set *Set) note(start Incarnation) *note {
+// markFor returns the mark of an incarnation, which it creates if needed, or
+// nil if a later incarnation is known.
+func (set *Set) markFor(incarnation Incarnation) *mark {
 	now := time.Now()
-	maps.DeleteFunc(set.notes, func(_ string, known *note) bool { return known.over(now, set.config.DrainRetention) })
-	known, ok := set.notes[start.ID]
+	maps.DeleteFunc(set.marks, func(_ string, known *mark) bool { return known.expired(now, set.config.DrainRetention) })
+	known, ok := set.marks[incarnation.ID]
 	switch {
-	case ok && start.StartedAt != 0 && start.StartedAt < known.born:
+	case ok && incarnation.StartedAt != 0 && incarnation.StartedAt < known.startedAt:
 		return nil
-	case !ok || set.superseded(known, start, now):
-		known = &note{born: start.StartedAt}
-		set.notes[start.ID] = known
+	case !ok || set.superseded(known, incarnation, now):
+		known = &mark{startedAt: incarnation.StartedAt}
+		set.marks[incarnation.ID] = known
 	}
-	known.used = now
+	known.usedAt = now
 	return known
 }
 
-// over reports whether a note says nothing any more.
-func (note *note) over(now time.Time, keep time.Duration) bool {
-	if note.leaving {
-		return now.Sub(note.used) > keep
+// expired reports whether a mark no longer has an effect.
+func (mark *mark) expired(now time.Time, retention time.Duration) bool {
+	if mark.draining {
+		return now.Sub(mark.usedAt) > retention
 	}
-	return !note.until.After(now)
+	return !mark.backoffUntil.After(now)
 }
 
-// superseded reports whether a start came after what a note says. One that was
-// listed late, and began before the note was made, is the one that made it.
-func (set *Set) superseded(known *note, start Incarnation, now time.Time) bool {
-	if known.born == 0 || start.StartedAt <= known.born {
+// superseded reports whether an incarnation began after the mark was made. For
+// ListingDelay, one that began before, but was listed late, is taken for the one
+// that made the mark.
+func (set *Set) superseded(known *mark, incarnation Incarnation, now time.Time) bool {
+	if known.startedAt == 0 || incarnation.StartedAt <= known.startedAt {
 		return false
 	}
-	return time.UnixMilli(start.StartedAt).After(known.made) || now.Sub(known.made) > set.config.ListingDelay
+	return time.UnixMilli(incarnation.StartedAt).After(known.madeAt) || now.Sub(known.madeAt) > set.config.ListingDelay
 }
 
-// Avoided reports whether nothing may be sent to an upstream, and until when; a
+// Avoided reports whether an upstream must get no requests, and until when; a
 // zero time means for good.
-func (set *Set) Avoided(start Incarnation) (until time.Time, avoided bool) {
+func (set *Set) Avoided(incarnation Incarnation) (until time.Time, avoided bool) {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
-	known, ok := set.notes[start.ID]
+	known, ok := set.marks[incarnation.ID]
 	now := time.Now()
-	if !ok || set.superseded(known, start, now) {
+	if !ok || set.superseded(known, incarnation, now) {
 		return time.Time{}, false
 	}
-	known.used = now
+	known.usedAt = now
 	switch {
-	case known.leaving:
+	case known.draining:
 		return time.Time{}, true
-	case known.until.After(now):
-		return known.until, true
+	case known.backoffUntil.After(now):
+		return known.backoffUntil, true
 	default:
 		return time.Time{}, false
 	}
 }
 
-// RecentlyDraining returns the upstreams of which it is new that they are leaving, ordered
-// by id.
+// RecentlyDraining returns the upstreams that were marked as draining within
+// NewsAge, ordered by id.
 func (set *Set) RecentlyDraining() []Incarnation {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
 	now := time.Now()
-	var news []Incarnation
-	for id, known := range set.notes {
-		if known.leaving && now.Sub(known.made) < set.config.NewsAge {
-			news = append(news, Incarnation{ID: id, StartedAt: known.born})
+	var recent []Incarnation
+	for id, known := range set.marks {
+		if known.draining && now.Sub(known.madeAt) < set.config.NewsAge {
+			recent = append(recent, Incarnation{ID: id, StartedAt: known.startedAt})
 		}
 	}
-	slices.SortFunc(news, func(a, b Incarnation) int { return cmp.Compare(a.ID, b.ID) })
-	return news
+	slices.SortFunc(recent, func(a, b Incarnation) int { return cmp.Compare(a.ID, b.ID) })
+	return recent
 }
--- a/internal/flow/cordon/cordon_test.go
+++ b/internal/flow/cordon/cordon_test.go
@@ -11,45 +11,49 @@
 	"pgregory.net/rapid"
 )
 
-// TestSet guards against an upstream that gets requests although it said that
-// it wants none, and against one that gets none after a new start.
+// TestSet guards against an upstream that gets requests although it asked for
+// none, and against one that gets none after a restart.
 func TestSet(t *testing.T) {
 	tests := []struct {
 		name string
 		do   func(set *Set)
-		// born is that of the start asked for, in milliseconds after the test's
-		// beginning; first is 0.
-		born int64
-		want bool
-		// left is how long it is avoided, 0 for good.
+		// startedAfter is the start of the incarnation asked for, in
+		// milliseconds after the test's beginning; that of firstIncarnation is
+		// 0.
+		startedAfter int64
+		want         bool
+		// left is how long it is still avoided, 0 for good.
 		left time.Duration
 	}{
-		{name: "never heard", do: func(*Set) {}},
-		{name: "leaving", do: func(set *Set) { set.MarkDraining(first) }, want: true},
-		{name: "leaving for minutes", do: func(set *Set) { set.MarkDraining(first); time.Sleep(5 * time.Minute) }, want: true},
-		{name: "started anew after it left", do: func(set *Set) { set.MarkDraining(first); time.Sleep(time.Second) }, born: 900},
-		{name: "started before it said so and listed later", do: func(set *Set) { time.Sleep(time.Second); set.MarkDraining(first) }, born: 900, want: true},
-		{name: "listed much later, clocks apart", do: func(set *Set) { time.Sleep(time.Second); set.MarkDraining(first); time.Sleep(time.Minute) }, born: 900},
-		{name: "unknown start", do: func(set *Set) { set.MarkDraining(Incarnation{ID: "a"}) }, born: 900, want: true},
-		{name: "rests", do: func(set *Set) { set.SetBackoff(first, 3*time.Second); time.Sleep(time.Second) }, want: true, left: 2 * time.Second},
-		{name: "rested", do: func(set *Set) { set.SetBackoff(first, time.Second); time.Sleep(time.Second) }},
-		{name: "later word is shorter", do: func(set *Set) { set.SetBackoff(first, 3*time.Second); set.SetBackoff(first, time.Second) }, want: true, left: 3 * time.Second},
-		{name: "no time", do: func(set *Set) { set.SetBackoff(first, 0); set.SetBackoff(first, -time.Second) }},
-		{name: "endless time", do: func(set *Set) { set.SetBackoff(first, 1<<62) }, want: true, left: MaxBackoff},
-		{name: "rests and leaves", do: func(set *Set) {
-			set.MarkDraining(first)
-			set.SetBackoff(first, time.Second)
+		{name: "never marked", do: func(*Set) {}},
+		{name: "leaving", do: func(set *Set) { set.MarkDraining(firstIncarnation) }, want: true},
+		{name: "draining for minutes", do: func(set *Set) { set.MarkDraining(firstIncarnation); time.Sleep(5 * time.Minute) }, want: true},
+		{name: "restarted after it drained", do: func(set *Set) { set.MarkDraining(firstIncarnation); time.Sleep(time.Second) }, startedAfter: 900},
+		{name: "started before the mark and listed later", do: func(set *Set) { time.Sleep(time.Second); set.MarkDraining(firstIncarnation) }, startedAfter: 900, want: true},
+		{name: "listed much later, clocks differ", do: func(set *Set) { time.Sleep(time.Second); set.MarkDraining(firstIncarnation); time.Sleep(time.Minute) }, startedAfter: 900},
+		{name: "unknown start time", do: func(set *Set) { set.MarkDraining(Incarnation{ID: "a"}) }, startedAfter: 900, want: true},
+		{name: "rests", do: func(set *Set) { set.SetBackoff(firstIncarnation, 3*time.Second); time.Sleep(time.Second) }, want: true, left: 2 * time.Second},
+		{name: "rested", do: func(set *Set) { set.SetBackoff(firstIncarnation, time.Second); time.Sleep(time.Second) }},
+		{name: "later backoff is shorter", do: func(set *Set) {
+			set.SetBackoff(firstIncarnation, 3*time.Second)
+			set.SetBackoff(firstIncarnation, time.Second)
+		}, want: true, left: 3 * time.Second},
+		{name: "no backoff", do: func(set *Set) { set.SetBackoff(firstIncarnation, 0); set.SetBackoff(firstIncarnation, -time.Second) }},
+		{name: "endless backoff", do: func(set *Set) { set.SetBackoff(firstIncarnation, 1<<62) }, want: true, left: MaxBackoff},
+		{name: "backoff while draining", do: func(set *Set) {
+			set.MarkDraining(firstIncarnation)
+			set.SetBackoff(firstIncarnation, time.Second)
 			time.Sleep(2 * time.Second)
 		}, want: true},
-		{name: "new start while it rests", do: func(set *Set) { set.SetBackoff(first, time.Hour); time.Sleep(time.Second) }, born: 900},
+		{name: "restarted during the backoff", do: func(set *Set) { set.SetBackoff(firstIncarnation, time.Hour); time.Sleep(time.Second) }, startedAfter: 900},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				set := New(Config{})
-				begun := time.Now()
+				began := time.Now()
 				test.do(set)
-				until, got := set.Avoided(Incarnation{ID: "a", StartedAt: begun.UnixMilli() + test.born})
+				until, got := set.Avoided(Incarnation{ID: "a", StartedAt: began.UnixMilli() + test.startedAfter})
 				if diff := cmp.Diff(test.want, got); diff != "" {
 					t.Errorf("avoided (-want +got):\n%s", diff)
 				}
@@ -65,20 +69,21 @@
 	}
 }
 
-// first is the start at the beginning of a test, whose clock begins in 2000.
-var first = Incarnation{ID: "a", StartedAt: time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC).UnixMilli()}
+// firstIncarnation starts at the beginning of a test, whose clock begins in
+// 2000.
+var firstIncarnation = Incarnation{ID: "a", StartedAt: time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC).UnixMilli()}
 
-// TestNews guards against other instances that never hear that an upstream is
-// leaving, and against news that are told for ever.
-func TestNews(t *testing.T) {
+// TestRecentlyDraining guards against other instances that never hear that an
+// upstream is draining, and against marks that are passed on for ever.
+func TestRecentlyDraining(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		set := New(Config{})
-		if !set.MarkDraining(first) || set.MarkDraining(first) {
-			t.Error("the first word is new, the second is not")
+		if !set.MarkDraining(firstIncarnation) || set.MarkDraining(firstIncarnation) {
+			t.Error("the first mark is new, the second is not")
 		}
 		set.SetBackoff(Incarnation{ID: "b"}, time.Minute)
-		if diff := cmp.Diff([]Incarnation{first}, set.RecentlyDraining()); diff != "" {
-			t.Errorf("news (-want +got):\n%s", diff)
+		if diff := cmp.Diff([]Incarnation{firstIncarnation}, set.RecentlyDraining()); diff != "" {
+			t.Errorf("recently draining (-want +got):\n%s", diff)
 		}
 		time.Sleep(DefaultNewsAge)
 		if diff := cmp.Diff([]Incarnation(nil), set.RecentlyDraining()); diff != "" {
@@ -87,7 +92,7 @@
 	})
 }
 
-// step is one thing that happens to an upstream in TestSchedules.
+// step is one event of an upstream in TestSchedules.
 type step struct {
 	upstream string
 	kind     string
@@ -97,14 +102,14 @@
 var steps = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) step {
 	return step{
 		upstream: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "upstream"),
-		kind:     rapid.SampledFrom([]string{"leave", "rest", "restart", "pause", "late word"}).Draw(t, "kind"),
+		kind:     rapid.SampledFrom([]string{"leave", "rest", "restart", "pause", "late message"}).Draw(t, "kind"),
 		length:   time.Duration(rapid.IntRange(-10, 9000).Draw(t, "ms")) * time.Millisecond,
 	}
 }), 1, 40)
 
-// TestSchedules guards against any order of words, starts and pauses in which
-// something is sent to an upstream that wants nothing. The model keeps each
-// word of the present start for itself.
+// TestSchedules guards against any order of messages, restarts and pauses after
+// which an upstream that asked for no requests is not avoided. The model keeps
+// every message of the current incarnation.
 func TestSchedules(t *testing.T) {
 	rapid.Check(t, func(drawn *rapid.T) {
 		schedule := steps.Draw(drawn, "steps")
@@ -116,42 +121,42 @@
 	})
 }
 
-// spoken is what the present start of an upstream said.
-type spoken struct {
-	born    int64
-	leaving bool
-	rests   []time.Time
-	// late means that an earlier start was heard after this one began, for which
-	// this one may be avoided for a while.
+// upstreamModel holds what the current incarnation of an upstream said.
+type upstreamModel struct {
+	startedAt int64
+	draining  bool
+	backoffs  []time.Time
+	// late means that an earlier incarnation was heard after this one began,
+	// for which this one may be avoided for a while.
 	late bool
 }
 
-// play returns how the first step at which a Set is wrong differs from the
-// model, or nothing.
+// play runs a schedule on a Set and returns how the first step with a wrong
+// result differs from the model, or "".
 func play(schedule []step) string {
 	set := New(Config{})
-	model := map[string]*spoken{"a": {born: 1000}, "b": {born: 1000}}
+	model := map[string]*upstreamModel{"a": {startedAt: 1000}, "b": {startedAt: 1000}}
 	for number, step := range schedule {
 		known := model[step.upstream]
-		start := Incarnation{ID: step.upstream, StartedAt: known.born}
+		incarnation := Incarnation{ID: step.upstream, StartedAt: known.startedAt}
 		switch step.kind {
 		case "leave":
-			set.MarkDraining(start)
-			known.leaving = true
+			set.MarkDraining(incarnation)
+			known.draining = true
 		case "rest":
-			set.SetBackoff(start, step.length)
-			known.rests = append(known.rests, time.Now().Add(step.length))
+			set.SetBackoff(incarnation, step.length)
+			known.backoffs = append(known.backoffs, time.Now().Add(step.length))
 		case "restart":
 			time.Sleep(2 * time.Millisecond)
-			model[step.upstream] = &spoken{born: time.Now().UnixMilli()}
+			model[step.upstream] = &upstreamModel{startedAt: time.Now().UnixMilli()}
 		case "pause":
 			time.Sleep(step.length)
-		case "late word":
-			set.MarkDraining(Incarnation{ID: step.upstream, StartedAt: known.born - 1})
+		case "late message":
+			set.MarkDraining(Incarnation{ID: step.upstream, StartedAt: known.startedAt - 1})
 			known.late = true
 		}
 		for id, known := range model {
-			if _, got := set.Avoided(Incarnation{ID: id, StartedAt: known.born}); got != known.refuses() && (!got || !known.late) {
+			if _, got := set.Avoided(Incarnation{ID: id, StartedAt: known.startedAt}); got != known.refuses() && (!got || !known.late) {
 				return fmt.Sprintf("after step %d (%+v): %s avoided is %v", number, step, id, got)
 			}
 		}
@@ -159,7 +164,7 @@
 	return ""
 }
 
-// refuses reports whether the upstream wants nothing now.
-func (spoken *spoken) refuses() bool {
-	return spoken.leaving || slices.ContainsFunc(spoken.rests, time.Now().Before)
+// refuses reports whether the upstream wants no requests now.
+func (upstream *upstreamModel) refuses() bool {
+	return upstream.draining || slices.ContainsFunc(upstream.backoffs, time.Now().Before)
 }
--- a/internal/flow/rank/rank.go
+++ b/internal/flow/rank/rank.go
@@ -1,7 +1,7 @@
-// Package rank chooses one member of a group for a task without an exchange:
-// every process ranks the members that it hears by rendezvous hash (Thaler and
-// Ravishankar 1998). Where views differ, two members may both be chosen, so the
-// task must be one that is only done more often then.
+// Package rank chooses one member of a group for a task without coordination:
+// every process ranks the members that it knows by rendezvous hashing (Thaler
+// and Ravishankar 1998). Where their views differ, two members may be chosen,
+// so it suits only tasks that may be done twice.
 package rank
 
 import (
@@ -11,8 +11,9 @@
 	"github.com/zeebo/xxh3"
 )
 
-// First returns the member that ranks first for a task, or "" of none. When a
-// member comes or goes, only the tasks that it ranks first for move.
+// First returns the member with the highest score for a task, or "" if there
+// are no members. When a member joins or leaves, only the tasks for which it
+// ranks first move.
 func First(task string, members []string) string {
 	if len(members) == 0 {
 		return ""
@@ -22,5 +23,5 @@
 	})
 }
 
-// Score returns a member's rank for a task. The highest comes first.
+// Score returns a member's score for a task. The highest score ranks first.
 func Score(task, member string) uint64 { return xxh3.HashString(member + "\x00" + task) }
--- a/internal/flow/rank/rank_test.go
+++ b/internal/flow/rank/rank_test.go
@@ -16,18 +16,18 @@
 	return list
 }
 
-// TestFirst guards against members that choose differently from one view, and
-// against tasks that move although their member stays.
+// TestFirst guards against processes that choose differently from the same
+// members, and against tasks that move although their member stays.
 func TestFirst(t *testing.T) {
 	all := members(12)
-	turned := slices.Clone(all)
-	slices.Reverse(turned)
+	reversed := slices.Clone(all)
+	slices.Reverse(reversed)
 	chosen := make(map[string]int)
 	for number := range 600 {
 		task := fmt.Sprint("task ", number)
 		first := First(task, all)
-		if diff := cmp.Diff(first, First(task, turned)); diff != "" {
-			t.Errorf("another order chooses another (-want +got):\n%s", diff)
+		if diff := cmp.Diff(first, First(task, reversed)); diff != "" {
+			t.Errorf("a different order changes the choice (-want +got):\n%s", diff)
 		}
 		chosen[first]++
 		rest := slices.DeleteFunc(slices.Clone(all), func(member string) bool { return member == all[0] })
@@ -41,6 +41,6 @@
 		}
 	}
 	if got := First("task", nil); got != "" {
-		t.Errorf("%q is chosen of none", got)
+		t.Errorf("%q is chosen without members", got)
 	}
 }
--- a/internal/flow/retry/retry_test.go
+++ b/internal/flow/retry/retry_test.go
@@ -10,17 +10,17 @@
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 )
 
-// Guards against retries beyond 10% of the requests or 3 per second, and
-// against a budget that a calm time fills without limit.
+// TestBudget guards against retries beyond 10% of the requests or 3 per second,
+// and against a budget that a quiet time fills without limit.
 func TestBudget(t *testing.T) {
 	tests := []struct {
 		name     string
 		requests int
-		calm     time.Duration
+		quiet    time.Duration
 		want     int
 	}{
 		{"new", 0, 0, 3},
-		{"minimum does not add up over a calm hour", 0, time.Hour, 3},
+		{"minimum does not add up over a quiet hour", 0, time.Hour, 3},
 		{"few requests: the minimum", 10, 0, 3},
 		{"many requests: their tenth", 200, 0, 20},
 		{"earned retries are capped", 5000, 0, 100},
@@ -35,7 +35,7 @@
 				for range test.requests {
 					budget.RecordRequest()
 				}
-				time.Sleep(test.calm)
+				time.Sleep(test.quiet)
 				got := 0
 				for budget.Allow() {
 					got++
@@ -54,8 +54,8 @@
 	}
 }
 
-// Guards against a backoff above its limit, without jitter, or that differs for
-// the same seed.
+// TestBackoff guards against a backoff above its limit, without jitter, or that
+// differs for the same seed.
 func TestBackoff(t *testing.T) {
 	for attempt, limit := range []time.Duration{25, 25, 50, 100, 200, 400, 800, 1600, 2000, 2000} {
 		limit *= time.Millisecond
@@ -73,12 +73,13 @@
 			t.Errorf("attempt %d: only %d distinct waits of 100", attempt, len(distinct))
 		}
 	}
-	if wait := must(t, Config{}).Backoff(1 << 40); wait > DefaultMaxBackoff {
+	if wait := newBudget(t, Config{}).Backoff(1 << 40); wait > DefaultMaxBackoff {
 		t.Errorf("wait %v", wait)
 	}
 }
 
-// Guards against settings that would allow more retries than requests.
+// TestConfig guards against settings that would allow more retries than
+// requests.
 func TestConfig(t *testing.T) {
 	for _, config := range []Config{{Ratio: 1.5}, {Ratio: -1}, {MinPerSecond: -1}, {InitialBackoff: time.Hour}, {InitialBackoff: -1}} {
 		_, err := New(config)
@@ -88,7 +89,7 @@
 	}
 }
 
-func must(t *testing.T, config Config) *Budget {
+func newBudget(t *testing.T, config Config) *Budget {
 	t.Helper()
 	budget, err := New(config)
 	if err != nil {
