--- a/internal/flow/fairq/fairq.go
+++ b/internal/flow/fairq/fairq.go
@@ -1,7 +1,7 @@
-// Package fairq holds the fair queue of one side process. Organisations share
-// the upstream by deficit round robin, measured in tokens; interactive work
-// goes before patient work, and patient work that has waited for half its
-// longest wait counts as interactive.
+// Package fairq holds the fair queue of one side process. Organisations share the
+// upstream by deficit round robin, measured in tokens. Interactive requests go
+// before patient ones; a patient request that has waited for half its maximum wait
+// counts as interactive.
 package fairq
 
 import (
@@ -10,34 +10,37 @@
 	"jacinthfront.dev/jacinthfront/internal/state/model"
 )
 
-// Config bounds a Queue. Zero fields take their defaults.
+// Config limits a Queue. Zero fields take their defaults.
 type Config struct {
-	// MaxRequests and Tokens bound what may wait.
+	// MaxRequests and MaxTokens limit the requests that wait and their cost.
 	MaxRequests int
 	MaxTokens   model.Tokens
-	// Quantum is what an organisation earns in one round.
+	// Quantum is the deficit that an organisation gains in one round.
 	Quantum model.Tokens
-	// PatientPercent is how much of the bounds patient work may fill.
+	// PatientPercent is the part of the limits up to which patient requests are
+	// admitted.
 	PatientPercent int
 }
 
 const (
-	defaultRequests = 1024
-	defaultTokens   = 1 << 20
-	// defaultQuantum is about one short request, so that a round stays short.
+	defaultMaxRequests = 1024
+	defaultMaxTokens   = 1 << 20
+	// defaultQuantum is about the cost of a short request, so that a round stays
+	// short.
 	defaultQuantum = 512
-	// defaultPatientPercent leaves room for interactive work under pressure.
+	// defaultPatientPercent leaves space for interactive requests under load.
 	defaultPatientPercent = 75
-	// AdapterLoadCost is the deficit charged to the organisation that causes a load.
+	// AdapterLoadCost is the deficit charged to the organisation that causes an
+	// adapter load.
 	AdapterLoadCost model.Tokens = 200
 )
 
 func (config Config) withDefaults() Config {
 	if config.MaxRequests <= 0 {
-		config.MaxRequests = defaultRequests
+		config.MaxRequests = defaultMaxRequests
 	}
 	if config.MaxTokens <= 0 {
-		config.MaxTokens = defaultTokens
+		config.MaxTokens = defaultMaxTokens
 	}
 	if config.Quantum <= 0 {
 		config.Quantum = defaultQuantum
@@ -53,9 +56,9 @@
 	Organisation string
 	Class        model.Class
 	Cost         model.Tokens
-	// Arrived orders the entries of an organisation.
+	// Arrived is the time from which the wait is counted.
 	Arrived time.Time
-	// MaxWait is how long the entry may wait.
+	// MaxWait is how long the entry may wait. In CheckAdmission, 0 means no limit.
 	MaxWait time.Duration
 	Value   T
 
@@ -74,19 +77,19 @@
 // Queue orders the waiting requests of one upstream. It is not safe for
 // concurrent use.
 type Queue[T any] struct {
-	config   Config
-	lines    map[string]*line[T]
-	ring     []*line[T]
-	cursor   int
-	requests int
-	tokens   model.Tokens
-	sequence uint64
-	pace     pace
+	config        Config
+	organisations map[string]*organisationQueue[T]
+	ring          []*organisationQueue[T]
+	cursor        int
+	requests      int
+	tokens        model.Tokens
+	sequence      uint64
+	throughput    throughput
 }
 
 // New returns an empty Queue.
 func New[T any](config Config) *Queue[T] {
-	return &Queue[T]{config: config.withDefaults(), lines: map[string]*line[T]{}}
+	return &Queue[T]{config: config.withDefaults(), organisations: map[string]*organisationQueue[T]{}}
 }
 
 // Len returns the number of waiting requests.
@@ -95,22 +98,23 @@
 // Tokens returns the cost of all waiting requests.
 func (queue *Queue[T]) Tokens() model.Tokens { return queue.tokens }
 
-// Push adds an entry at the end of its sub-queue. Callers ask Admit first.
+// Push adds an entry at the end of its organisation's list for its class. Callers
+// call CheckAdmission first.
 func (queue *Queue[T]) Push(entry *Entry[T]) {
 	queue.sequence++
 	entry.sequence = queue.sequence
 	queue.insert(entry)
 }
 
-// Requeue puts a popped entry back to its former place and returns its cost
-// to the organisation's deficit.
+// Requeue puts a popped entry back in its former place and returns its cost to the
+// organisation's deficit.
 func (queue *Queue[T]) Requeue(entry *Entry[T]) {
 	queue.insert(entry)
-	queue.lines[entry.Organisation].deficit += entry.Cost
+	queue.organisations[entry.Organisation].deficit += entry.Cost
 }
 
 func (queue *Queue[T]) insert(entry *Entry[T]) {
-	queue.line(entry.Organisation).insert(entry)
+	queue.organisationQueue(entry.Organisation).insert(entry)
 	entry.queued = true
 	queue.requests++
 	queue.tokens += entry.Cost
@@ -121,57 +125,58 @@
 	if !entry.queued {
 		return false
 	}
-	queue.lines[entry.Organisation].remove(entry)
+	queue.organisations[entry.Organisation].remove(entry)
 	entry.queued = false
 	queue.requests--
 	queue.tokens -= entry.Cost
 	return true
 }
 
-// Charge takes tokens from an organisation's deficit, for work that it causes
+// Charge takes tokens from an organisation's deficit for work that it causes
 // besides its requests.
 func (queue *Queue[T]) Charge(organisation string, tokens model.Tokens) {
-	queue.line(organisation).deficit -= tokens
+	queue.organisationQueue(organisation).deficit -= tokens
 }
 
-// Block keeps an organisation's requests waiting until a time, while others
-// pass them. It is used when the organisation has no tokens. The organisation
-// counts as starved until Unblock.
+// Block keeps an organisation's requests waiting until a time, while those of
+// others overtake them. It is used when the organisation has no tokens. The
+// organisation counts as rate limited until Unblock.
 func (queue *Queue[T]) Block(organisation string, until time.Time) {
-	queue.line(organisation).blocked = until
+	queue.organisationQueue(organisation).blockedUntil = until
 }
 
-// Unblock ends a Block.
+// Unblock ends the effect of Block.
 func (queue *Queue[T]) Unblock(organisation string) {
-	queue.line(organisation).blocked = time.Time{}
+	queue.organisationQueue(organisation).blockedUntil = time.Time{}
 }
 
-// RateLimited reports whether an organisation had no tokens when last tried.
+// RateLimited reports whether an organisation is rate limited: it has been blocked
+// and not unblocked since.
 func (queue *Queue[T]) RateLimited(organisation string) bool {
-	line, ok := queue.lines[organisation]
-	return ok && line.starved()
+	organisationQueue, ok := queue.organisations[organisation]
+	return ok && organisationQueue.rateLimited()
 }
 
 // NextUnblock returns the earliest time at which a blocked organisation with
-// waiting requests may go on.
+// waiting requests may continue, and whether there is one.
 func (queue *Queue[T]) NextUnblock(now time.Time) (time.Time, bool) {
 	var next time.Time
-	for _, line := range queue.ring {
-		if line.empty() || !line.blocked.After(now) {
+	for _, organisationQueue := range queue.ring {
+		if organisationQueue.empty() || !organisationQueue.blockedUntil.After(now) {
 			continue
 		}
-		if next.IsZero() || line.blocked.Before(next) {
-			next = line.blocked
+		if next.IsZero() || organisationQueue.blockedUntil.Before(next) {
+			next = organisationQueue.blockedUntil
 		}
 	}
 	return next, !next.IsZero()
 }
 
-// All calls visit for each waiting entry until it returns false. The queue
-// must not be changed meanwhile.
+// All calls visit for each waiting entry until visit returns false. The queue must
+// not be changed meanwhile.
 func (queue *Queue[T]) All(visit func(*Entry[T]) bool) {
-	for _, line := range queue.ring {
-		for _, entries := range line.classes {
+	for _, organisationQueue := range queue.ring {
+		for _, entries := range organisationQueue.entries {
 			for _, entry := range entries {
 				if !visit(entry) {
 					return
@@ -181,12 +186,14 @@
 	}
 }
 
-func (queue *Queue[T]) line(organisation string) *line[T] {
-	known, ok := queue.lines[organisation]
+// organisationQueue returns the queue of an organisation, which it creates if
+// there is none.
+func (queue *Queue[T]) organisationQueue(organisation string) *organisationQueue[T] {
+	found, ok := queue.organisations[organisation]
 	if !ok {
-		known = &line[T]{}
-		queue.lines[organisation] = known
-		queue.ring = append(queue.ring, known)
+		found = &organisationQueue[T]{}
+		queue.organisations[organisation] = found
+		queue.ring = append(queue.ring, found)
 	}
-	return known
+	return found
 }
--- a/internal/flow/fairq/fairq_test.go
+++ b/internal/flow/fairq/fairq_test.go
@@ -15,8 +15,8 @@
 
 var start = time.Unix(1000, 0)
 
-// naive is deficit round robin over one list, without indexes or sums.
-type naive struct {
+// referenceQueue is deficit round robin over one list, without indexes or sums.
+type referenceQueue struct {
 	quantum model.Tokens
 	ring    []string
 	cursor  int
@@ -25,53 +25,53 @@
 	waiting []*Entry[int]
 }
 
-func (naive *naive) push(entry *Entry[int]) {
-	if !slices.Contains(naive.ring, entry.Organisation) {
-		naive.ring = append(naive.ring, entry.Organisation)
+func (reference *referenceQueue) push(entry *Entry[int]) {
+	if !slices.Contains(reference.ring, entry.Organisation) {
+		reference.ring = append(reference.ring, entry.Organisation)
 	}
-	naive.waiting = append(naive.waiting, entry)
+	reference.waiting = append(reference.waiting, entry)
 }
 
-func (naive *naive) remove(entry *Entry[int]) {
-	naive.waiting = slices.DeleteFunc(naive.waiting, func(other *Entry[int]) bool { return other == entry })
-	idle := !slices.ContainsFunc(naive.waiting, func(other *Entry[int]) bool { return other.Organisation == entry.Organisation })
-	if idle && naive.deficit[entry.Organisation] > 0 {
-		naive.deficit[entry.Organisation] = 0
+func (reference *referenceQueue) remove(entry *Entry[int]) {
+	reference.waiting = slices.DeleteFunc(reference.waiting, func(other *Entry[int]) bool { return other == entry })
+	idle := !slices.ContainsFunc(reference.waiting, func(other *Entry[int]) bool { return other.Organisation == entry.Organisation })
+	if idle && reference.deficit[entry.Organisation] > 0 {
+		reference.deficit[entry.Organisation] = 0
 	}
 }
 
-func (naive *naive) pop(now time.Time, ready func(*Entry[int]) bool) *Entry[int] {
-	for _, urgent := range []bool{true, false} {
+func (reference *referenceQueue) pop(now time.Time, ready func(*Entry[int]) bool) *Entry[int] {
+	for _, highPriority := range []bool{true, false} {
 		first := map[string]*Entry[int]{}
-		for _, entry := range naive.waiting {
+		for _, entry := range reference.waiting {
 			name := entry.Organisation
-			if first[name] == nil && !naive.blocked[name].After(now) && (!urgent || entry.HighPriority(now)) && ready(entry) {
+			if first[name] == nil && !reference.blocked[name].After(now) && (!highPriority || entry.HighPriority(now)) && ready(entry) {
 				first[name] = entry
 			}
 		}
 		for len(first) > 0 {
-			name := naive.ring[naive.cursor]
-			if entry := first[name]; entry != nil && naive.deficit[name] >= entry.Cost {
-				naive.deficit[name] -= entry.Cost
-				naive.remove(entry)
+			name := reference.ring[reference.cursor]
+			if entry := first[name]; entry != nil && reference.deficit[name] >= entry.Cost {
+				reference.deficit[name] -= entry.Cost
+				reference.remove(entry)
 				return entry
 			}
-			naive.cursor = (naive.cursor + 1) % len(naive.ring)
-			if name := naive.ring[naive.cursor]; first[name] != nil {
-				naive.deficit[name] += naive.quantum
+			reference.cursor = (reference.cursor + 1) % len(reference.ring)
+			if name := reference.ring[reference.cursor]; first[name] != nil {
+				reference.deficit[name] += reference.quantum
 			}
 		}
 	}
 	return nil
 }
 
-// Guards against an order that differs from plain deficit round robin after
-// any sequence of pushes, pops, removals, requeues, charges and blocks.
+// Guards against an order that differs from plain deficit round robin after any
+// sequence of pushes, pops, removals, requeues, charges and blocks.
 func TestQueueAgainstNaive(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		queue := New[int](Config{Quantum: 100})
-		naive := &naive{quantum: 100, deficit: map[string]model.Tokens{}, blocked: map[string]time.Time{}}
+		reference := &referenceQueue{quantum: 100, deficit: map[string]model.Tokens{}, blocked: map[string]time.Time{}}
 		now := start
 		var popped []*Entry[int]
 		for step := range 300 {
@@ -84,42 +84,42 @@
 					Arrived: now, MaxWait: time.Duration(1+random.IntN(5)) * time.Second, Value: random.IntN(4),
 				}
 				queue.Push(entry)
-				naive.push(entry)
+				reference.push(entry)
 			case action < 16:
 				loading := random.IntN(4)
 				ready := func(entry *Entry[int]) bool { return entry.Value != loading }
-				got, want := queue.Pop(now, ready), naive.pop(now, ready)
+				got, want := queue.Pop(now, ready), reference.pop(now, ready)
 				if got != want {
 					t.Fatalf("seed %d step %d: popped %+v, want %+v", seed, step, got, want)
 				}
 				if got != nil {
 					popped = append(popped, got)
 				}
-			case action == 16 && queue.lines[name] != nil:
+			case action == 16 && queue.organisations[name] != nil:
 				queue.Charge(name, AdapterLoadCost)
-				naive.deficit[name] -= AdapterLoadCost
-			case action == 17 && queue.lines[name] != nil:
+				reference.deficit[name] -= AdapterLoadCost
+			case action == 17 && queue.organisations[name] != nil:
 				queue.Block(name, now.Add(time.Second))
-				naive.blocked[name] = now.Add(time.Second)
-			case action == 18 && len(naive.waiting) > 0:
-				entry := naive.waiting[random.IntN(len(naive.waiting))]
-				naive.remove(entry)
+				reference.blocked[name] = now.Add(time.Second)
+			case action == 18 && len(reference.waiting) > 0:
+				entry := reference.waiting[random.IntN(len(reference.waiting))]
+				reference.remove(entry)
 				queue.Remove(entry)
 			case action == 19 && len(popped) > 0:
 				entry := popped[len(popped)-1]
 				popped = popped[:len(popped)-1]
 				queue.Requeue(entry)
-				naive.waiting = append(naive.waiting, entry)
-				slices.SortFunc(naive.waiting, bySequence)
-				naive.deficit[entry.Organisation] += entry.Cost
+				reference.waiting = append(reference.waiting, entry)
+				slices.SortFunc(reference.waiting, bySequence)
+				reference.deficit[entry.Organisation] += entry.Cost
 			}
 			var tokens model.Tokens
-			for _, entry := range naive.waiting {
+			for _, entry := range reference.waiting {
 				tokens += entry.Cost
 			}
-			if queue.Len() != len(naive.waiting) || queue.Tokens() != tokens {
+			if queue.Len() != len(reference.waiting) || queue.Tokens() != tokens {
 				t.Fatalf("seed %d step %d: %d requests of %d tokens, want %d of %d",
-					seed, step, queue.Len(), queue.Tokens(), len(naive.waiting), tokens)
+					seed, step, queue.Len(), queue.Tokens(), len(reference.waiting), tokens)
 			}
 		}
 	}
@@ -135,8 +135,8 @@
 	return values
 }
 
-// Guards against patient work that passes interactive work before its time, or
-// not at all once it has waited for half its longest wait.
+// Guards against patient requests that pass interactive ones too early, or that
+// still wait behind them after half their maximum wait.
 func TestClasses(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -158,8 +158,8 @@
 	}
 }
 
-// Guards against an organisation that is served less than its equal part of
-// the tokens while it has work waiting, whatever the size of its requests.
+// Guards against an organisation that is served less than its equal part of the
+// tokens while it has requests waiting, whatever their size.
 func TestFairShares(t *testing.T) {
 	queue := New[string](Config{Quantum: 500})
 	served := map[string]model.Tokens{}
@@ -180,50 +180,50 @@
 	}
 }
 
-// Guards against wrongful refusals and against a queue without bounds.
+// Guards against wrongful refusals and against a queue without limits.
 func TestAdmit(t *testing.T) {
 	fill := func(queue *Queue[string], name string, class model.Class, count int, cost model.Tokens) {
 		for range count {
 			queue.Push(&Entry[string]{Organisation: name, Class: class, Cost: cost, Arrived: start, MaxWait: 10 * time.Second})
 		}
 	}
-	// busy makes the queue believe that the upstream starts 100 tokens/s.
-	busy := func(queue *Queue[string]) {
+	// saturate makes the queue measure a throughput of 100 tokens/s.
+	saturate := func(queue *Queue[string]) {
 		queue.SetSaturated(start.Add(-10*time.Second), true)
 		for second := -10; second < 0; second++ {
-			queue.pace.served(start.Add(time.Duration(second)*time.Second), 100)
+			queue.throughput.recordStart(start.Add(time.Duration(second)*time.Second), 100)
 		}
 	}
-	share := RateLimit{Rate: 100, Burst: 500}
+	limit := RateLimit{Rate: 100, Burst: 500}
 	tests := []struct {
 		name    string
 		prepare func(queue *Queue[string])
 		class   model.Class
-		share   RateLimit
+		limit   RateLimit
 		cost    model.Tokens
 		want    fault.Kind
 	}{
-		{"empty", func(*Queue[string]) {}, 0, share, 100, ""},
-		{"above the burst", func(*Queue[string]) {}, 0, share, 501, fault.RateExceeded},
-		{"rate lasts with the burst", func(queue *Queue[string]) { fill(queue, "oak", 0, 14, 100) }, 0, share, 100, ""},
-		{"rate does not last", func(queue *Queue[string]) { fill(queue, "oak", 0, 15, 100) }, 0, share, 100, fault.RateExceeded},
-		{"rate lasts without the burst", func(queue *Queue[string]) {
+		{"empty", func(*Queue[string]) {}, 0, limit, 100, ""},
+		{"above the burst", func(*Queue[string]) {}, 0, limit, 501, fault.RateExceeded},
+		{"rate suffices with the burst", func(queue *Queue[string]) { fill(queue, "oak", 0, 14, 100) }, 0, limit, 100, ""},
+		{"rate does not suffice", func(queue *Queue[string]) { fill(queue, "oak", 0, 15, 100) }, 0, limit, 100, fault.RateExceeded},
+		{"rate suffices without the burst", func(queue *Queue[string]) {
 			fill(queue, "oak", 0, 9, 100)
 			queue.Block("oak", start.Add(time.Second))
-		}, 0, share, 100, ""},
-		{"rate does not last without the burst", func(queue *Queue[string]) {
+		}, 0, limit, 100, ""},
+		{"rate does not suffice without the burst", func(queue *Queue[string]) {
 			fill(queue, "oak", 0, 10, 100)
 			queue.Block("oak", start.Add(time.Second))
-		}, 0, share, 100, fault.RateExceeded},
-		{"the limiter knows better", func(queue *Queue[string]) { fill(queue, "oak", 0, 10, 100) }, 0,
+		}, 0, limit, 100, fault.RateExceeded},
+		{"the limiter estimates a longer wait", func(queue *Queue[string]) { fill(queue, "oak", 0, 10, 100) }, 0,
 			RateLimit{Rate: 100, Burst: 5000, EstimateWait: func(model.Tokens) time.Duration { return 11 * time.Second }}, 100, fault.RateExceeded},
-		{"other organisation's tokens", func(queue *Queue[string]) { fill(queue, "ash", 0, 50, 100) }, 0, share, 100, ""},
+		{"other organisation's tokens", func(queue *Queue[string]) { fill(queue, "ash", 0, 50, 100) }, 0, limit, 100, ""},
 		{"below the bound", func(queue *Queue[string]) { fill(queue, "oak", 0, 99, 1) }, 0, RateLimit{}, 1, ""},
 		{"at the bound", func(queue *Queue[string]) { fill(queue, "oak", 0, 100, 1) }, 0, RateLimit{}, 1, fault.Overloaded},
 		{"patient at its bound", func(queue *Queue[string]) { fill(queue, "oak", 0, 75, 1) }, model.Patient, RateLimit{}, 1, fault.Overloaded},
 		{"interactive beyond the patient bound", func(queue *Queue[string]) { fill(queue, "oak", 0, 75, 1) }, 0, RateLimit{}, 1, ""},
-		{"full of another organisation's work", func(queue *Queue[string]) { fill(queue, "ash", 0, 150, 1) }, 0, RateLimit{}, 1, ""},
-		{"full of work that waits for tokens", func(queue *Queue[string]) {
+		{"full of another organisation's requests", func(queue *Queue[string]) { fill(queue, "ash", 0, 150, 1) }, 0, RateLimit{}, 1, ""},
+		{"full of rate-limited requests", func(queue *Queue[string]) {
 			fill(queue, "ash", 0, 200, 1)
 			fill(queue, "oak", 0, 99, 1)
 			queue.Block("ash", start.Add(time.Second))
@@ -233,20 +233,20 @@
 			queue.Block("ash", start.Add(time.Second))
 		}, 0, RateLimit{}, 1, fault.Overloaded},
 		{"too many tokens", func(queue *Queue[string]) { fill(queue, "oak", 0, 9, 1000) }, 0, RateLimit{}, 1001, fault.Overloaded},
-		{"expected wait within the longest", func(queue *Queue[string]) { busy(queue); fill(queue, "oak", 0, 9, 100) }, 0, RateLimit{}, 100, ""},
-		{"expected wait too long", func(queue *Queue[string]) { busy(queue); fill(queue, "oak", 0, 11, 100) }, 0, RateLimit{}, 100, fault.Overloaded},
-		{"wait behind patient work", func(queue *Queue[string]) { busy(queue); fill(queue, "oak", model.Patient, 11, 100) }, 0, RateLimit{}, 100, ""},
+		{"expected wait within the maximum", func(queue *Queue[string]) { saturate(queue); fill(queue, "oak", 0, 9, 100) }, 0, RateLimit{}, 100, ""},
+		{"expected wait too long", func(queue *Queue[string]) { saturate(queue); fill(queue, "oak", 0, 11, 100) }, 0, RateLimit{}, 100, fault.Overloaded},
+		{"patient requests do not delay interactive ones", func(queue *Queue[string]) { saturate(queue); fill(queue, "oak", model.Patient, 11, 100) }, 0, RateLimit{}, 100, ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			queue := New[string](Config{MaxRequests: 100, MaxTokens: 10000, Quantum: 100})
 			test.prepare(queue)
 			entry := &Entry[string]{Organisation: "oak", Class: test.class, Cost: test.cost, Arrived: start, MaxWait: 10 * time.Second}
-			refusal := queue.CheckAdmission(start, entry, test.share)
+			refusal := queue.CheckAdmission(start, entry, test.limit)
 			var got fault.Kind
 			if refusal != nil {
 				got = refusal.Kind()
-				if refusal.Ran() != fault.NotRun || refusal.RetryAfter() <= 0 && test.cost <= test.share.Burst {
+				if refusal.Ran() != fault.NotRun || refusal.RetryAfter() <= 0 && test.cost <= test.limit.Burst {
 					t.Errorf("refusal %v, retry-after %v", refusal, refusal.RetryAfter())
 				}
 			}
--- a/internal/flow/fairq/pop.go
+++ b/internal/flow/fairq/pop.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Pop removes and returns the next entry for which ready holds, or nil. Entries
-// that are not ready are passed and keep their place.
+// Pop removes and returns the next entry for which ready returns true, or nil.
+// Entries that are not ready are skipped and keep their place.
 func (queue *Queue[T]) Pop(now time.Time, ready func(*Entry[T]) bool) *Entry[T] {
-	for _, urgent := range []bool{true, false} {
-		if entry := queue.next(now, urgent, ready); entry != nil {
-			line := queue.lines[entry.Organisation]
-			line.deficit -= entry.Cost
+	for _, highPriority := range []bool{true, false} {
+		if entry := queue.nextEntry(now, highPriority, ready); entry != nil {
+			organisationQueue := queue.organisations[entry.Organisation]
+			organisationQueue.deficit -= entry.Cost
 			queue.Remove(entry)
-			queue.pace.served(now, entry.Cost)
+			queue.throughput.recordStart(now, entry.Cost)
 			return entry
 		}
 	}
 	return nil
 }
 
-// next runs deficit round robin over the organisations that have a ready
-// entry. Organisations without one earn nothing.
-func (queue *Queue[T]) next(now time.Time, urgent bool, ready func(*Entry[T]) bool) *Entry[T] {
+// nextEntry runs deficit round robin over the organisations that have a ready
+// entry. The others gain no deficit.
+func (queue *Queue[T]) nextEntry(now time.Time, highPriority bool, ready func(*Entry[T]) bool) *Entry[T] {
 	firsts := make([]*Entry[T], len(queue.ring))
 	found := false
-	for index, line := range queue.ring {
-		firsts[index] = line.first(now, urgent, ready)
+	for index, organisationQueue := range queue.ring {
+		firsts[index] = organisationQueue.firstReady(now, highPriority, ready)
 		found = found || firsts[index] != nil
 	}
 	if !found {
--- a/internal/flow/quota/baseline_test.go
+++ b/internal/flow/quota/baseline_test.go
@@ -8,154 +8,155 @@
 	"jacinthfront.dev/jacinthfront/internal/state/model"
 )
 
-// appendTime is how long an append to the log takes.
-const appendTime = 10 * time.Millisecond
-
-// logbook is the platform's log as far as its capacity and outages matter.
-type logbook struct {
-	mutex   sync.Mutex
-	rate    int // appends per second
-	next    time.Time
-	from    time.Time // outage
-	until   time.Time
-	appends int
+// appendLatency is how long an append to the log takes.
+const appendLatency = 10 * time.Millisecond
+
+// platformLog simulates the capacity and the outages of the platform's log.
+type platformLog struct {
+	mutex       sync.Mutex
+	rate        int // appends per second
+	nextStart   time.Time
+	outageStart time.Time
+	outageEnd   time.Time
+	appends     int
 }
 
-// append waits for its turn and reports whether the record was appended.
-func (logbook *logbook) append(ctx context.Context) bool {
-	logbook.mutex.Lock()
+// append waits until the rate of the log allows an append and reports whether the
+// record was appended.
+func (platformLog *platformLog) append(ctx context.Context) bool {
+	platformLog.mutex.Lock()
 	now := time.Now()
-	if now.Before(logbook.until) && !now.Before(logbook.from) {
-		logbook.mutex.Unlock()
+	if now.Before(platformLog.outageEnd) && !now.Before(platformLog.outageStart) {
+		platformLog.mutex.Unlock()
 		return false
 	}
-	turn := now
-	if logbook.next.After(now) {
-		turn = logbook.next
+	start := now
+	if platformLog.nextStart.After(now) {
+		start = platformLog.nextStart
 	}
-	if deadline, ok := ctx.Deadline(); ok && turn.Add(appendTime).After(deadline) {
-		logbook.mutex.Unlock()
+	if deadline, ok := ctx.Deadline(); ok && start.Add(appendLatency).After(deadline) {
+		platformLog.mutex.Unlock()
 		<-ctx.Done()
 		return false
 	}
-	logbook.next = turn.Add(time.Second / time.Duration(logbook.rate))
-	logbook.appends++
-	logbook.mutex.Unlock()
-	time.Sleep(time.Until(turn) + appendTime)
+	platformLog.nextStart = start.Add(time.Second / time.Duration(platformLog.rate))
+	platformLog.appends++
+	platformLog.mutex.Unlock()
+	time.Sleep(time.Until(start) + appendLatency)
 	return true
 }
 
-// newReference returns a cluster with one global token bucket that every
-// request reaches in no time.
-func newReference(schedule schedule) *cluster {
-	schedule.disturbances = nil
+// newGlobalBucket returns a cluster with one global token bucket that every
+// request reaches without latency.
+func newGlobalBucket(schedule schedule) *cluster {
+	schedule.faults = nil
 	schedule.processes, schedule.shards = 1, 1
 	return newCluster(schedule, nil)
 }
 
-// newStatic returns a cluster in which each process has a fixed part of the
-// rate and burst.
-func newStatic(schedule schedule) *cluster {
+// newStaticDivision returns a cluster in which each process has a fixed part of
+// the rate and burst.
+func newStaticDivision(schedule schedule) *cluster {
 	schedule.shards = schedule.processes
 	return newCluster(schedule, func(process *process, config ClientConfig) ClientConfig {
-		config.Transport = staticSource{process}
+		config.Transport = staticTransport{process}
 		config.ShardCount, config.LocalShards = 1, []int{0}
-		config.Rate = Part(config.Rate, process.index, schedule.processes)
+		config.Rate = SplitPart(config.Rate, process.index, schedule.processes)
 		return config
 	})
 }
 
-// staticSource maps a wallet's only shard to that of its process.
-type staticSource struct{ process *process }
+// staticTransport maps a client's only shard to that of its process.
+type staticTransport struct{ process *process }
 
-func (source staticSource) Draw(ctx context.Context, _ int, want, least model.Tokens) (Grant, error) {
-	return source.process.Draw(ctx, source.process.index, want, least)
+func (transport staticTransport) Draw(ctx context.Context, _ int, want, least model.Tokens) (Grant, error) {
+	return transport.process.Draw(ctx, transport.process.index, want, least)
 }
 
-func (source staticSource) Return(ctx context.Context, _ int, refund Refund) error {
-	return source.process.Return(ctx, source.process.index, refund)
+func (transport staticTransport) Return(ctx context.Context, _ int, refund Refund) error {
+	return transport.process.Return(ctx, transport.process.index, refund)
 }
 
-// newRecorded returns a cluster in which each draw and return is recorded on
+// newLoggedBucket returns a cluster in which each draw and refund is appended to
 // the log, whose order decides.
-func newRecorded(schedule schedule, logbook *logbook) *cluster {
+func newLoggedBucket(schedule schedule, platformLog *platformLog) *cluster {
 	schedule.shards = 1
 	shard := NewShard(ShardConfig{Rate: schedule.rate, Burst: schedule.burst, Start: time.Now()})
 	return newCluster(schedule, func(_ *process, config ClientConfig) ClientConfig {
-		config.Transport = recordedSource{logbook: logbook, shard: shard}
+		config.Transport = loggedTransport{platformLog: platformLog, shard: shard}
 		config.LocalShards = nil
 		return config
 	})
 }
 
-type recordedSource struct {
-	logbook *logbook
-	shard   *Shard
+type loggedTransport struct {
+	platformLog *platformLog
+	shard       *Shard
 }
 
-func (source recordedSource) Draw(ctx context.Context, _ int, want, least model.Tokens) (Grant, error) {
-	if !source.logbook.append(ctx) {
-		return Grant{}, errLost
+func (transport loggedTransport) Draw(ctx context.Context, _ int, want, least model.Tokens) (Grant, error) {
+	if !transport.platformLog.append(ctx) {
+		return Grant{}, errNoReply
 	}
-	grant, _ := source.shard.Draw(time.Now(), want, least)
+	grant, _ := transport.shard.Draw(time.Now(), want, least)
 	return grant, nil
 }
 
-func (source recordedSource) Return(ctx context.Context, _ int, refund Refund) error {
-	if !source.logbook.append(ctx) {
-		return errLost
+func (transport loggedTransport) Return(ctx context.Context, _ int, refund Refund) error {
+	if !transport.platformLog.append(ctx) {
+		return errNoReply
 	}
-	source.shard.Return(time.Now(), refund.ID, refund.Tokens, refund.Settled)
+	transport.shard.Return(time.Now(), refund.ID, refund.Tokens, refund.Settled)
 	return nil
 }
 
 const (
-	// leaseTime is how long an owner may grant after its last append, and
-	// renewal how often it appends.
-	leaseTime = 10 * time.Second
-	renewal   = 3 * time.Second
+	// leaseDuration is how long an owner may issue grants after its last append;
+	// it appends every leaseRenewal.
+	leaseDuration = 10 * time.Second
+	leaseRenewal  = 3 * time.Second
 )
 
-// newOwned returns a cluster in which one process owns the whole bucket under a
-// lease that it renews on the log.
-func newOwned(schedule schedule, logbook *logbook) *cluster {
+// newSingleOwner returns a cluster in which one process owns the whole bucket
+// under a lease that it renews on the log.
+func newSingleOwner(schedule schedule, platformLog *platformLog) *cluster {
 	schedule.shards = 1
 	cluster := newCluster(schedule, nil)
 	cluster.leased = true
-	cluster.running.Go(func() { cluster.lease(logbook, cluster.process(0)) })
+	cluster.running.Go(func() { cluster.keepLease(platformLog, cluster.process(0)) })
 	return cluster
 }
 
-// lease renews the owner's lease until it dies or the log is out, then passes
-// the bucket on once the lease has lapsed.
-func (cluster *cluster) lease(logbook *logbook, owner *process) {
+// keepLease renews the owner's lease until the owner dies or the log is out, then
+// assigns the bucket to the next process once the lease has expired.
+func (cluster *cluster) keepLease(platformLog *platformLog, owner *process) {
 	renewed := time.Now()
-	for time.Since(cluster.observer.start) < cluster.schedule.span {
-		time.Sleep(renewal)
-		if owner.await() && logbook.append(context.Background()) {
+	for time.Since(cluster.boundChecker.start) < cluster.schedule.duration {
+		time.Sleep(leaseRenewal)
+		if owner.waitWhilePaused() && platformLog.append(context.Background()) {
 			renewed = time.Now()
 			continue
 		}
-		if time.Since(renewed) < leaseTime {
+		if time.Since(renewed) < leaseDuration {
 			continue
 		}
-		cluster.assign(-1)
+		cluster.setOwner(-1)
 		owner.mutex.Lock()
 		delete(owner.shards, 0)
 		owner.mutex.Unlock()
 		next := cluster.process((owner.index + 1) % len(cluster.processes))
-		if next.await() && logbook.append(context.Background()) {
+		if next.waitWhilePaused() && platformLog.append(context.Background()) {
 			next.mutex.Lock()
 			next.shards[0] = cluster.newShard(0)
 			next.mutex.Unlock()
-			cluster.assign(next.index)
+			cluster.setOwner(next.index)
 			owner, renewed = next, time.Now()
 		}
 	}
 }
 
-// assign records which process owns the bucket.
-func (cluster *cluster) assign(index int) {
+// setOwner records which process owns the bucket, or -1 for none.
+func (cluster *cluster) setOwner(index int) {
 	cluster.mutex.Lock()
 	defer cluster.mutex.Unlock()
 	cluster.hosts[0] = index
--- a/internal/flow/quota/bound_test.go
+++ b/internal/flow/quota/bound_test.go
@@ -8,11 +8,12 @@
 	"time"
 )
 
-// schedules is the number of seeded runs of the differential test.
+// schedules is the number of seeded runs of TestBoundUnderFaults.
 const schedules = 1000
 
-// Guards against any interval in which an organisation uses more than its rate
-// and burst, whatever happens to messages, processes and limits.
+// Guards against an interval in which an organisation uses more than its rate and
+// burst, under lost and slow messages, paused and killed processes, and changed
+// limits.
 func TestBoundUnderFaults(t *testing.T) {
 	var served, refused, messages atomic.Int64
 	t.Run("schedules", func(t *testing.T) {
@@ -23,12 +24,12 @@
 					cluster := newCluster(newSchedule(seed, 20*time.Second), nil)
 					cluster.run()
 					synctest.Wait()
-					if excess := cluster.observer.excess(); excess > 0 {
+					if excess := cluster.boundChecker.excess(); excess > 0 {
 						t.Errorf("excess of %d billionths of a token", excess)
 					}
-					well, ill := cluster.tally()
-					served.Add(int64(well))
-					refused.Add(int64(ill))
+					servedCount, refusedCount := cluster.countOutcomes()
+					served.Add(int64(servedCount))
+					refused.Add(int64(refusedCount))
 					messages.Add(int64(cluster.messages))
 					logOutcome(t, cluster)
 				})
--- a/internal/flow/quota/cluster_test.go
+++ b/internal/flow/quota/cluster_test.go
@@ -12,67 +12,67 @@
 	"jacinthfront.dev/jacinthfront/internal/state/model"
 )
 
-var errLost = errors.New("no reply")
+var errNoReply = errors.New("no reply")
 
-// cluster is an organisation's shards and wallets in memory, with the disturbances of
-// a schedule. Process i hosts shard i if there is one, and a wallet.
+// cluster simulates an organisation's shards and clients in memory, with the
+// faults of a schedule. Process i hosts a client, and shard i if there is one.
 type cluster struct {
-	schedule  schedule
-	observer  *observer
-	mutex     sync.Mutex
-	random    *rand.Rand
-	processes []*process
-	rate      model.Tokens
-	burst     model.Tokens
-	// hosts names the process that hosts each shard, or -1.
+	schedule     schedule
+	boundChecker *boundChecker
+	mutex        sync.Mutex
+	random       *rand.Rand
+	processes    []*process
+	rate         model.Tokens
+	burst        model.Tokens
+	// hosts is the index of the process that hosts each shard, or -1.
 	hosts    []int
 	messages int // remote requests and replies
 	outcomes []outcome
 	running  sync.WaitGroup
-	// adapt changes the wallets of baselines.
-	adapt func(*process, ClientConfig) ClientConfig
-	// leased says that a restarted process does not host its shards again.
+	// adjustClient changes the clients' configuration in baselines.
+	adjustClient func(*process, ClientConfig) ClientConfig
+	// leased is set if a restarted process does not host its shards again.
 	leased bool
 }
 
 // process is one incarnation of a side process.
 type process struct {
-	cluster *cluster
-	index   int
-	shards  map[int]*Shard
-	wallet  *Client
-	mutex   sync.Mutex
-	dead    bool
-	paused  time.Time // until
+	cluster     *cluster
+	index       int
+	shards      map[int]*Shard
+	client      *Client
+	mutex       sync.Mutex
+	dead        bool
+	pausedUntil time.Time
 }
 
-// outcome is how one request fared.
+// outcome is the result of one request.
 type outcome struct {
 	request request
 	served  bool
 	wait    time.Duration
 }
 
-func newCluster(schedule schedule, adapt func(*process, ClientConfig) ClientConfig) *cluster {
+func newCluster(schedule schedule, adjustClient func(*process, ClientConfig) ClientConfig) *cluster {
 	cluster := &cluster{
-		schedule: schedule,
-		observer: newObserver(time.Now(), schedule.rate, schedule.burst),
-		random:   rand.New(rand.NewPCG(schedule.seed, 2)),
-		rate:     schedule.rate,
-		burst:    schedule.burst,
-		adapt:    adapt,
+		schedule:     schedule,
+		boundChecker: newBoundChecker(time.Now(), schedule.rate, schedule.burst),
+		random:       rand.New(rand.NewPCG(schedule.seed, 2)),
+		rate:         schedule.rate,
+		burst:        schedule.burst,
+		adjustClient: adjustClient,
 	}
 	for shard := range schedule.shards {
 		cluster.hosts = append(cluster.hosts, shard)
 	}
 	for index := range schedule.processes {
-		cluster.processes = append(cluster.processes, cluster.launch(index))
+		cluster.processes = append(cluster.processes, cluster.startProcess(index))
 	}
 	return cluster
 }
 
-// launch starts an incarnation of a process.
-func (cluster *cluster) launch(index int) *process {
+// startProcess starts an incarnation of a process.
+func (cluster *cluster) startProcess(index int) *process {
 	process := &process{cluster: cluster, index: index, shards: map[int]*Shard{}}
 	var own []int
 	for shard, host := range cluster.hosts {
@@ -85,26 +85,27 @@
 		Transport: process, ShardCount: len(cluster.hosts), LocalShards: own,
 		Rate: cluster.rate, Burst: cluster.burst, Seed: cluster.schedule.seed*1000 + uint64(index),
 	}
-	if cluster.adapt != nil {
-		config = cluster.adapt(process, config)
+	if cluster.adjustClient != nil {
+		config = cluster.adjustClient(process, config)
 	}
-	process.wallet = NewClient(config)
+	process.client = NewClient(config)
 	return process
 }
 
 func (cluster *cluster) newShard(shard int) *Shard {
 	return NewShard(ShardConfig{
-		Rate:  Part(cluster.rate, shard, len(cluster.hosts)),
-		Burst: Part(cluster.burst, shard, len(cluster.hosts)),
+		Rate:  SplitPart(cluster.rate, shard, len(cluster.hosts)),
+		Burst: SplitPart(cluster.burst, shard, len(cluster.hosts)),
 		Start: time.Now(),
 	})
 }
 
-// await waits while the process is paused and reports whether it lives.
-func (process *process) await() bool {
+// waitWhilePaused waits while the process is paused and reports whether it is
+// alive.
+func (process *process) waitWhilePaused() bool {
 	for {
 		process.mutex.Lock()
-		wait, dead := time.Until(process.paused), process.dead
+		wait, dead := time.Until(process.pausedUntil), process.dead
 		process.mutex.Unlock()
 		if dead || wait <= 0 {
 			return !dead
@@ -119,24 +120,24 @@
 	return process.dead
 }
 
-// chance draws from the schedule's randomness.
-func (cluster *cluster) chance(probability float64) bool { return cluster.random64() < probability }
+// chance returns true with the given probability.
+func (cluster *cluster) chance(probability float64) bool { return cluster.randomFloat() < probability }
 
-func (cluster *cluster) random64() float64 {
+func (cluster *cluster) randomFloat() float64 {
 	cluster.mutex.Lock()
 	defer cluster.mutex.Unlock()
 	return cluster.random.Float64()
 }
 
-// travel delays a message and reports whether it arrives.
-func (cluster *cluster) travel() bool {
+// deliver delays a message and reports whether it arrives.
+func (cluster *cluster) deliver() bool {
 	cluster.mutex.Lock()
 	cluster.messages++
 	delay := time.Duration((0.5 + cluster.random.Float64()) * float64(cluster.schedule.latency))
-	if cluster.random.Float64() < cluster.schedule.slow {
+	if cluster.random.Float64() < cluster.schedule.slowRate {
 		delay *= 100
 	}
-	lost := cluster.random.Float64() < cluster.schedule.loss
+	lost := cluster.random.Float64() < cluster.schedule.lossRate
 	cluster.mutex.Unlock()
 	time.Sleep(delay)
 	return !lost
@@ -148,7 +149,7 @@
 	return cluster.processes[index]
 }
 
-// host returns the process that hosts a shard.
+// host returns the process that hosts a shard, or nil.
 func (cluster *cluster) host(shard int) *process {
 	cluster.mutex.Lock()
 	defer cluster.mutex.Unlock()
@@ -158,14 +159,14 @@
 	return cluster.processes[cluster.hosts[shard]]
 }
 
-// hosted returns a shard that the process hosts.
-func (process *process) hosted(shard int) *Shard {
+// localShard returns a shard that the process hosts, or nil.
+func (process *process) localShard(shard int) *Shard {
 	process.mutex.Lock()
 	defer process.mutex.Unlock()
 	return process.shards[shard]
 }
 
-// Draw implements Source.
+// Draw implements Transport.
 func (process *process) Draw(ctx context.Context, shard int, want, least model.Tokens) (Grant, error) {
 	return call(ctx, process, shard, func(host *Shard, now time.Time) Grant {
 		grant, _ := host.Draw(now, want, least)
@@ -173,7 +174,7 @@
 	})
 }
 
-// Return implements Source.
+// Return implements Transport.
 func (process *process) Return(ctx context.Context, shard int, refund Refund) error {
 	_, err := call(ctx, process, shard, func(host *Shard, now time.Time) Grant {
 		host.Return(now, refund.ID, refund.Tokens, refund.Settled)
@@ -182,35 +183,35 @@
 	return err
 }
 
-// call runs an operation at the host of a shard. The message goes on when the
-// caller gives up, and either process may be paused or killed on the way.
+// call runs an operation at the host of a shard. The message is delivered even if
+// the caller gives up, and either process may be paused or killed meanwhile.
 func call(ctx context.Context, process *process, shard int, run func(*Shard, time.Time) Grant) (Grant, error) {
-	if !process.await() {
-		return Grant{}, errLost
+	if !process.waitWhilePaused() {
+		return Grant{}, errNoReply
 	}
-	if shard := process.hosted(shard); shard != nil {
+	if shard := process.localShard(shard); shard != nil {
 		return run(shard, time.Now()), nil
 	}
 	reply := make(chan Grant, 1)
 	go func() {
 		cluster := process.cluster
-		if !process.await() || !cluster.travel() {
+		if !process.waitWhilePaused() || !cluster.deliver() {
 			return
 		}
 		host := cluster.host(shard)
 		received := time.Now()
-		if host == nil || !host.await() {
+		if host == nil || !host.waitWhilePaused() {
 			return
 		}
 		if cluster.chance(0.5) {
 			received = time.Now()
 		}
-		hosted := host.hosted(shard)
+		hosted := host.localShard(shard)
 		if hosted == nil {
 			return
 		}
 		grant := run(hosted, received)
-		if host.await() && cluster.travel() && process.await() {
+		if host.waitWhilePaused() && cluster.deliver() && process.waitWhilePaused() {
 			reply <- grant
 		}
 	}()
@@ -218,18 +219,18 @@
 	case grant := <-reply:
 		return grant, nil
 	case <-ctx.Done():
-		process.await()
-		return Grant{}, errLost
+		process.waitWhilePaused()
+		return Grant{}, errNoReply
 	}
 }
 
-// run plays the schedule and waits until everything has ended.
+// run executes the schedule and waits until everything has ended.
 func (cluster *cluster) run() {
 	begin := time.Now()
-	for _, disturbance := range cluster.schedule.disturbances {
+	for _, injectedFault := range cluster.schedule.faults {
 		cluster.running.Go(func() {
-			time.Sleep(disturbance.at)
-			cluster.apply(disturbance)
+			time.Sleep(injectedFault.at)
+			cluster.apply(injectedFault)
 		})
 	}
 	for _, request := range cluster.schedule.requests {
@@ -238,43 +239,43 @@
 	}
 	cluster.running.Wait()
 	for _, process := range cluster.processes {
-		process.wallet.Close(context.Background())
+		process.client.Close(context.Background())
 	}
-	// Messages under way and repeated refunds end within a minute.
+	// Pending messages and repeated refunds end within a minute.
 	time.Sleep(2 * time.Minute)
 }
 
-// serve plays one request at its process, or at the next one that lives.
+// serve runs one request at its process, or at the next process that is alive.
 func (cluster *cluster) serve(request request) {
 	process := cluster.process(request.process % len(cluster.processes))
 	for index := 1; process.ended() && index < len(cluster.processes); index++ {
 		process = cluster.process((request.process + index) % len(cluster.processes))
 	}
 	arrived := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), cluster.schedule.longestWait)
+	ctx, cancel := context.WithTimeout(context.Background(), cluster.schedule.maxWait)
 	defer cancel()
 	for {
-		debit, err := process.wallet.Reserve(ctx, request.cost)
-		if beat := cluster.schedule.beat; beat > 0 {
-			time.Sleep(beat - time.Since(cluster.observer.start)%beat)
+		reservation, err := process.client.Reserve(ctx, request.cost)
+		if interval := cluster.schedule.dispatchInterval; interval > 0 {
+			time.Sleep(interval - time.Since(cluster.boundChecker.start)%interval)
 		}
-		if !process.await() {
+		if !process.waitWhilePaused() {
 			return
 		}
 		if err != nil {
 			cluster.record(outcome{request: request})
 			return
 		}
-		if process.wallet.Commit(debit) {
-			cluster.observer.use(time.Now(), request.used)
+		if process.client.Commit(reservation) {
+			cluster.boundChecker.recordUse(time.Now(), request.used)
 			cluster.record(outcome{request: request, served: true, wait: time.Since(arrived)})
 			time.Sleep(request.length)
-			if process.await() {
-				process.wallet.Settle(debit, request.used)
+			if process.waitWhilePaused() {
+				process.client.Settle(reservation, request.used)
 			}
 			return
 		}
-		process.wallet.Settle(debit, 0)
+		process.client.Settle(reservation, 0)
 	}
 }
 
@@ -284,58 +285,58 @@
 	cluster.outcomes = append(cluster.outcomes, outcome)
 }
 
-// apply plays one disturbance.
-func (cluster *cluster) apply(disturbance disturbance) {
-	switch disturbance.kind {
+// apply injects one fault.
+func (cluster *cluster) apply(injectedFault injectedFault) {
+	switch injectedFault.kind {
 	case pause:
-		process := cluster.process(disturbance.process)
+		process := cluster.process(injectedFault.process)
 		process.mutex.Lock()
-		process.paused = time.Now().Add(disturbance.length)
+		process.pausedUntil = time.Now().Add(injectedFault.length)
 		process.mutex.Unlock()
 	case kill:
-		process := cluster.process(disturbance.process)
+		process := cluster.process(injectedFault.process)
 		process.mutex.Lock()
 		process.dead = true
 		process.mutex.Unlock()
-		process.wallet.Close(context.Background())
-		time.Sleep(disturbance.length)
+		process.client.Close(context.Background())
+		time.Sleep(injectedFault.length)
 		cluster.mutex.Lock()
-		cluster.processes[disturbance.process] = cluster.launch(disturbance.process)
+		cluster.processes[injectedFault.process] = cluster.startProcess(injectedFault.process)
 		cluster.mutex.Unlock()
 	case resize:
-		cluster.resize(disturbance)
+		cluster.resize(injectedFault)
 	}
 }
 
-// resize changes the limits, which reaches each process after up to 2 s, or
-// later if it is paused.
-func (cluster *cluster) resize(disturbance disturbance) {
+// resize changes the limits. The change reaches each process after up to 2 s, or
+// later if the process is paused.
+func (cluster *cluster) resize(injectedFault injectedFault) {
 	cluster.mutex.Lock()
-	most := max(cluster.burst, disturbance.burst)
-	cluster.observer.limit(time.Now(), max(cluster.rate, disturbance.rate), most)
-	cluster.rate, cluster.burst = disturbance.rate, disturbance.burst
+	higherBurst := max(cluster.burst, injectedFault.burst)
+	cluster.boundChecker.recordLimits(time.Now(), max(cluster.rate, injectedFault.rate), higherBurst)
+	cluster.rate, cluster.burst = injectedFault.rate, injectedFault.burst
 	processes := slices.Clone(cluster.processes)
 	cluster.mutex.Unlock()
 	var group sync.WaitGroup
 	for index, process := range processes {
 		group.Go(func() {
-			time.Sleep(disturbance.length * time.Duration(index) / time.Duration(len(processes)))
-			if !process.await() {
+			time.Sleep(injectedFault.length * time.Duration(index) / time.Duration(len(processes)))
+			if !process.waitWhilePaused() {
 				return
 			}
 			for shard, hosted := range process.shards {
-				hosted.Resize(time.Now(), Part(disturbance.rate, shard, len(cluster.hosts)), Part(disturbance.burst, shard, len(cluster.hosts)))
+				hosted.Resize(time.Now(), SplitPart(injectedFault.rate, shard, len(cluster.hosts)), SplitPart(injectedFault.burst, shard, len(cluster.hosts)))
 			}
-			process.wallet.Resize(disturbance.rate, disturbance.burst)
+			process.client.Resize(injectedFault.rate, injectedFault.burst)
 		})
 	}
 	group.Wait()
-	cluster.observer.limit(time.Now(), disturbance.rate, most)
-	cluster.observer.limit(time.Now().Add(DefaultGrantLifetime+DefaultMargin), disturbance.rate, disturbance.burst)
+	cluster.boundChecker.recordLimits(time.Now(), injectedFault.rate, higherBurst)
+	cluster.boundChecker.recordLimits(time.Now().Add(DefaultGrantLifetime+DefaultGrantMargin), injectedFault.rate, injectedFault.burst)
 }
 
-// tally sums up the outcomes.
-func (cluster *cluster) tally() (served, refused int) {
+// countOutcomes counts the served and the refused requests.
+func (cluster *cluster) countOutcomes() (served, refused int) {
 	for _, outcome := range cluster.outcomes {
 		if outcome.served {
 			served++
@@ -348,8 +349,8 @@
 
 func logOutcome(t *testing.T, cluster *cluster) {
 	t.Helper()
-	served, refused := cluster.tally()
+	served, refused := cluster.countOutcomes()
 	t.Logf("seed %d: served %d, refused %d, messages %d, used %d, excess %.3f of the burst",
-		cluster.schedule.seed, served, refused, cluster.messages, cluster.observer.used(),
-		float64(cluster.observer.excess())/float64(perToken)/float64(cluster.schedule.burst))
+		cluster.schedule.seed, served, refused, cluster.messages, cluster.boundChecker.used(),
+		float64(cluster.boundChecker.excess())/float64(nanosPerToken)/float64(cluster.schedule.burst))
 }
--- a/internal/flow/quota/demand.go
+++ b/internal/flow/quota/demand.go
@@ -8,104 +8,112 @@
 )
 
 const (
-	// demandWindow is the time constant of the demand average.
-	demandWindow = time.Second
-	// prefetch is how far ahead tokens are drawn. It is well below the lifetime
-	// of a grant, so that most of what is drawn ahead is spent.
-	prefetch = 200 * time.Millisecond
-	// sharingWindow is the time constant of the average rate of service.
-	sharingWindow = 2 * time.Second
-	// minFactor bounds how pessimistic a wallet becomes about the accrual that
-	// others leave to it.
-	minFactor = 1.0 / 16
-	// The time of doubt starts at minDoubt for each waiter and doubles with each
-	// wait up to maxDoubt.
-	minDoubt = 50 * time.Millisecond
-	maxDoubt = time.Second
+	// demandTimeConstant is the time constant of the demand average.
+	demandTimeConstant = time.Second
+	// prefetchHorizon is how far in advance of expected demand tokens are drawn. It
+	// is well below the lifetime of a grant, so that most of these are spent.
+	prefetchHorizon = 200 * time.Millisecond
+	// serviceTimeConstant is the time constant of the average service rate.
+	serviceTimeConstant = 2 * time.Second
+	// minAccrualShare is the least share of a shard's accrual that a client
+	// expects to be left by other clients.
+	minAccrualShare = 1.0 / 16
+	// staleAfter starts at minStaleAfter for each waiting request and doubles
+	// with each wait for accrual up to maxStaleAfter.
+	minStaleAfter = 50 * time.Millisecond
+	maxStaleAfter = time.Second
 )
 
-// demand is the decayed sum of the tokens that requests asked for.
+// demand is an exponentially decayed sum of the tokens that were requested.
 type demand struct {
-	sum  float64
-	last model.Tokens
-	at   time.Time
+	sum         float64
+	lastRequest model.Tokens
+	updated     time.Time
 }
 
-func (demand *demand) note(now time.Time, tokens model.Tokens) {
-	demand.sum = demand.sum*decay(now.Sub(demand.at), demandWindow) + float64(tokens)
-	demand.last, demand.at = tokens, now
+func (demand *demand) record(now time.Time, tokens model.Tokens) {
+	demand.sum = demand.sum*decayFactor(now.Sub(demand.updated), demandTimeConstant) + float64(tokens)
+	demand.lastRequest, demand.updated = tokens, now
 }
 
-// ahead returns what is worth drawing ahead: nothing unless another request is
-// likely to come within the time of prefetch.
-func (demand *demand) ahead(now time.Time) model.Tokens {
-	rate := demand.sum * decay(now.Sub(demand.at), demandWindow) / demandWindow.Seconds()
-	ahead := model.Tokens(rate * prefetch.Seconds())
-	if ahead < demand.last {
+// prefetchTokens returns how many tokens to draw in advance: the demand expected
+// within prefetchHorizon, or 0 if that is less than the last request.
+func (demand *demand) prefetchTokens(now time.Time) model.Tokens {
+	rate := demand.sum * decayFactor(now.Sub(demand.updated), demandTimeConstant) / demandTimeConstant.Seconds()
+	tokens := model.Tokens(rate * prefetchHorizon.Seconds())
+	if tokens < demand.lastRequest {
 		return 0
 	}
-	return ahead
+	return tokens
 }
 
-// sharing is what a wallet learns of the competition for the tokens.
-type sharing struct {
-	// factor is the part of the accrual that others are taken to leave.
-	factor float64
-	// doubt is after what time without news a shard is asked again although its
-	// last known level is too low.
-	doubt time.Duration
-	// tokens and seconds are decayed sums over the times with waiters.
-	tokens  float64
-	seconds float64
-	at      time.Time
+// contention is what a client observes of the other clients that use the same
+// shards.
+type contention struct {
+	// accrualShare is the share of a shard's accrual that other clients are
+	// expected to leave.
+	accrualShare float64
+	// staleAfter is the age from which a shard's last known level is not trusted,
+	// so that the shard is asked again although that level was too low.
+	staleAfter time.Duration
+	// servedTokens and waitingSeconds are decayed sums over the periods in
+	// which requests waited.
+	servedTokens   float64
+	waitingSeconds float64
+	updated        time.Time
 }
 
-// begin starts a time with waiters.
-func (sharing *sharing) begin(now time.Time) {
-	sharing.at = now
-	sharing.doubt = minDoubt
-	if sharing.factor == 0 {
-		sharing.factor = 1
+// begin starts a period in which requests wait.
+func (contention *contention) begin(now time.Time) {
+	contention.updated = now
+	contention.staleAfter = minStaleAfter
+	if contention.accrualShare == 0 {
+		contention.accrualShare = 1
 	}
 }
 
-// note records that a waiter was served.
-func (sharing *sharing) note(now time.Time, tokens model.Tokens) {
-	elapsed := now.Sub(sharing.at)
-	kept := decay(elapsed, sharingWindow)
-	sharing.tokens = sharing.tokens*kept + float64(tokens)
-	sharing.seconds = sharing.seconds*kept + elapsed.Seconds()
-	sharing.at = now
-	sharing.doubt = minDoubt
+// recordServed records that a waiting request received its tokens.
+func (contention *contention) recordServed(now time.Time, tokens model.Tokens) {
+	elapsed := now.Sub(contention.updated)
+	factor := decayFactor(elapsed, serviceTimeConstant)
+	contention.servedTokens = contention.servedTokens*factor + float64(tokens)
+	contention.waitingSeconds = contention.waitingSeconds*factor + elapsed.Seconds()
+	contention.updated = now
+	contention.staleAfter = minStaleAfter
 }
 
-// wait records that the shards are taken to have too little.
-func (sharing *sharing) wait() { sharing.doubt = min(maxDoubt, 2*sharing.doubt) }
+// recordShortage records that the shards are expected to have too few tokens.
+func (contention *contention) recordShortage() {
+	contention.staleAfter = min(maxStaleAfter, 2*contention.staleAfter)
+}
 
-// learn adapts the factor to whether a draw met its estimate.
-func (sharing *sharing) learn(met bool) {
-	if met {
-		sharing.factor = min(1, sharing.factor*2)
+// adapt adjusts accrualShare to whether a draw brought at least the expected
+// tokens.
+func (contention *contention) adapt(metEstimate bool) {
+	if metEstimate {
+		contention.accrualShare = min(1, contention.accrualShare*2)
 		return
 	}
-	sharing.factor = max(minFactor, sharing.factor/2)
+	contention.accrualShare = max(minAccrualShare, contention.accrualShare/2)
 }
 
-// served returns the rate of service while requests wait: the measured one
-// once there is half a second of it, else the whole rate.
-func (sharing *sharing) served(rate model.Tokens) model.Tokens {
-	if sharing.seconds < 0.5 {
+// serviceRate returns the rate at which waiting requests are served: the
+// measured rate once it covers half a second, otherwise the configured rate.
+func (contention *contention) serviceRate(rate model.Tokens) model.Tokens {
+	if contention.waitingSeconds < 0.5 {
 		return rate
 	}
-	return max(1, min(rate, model.Tokens(sharing.tokens/sharing.seconds)))
+	return max(1, min(rate, model.Tokens(contention.servedTokens/contention.waitingSeconds)))
 }
 
-func decay(elapsed, window time.Duration) float64 {
-	return math.Exp(-max(0, elapsed.Seconds()) / window.Seconds())
+// decayFactor returns the factor by which an average with a time constant decays
+// in elapsed.
+func decayFactor(elapsed, timeConstant time.Duration) float64 {
+	return math.Exp(-max(0, elapsed.Seconds()) / timeConstant.Seconds())
 }
 
-// accrualTime returns how long tokens take to accrue.
+// accrualTime returns how long tokens take to accrue, at most RefundWindow.
 func accrualTime(tokens, rate model.Tokens) time.Duration {
 	seconds := float64(tokens) / float64(max(1, rate))
-	return time.Duration(min(seconds, Memory.Seconds()) * float64(time.Second))
+	return time.Duration(min(seconds, RefundWindow.Seconds()) * float64(time.Second))
 }
--- a/internal/flow/quota/doc.go
+++ b/internal/flow/quota/doc.go
@@ -1,6 +1,7 @@
-// Package quota limits the tokens that an organisation receives over all side
-// processes. A Shard is one part of the organisation's token bucket; a Wallet
-// is the organisation's consumer at one side process.
+// Package quota limits the tokens that an organisation uses on all side
+// processes together. The organisation's token bucket is split into shards, each
+// hosted by one side process. A Shard issues grants of tokens; a Client at each
+// side process draws grants from the shards and spends them on requests.
 //
 // # Bound
 //
@@ -9,51 +10,52 @@
 // dispatch, although it is known only when the request ends.
 //
 // The bound of an organisation is the sum of the bounds of its shards, because
-// Part splits rate and burst without remainder. For one shard with rate r and
-// burst b:
-//
-//  1. A grant is spent only while it counts as outstanding. It counts from its
-//     issue until the shard receives a settling return or until lifetime +
-//     margin after the issue. The drawer counts the lifetime from before it
-//     sent the draw, which is before the issue, and sends a settling return
-//     only after it has stopped spending the grant. The margin covers the
-//     difference in clock speed over one lifetime.
+// SplitPart divides rate and burst without remainder. For one shard with rate r
+// and burst b:
+//
+//  1. A grant is spent only while it counts as outstanding: from its issue until
+//     the shard receives a settling refund, or until lifetime + margin after the
+//     issue. The client counts the lifetime from before it sent the draw, which
+//     is before the issue, and sends a settling refund only after it has stopped
+//     spending the grant. The margin covers the difference in clock speed over
+//     one lifetime.
 //  2. Accrual keeps level + outstanding ≤ b. A draw moves tokens from level to
-//     outstanding and a return to an outstanding grant moves them back; both
+//     outstanding and a refund of an outstanding grant moves them back; both
 //     leave the sum unchanged. The end of a grant lowers the sum.
-//  3. A return to a grant that has ended raises level. Let x be the grant's
+//  3. A refund of a grant that has ended raises level. Let x be the grant's
 //     tokens less everything ever credited for it, which is at least its use.
-//     Compare with the bucket from which only x was taken. While the grant was
-//     outstanding, its sum is the same; from the grant's end E until the credit
-//     of c it is higher by c. The shard therefore remembers the least room
-//     (b − level − outstanding) over time, credits no more than the least room
-//     since E, and lowers the remembered room since E by each credit, so that
-//     later credits see the earlier ones. The compared bucket hence keeps
+//     Compare with a bucket from which only x was taken. While the grant was
+//     outstanding, the sum level + outstanding of that bucket is the same; from
+//     the grant's end E until the credit of c it is higher by c. The shard
+//     therefore records the minimum headroom (b − level − outstanding) over
+//     time, credits no more than the minimum headroom since E, and lowers the
+//     recorded headroom since E by each credit, so that later credits take
+//     earlier ones into account. Hence the compared bucket keeps
 //     level + outstanding ≤ b at every instant, with all credits included.
 //  4. In the compared bucket, what is spent in [s, e] comes from grants
 //     outstanding at s or issued in (s, e]. The former are at most
 //     outstanding(s), the latter at most level(s) + r × (e − s). Their sum is
 //     at most b + r × (e − s), and the use is at most that.
 //
-// Consequences for the drawer's freedom:
+// Consequences for what a client may do:
 //
 //   - A grant may be spent in parts, at several instants and by several
 //     requests, and a request may spend several grants: the argument counts
-//     tokens of a grant, not requests. All grants of a request must be alive
+//     tokens of a grant, not requests. All grants of a request must be valid
 //     at its dispatch.
-//   - The total returned for a grant must never exceed its tokens less the use
-//     of the requests that spent it. A return states this total, not an
-//     increment, so that a duplicate, a retry after a lost reply or a reordered
-//     return credits nothing twice.
-//   - A settling return before the end of the lifetime is safe, because step 1
-//     asks only that nothing is spent afterwards. A wallet therefore settles a
-//     grant only when each of its debits is committed or settled: between Take
-//     and dispatch a process may be paused for any time.
-//   - A return after the grant's end is safe by step 3. After the shard's
-//     memory has passed it credits nothing, which only loses tokens.
-//
-// A fresh shard issues nothing for lifetime + margin after its start, then
-// accrues from zero. Grants of its predecessor are at most b at the
+//   - The total refunded for a grant must never exceed its tokens less the use
+//     of the requests that spent it. A refund states this total, not an
+//     increment, so that duplicated, repeated or reordered refunds credit
+//     nothing twice.
+//   - A settling refund before the end of the lifetime is safe, because step 1
+//     requires only that nothing is spent afterwards. A client therefore settles
+//     a grant only when each of its reservations is committed or settled: a
+//     process may be paused for any time between Reserve and dispatch.
+//   - A refund after the grant's end is safe by step 3. After RefundWindow it
+//     credits nothing, which only loses tokens.
+//
+// A new shard issues nothing for lifetime + margin after its start, then accrues
+// from zero. The outstanding grants of its predecessor are at most b at the
 // predecessor's end and have expired by then, so the predecessor's bound up to
 // its end plus the accrual of the successor is within the bound.
 //
--- a/internal/flow/quota/refund.go
+++ b/internal/flow/quota/refund.go
@@ -7,163 +7,166 @@
 )
 
 const (
-	// refundDelay is how long returns wait, so that several debits of one grant
+	// refundBatchDelay delays refunds so that several reservations of one grant
 	// share a message.
-	refundDelay = 100 * time.Millisecond
-	// promptDelay is how long returns of unspent tokens wait. It lets the grants
-	// that are given back together share one goroutine.
-	promptDelay = time.Millisecond
-	// idleDelay is how long unused tokens are kept after the last request.
-	idleDelay = 100 * time.Millisecond
-	// A failed return is repeated after retryDelay, doubling, refundAttempts
-	// times in all. The tokens are lost after that.
-	retryDelay     = 200 * time.Millisecond
-	refundAttempts = 8
+	refundBatchDelay = 100 * time.Millisecond
+	// unspentRefundDelay delays refunds of unspent tokens, so that grants that are
+	// returned together share one goroutine.
+	unspentRefundDelay = time.Millisecond
+	// idleTimeout is how long unspent tokens are held after the last request.
+	idleTimeout = 100 * time.Millisecond
+	// A failed refund is repeated after twice refundRetryDelay, doubling with each
+	// failure, up to maxRefundAttempts attempts in all. Then its tokens are lost.
+	refundRetryDelay  = 200 * time.Millisecond
+	maxRefundAttempts = 8
 )
 
-// arm starts the timer that returns unused tokens.
-func (wallet *Client) arm(now time.Time) {
-	if len(wallet.holdings) == 0 {
+// armIdleTimer starts the timer that returns unspent tokens.
+func (client *Client) armIdleTimer(now time.Time) {
+	if len(client.held) == 0 {
 		return
 	}
-	wait := wallet.demand.at.Add(idleDelay).Sub(now)
-	for _, holding := range wallet.holdings {
-		wait = min(wait, holding.expires.Sub(now)-spendMargin)
+	wait := client.demand.updated.Add(idleTimeout).Sub(now)
+	for _, heldGrant := range client.held {
+		wait = min(wait, heldGrant.expires.Sub(now)-dispatchMargin)
 	}
-	wait = max(promptDelay, wait)
-	if wallet.sweeper == nil {
-		wallet.sweeper = time.AfterFunc(wait, wallet.sweep)
+	wait = max(unspentRefundDelay, wait)
+	if client.idleTimer == nil {
+		client.idleTimer = time.AfterFunc(wait, client.returnIdle)
 		return
 	}
-	wallet.sweeper.Reset(wait)
+	client.idleTimer.Reset(wait)
 }
 
-// sweep returns what has been held without demand, and what is about to expire.
-func (wallet *Client) sweep() {
-	wallet.mutex.Lock()
-	defer wallet.mutex.Unlock()
+// returnIdle returns all tokens after idleTimeout without a request, and
+// otherwise those that are about to expire.
+func (client *Client) returnIdle() {
+	client.mutex.Lock()
+	defer client.mutex.Unlock()
 	now := time.Now()
-	if wallet.gathering {
+	if client.collecting {
 		return
 	}
-	wallet.expire(now)
-	if now.Sub(wallet.demand.at) >= idleDelay {
-		wallet.giveBack()
+	client.returnExpired(now)
+	if now.Sub(client.demand.updated) >= idleTimeout {
+		client.returnAll()
 		return
 	}
-	wallet.arm(now)
+	client.armIdleTimer(now)
 }
 
-// expire returns what can no longer be spent. The shard still counts it as
+// returnExpired returns what can no longer be spent. The shard still counts it as
 // outstanding, so it is credited in full.
-func (wallet *Client) expire(now time.Time) {
-	for _, holding := range slices.Clone(wallet.holdings) {
-		if !holding.spendable(now) {
-			wallet.release(holding)
+func (client *Client) returnExpired(now time.Time) {
+	for _, heldGrant := range slices.Clone(client.held) {
+		if !heldGrant.spendable(now) {
+			client.returnUnspent(heldGrant)
 		}
 	}
 }
 
-// giveBack returns all tokens that have not been spent.
-func (wallet *Client) giveBack() {
-	for _, holding := range slices.Clone(wallet.holdings) {
-		wallet.release(holding)
+// returnAll returns all unspent tokens.
+func (client *Client) returnAll() {
+	for _, heldGrant := range slices.Clone(client.held) {
+		client.returnUnspent(heldGrant)
 	}
 }
 
-// release returns what is left of one grant.
-func (wallet *Client) release(released *holding) {
-	released.returned += released.left
-	wallet.views[released.shard].credited(released.left)
-	released.left = 0
-	wallet.holdings = slices.DeleteFunc(wallet.holdings, func(holding *holding) bool { return holding == released })
-	wallet.schedule(released, promptDelay)
+// returnUnspent returns the remaining tokens of one grant.
+func (client *Client) returnUnspent(released *heldGrant) {
+	released.refundTotal += released.remaining
+	client.shards[released.shard].recordReturn(released.remaining)
+	released.remaining = 0
+	client.held = slices.DeleteFunc(client.held, func(heldGrant *heldGrant) bool { return heldGrant == released })
+	client.queueRefund(released, unspentRefundDelay)
 }
 
-// schedule queues a return for a grant.
-func (wallet *Client) schedule(holding *holding, delay time.Duration) {
-	view := &wallet.views[holding.shard]
-	if !holding.queued {
-		holding.queued = true
-		view.refunds = append(view.refunds, holding)
+// queueRefund queues a refund for a grant.
+func (client *Client) queueRefund(heldGrant *heldGrant, delay time.Duration) {
+	shardView := &client.shards[heldGrant.shard]
+	if !heldGrant.refundQueued {
+		heldGrant.refundQueued = true
+		shardView.pendingRefunds = append(shardView.pendingRefunds, heldGrant)
 	}
-	wallet.arrange(holding.shard, delay)
+	client.scheduleRefunds(heldGrant.shard, delay)
 }
 
-// arrange makes sure that returns are sent to a shard after the delay.
-func (wallet *Client) arrange(shard int, delay time.Duration) {
-	view := &wallet.views[shard]
+// scheduleRefunds arranges for the queued refunds of a shard to be sent after the
+// delay.
+func (client *Client) scheduleRefunds(shard int, delay time.Duration) {
+	shardView := &client.shards[shard]
 	switch {
-	case view.sending:
-	case view.scheduled == nil:
-		view.scheduled = time.AfterFunc(delay, func() { wallet.send(context.Background(), shard) })
-	case delay == promptDelay:
-		view.scheduled.Reset(promptDelay)
+	case shardView.refundInFlight:
+	case shardView.refundTimer == nil:
+		shardView.refundTimer = time.AfterFunc(delay, func() { client.sendRefunds(context.Background(), shard) })
+	case delay == unspentRefundDelay:
+		shardView.refundTimer.Reset(unspentRefundDelay)
 	}
 }
 
-// send sends the queued returns of one shard.
-func (wallet *Client) send(ctx context.Context, shard int) {
+// sendRefunds sends the queued refunds of one shard.
+func (client *Client) sendRefunds(ctx context.Context, shard int) {
 	for {
-		holding, refund, ok := wallet.nextRefund(shard)
+		heldGrant, refund, ok := client.nextRefund(shard)
 		if !ok {
 			return
 		}
-		limited, cancel := context.WithTimeout(ctx, drawTimeout)
-		err := wallet.source.Return(limited, shard, refund)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		err := client.transport.Return(callCtx, shard, refund)
 		cancel()
-		if !wallet.sent(holding, refund, err) {
+		if !client.recordRefund(heldGrant, refund, err) {
 			return
 		}
 	}
 }
 
-// nextRefund picks the next return of a shard that is worth a message. It
-// reports false when there is none or another call is sending.
-func (wallet *Client) nextRefund(shard int) (*holding, Refund, bool) {
-	wallet.mutex.Lock()
-	defer wallet.mutex.Unlock()
-	view := &wallet.views[shard]
-	if view.sending {
+// nextRefund returns the next refund of a shard that still has an effect. It
+// returns false if there is none or another call is sending.
+func (client *Client) nextRefund(shard int) (*heldGrant, Refund, bool) {
+	client.mutex.Lock()
+	defer client.mutex.Unlock()
+	shardView := &client.shards[shard]
+	if shardView.refundInFlight {
 		return nil, Refund{}, false
 	}
 	now := time.Now()
-	for len(view.refunds) > 0 {
-		holding := view.refunds[0]
-		view.refunds = view.refunds[1:]
-		holding.queued = false
-		if holding.returned > holding.sent && now.Sub(holding.expires) < Memory {
-			view.sending = true
-			return holding, Refund{
-				ID:          holding.grant.ID,
-				Incarnation: holding.grant.Incarnation,
-				Tokens:      holding.returned,
-				Settled:     holding.finished(),
+	for len(shardView.pendingRefunds) > 0 {
+		heldGrant := shardView.pendingRefunds[0]
+		shardView.pendingRefunds = shardView.pendingRefunds[1:]
+		heldGrant.refundQueued = false
+		if heldGrant.refundTotal > heldGrant.acknowledged && now.Sub(heldGrant.expires) < RefundWindow {
+			shardView.refundInFlight = true
+			return heldGrant, Refund{
+				ID:          heldGrant.grant.ID,
+				Incarnation: heldGrant.grant.Incarnation,
+				Tokens:      heldGrant.refundTotal,
+				Settled:     heldGrant.exhausted(),
 			}, true
 		}
 	}
-	view.scheduled = nil
+	shardView.refundTimer = nil
 	return nil, Refund{}, false
 }
 
-// sent records the outcome of a return and reports whether to go on.
-func (wallet *Client) sent(holding *holding, refund Refund, err error) bool {
-	wallet.mutex.Lock()
-	defer wallet.mutex.Unlock()
-	view := &wallet.views[holding.shard]
-	view.sending = false
+// recordRefund records the outcome of a refund and reports whether to send the
+// next one.
+func (client *Client) recordRefund(heldGrant *heldGrant, refund Refund, err error) bool {
+	client.mutex.Lock()
+	defer client.mutex.Unlock()
+	shardView := &client.shards[heldGrant.shard]
+	shardView.refundInFlight = false
 	if err == nil {
-		holding.sent = max(holding.sent, refund.Tokens)
-		holding.attempts = 0
+		heldGrant.acknowledged = max(heldGrant.acknowledged, refund.Tokens)
+		heldGrant.failedRefunds = 0
 		return true
 	}
-	view.scheduled = nil
-	holding.attempts++
-	if holding.attempts < refundAttempts {
-		wallet.schedule(holding, retryDelay<<holding.attempts)
+	shardView.refundTimer = nil
+	heldGrant.failedRefunds++
+	if heldGrant.failedRefunds < maxRefundAttempts {
+		client.queueRefund(heldGrant, refundRetryDelay<<heldGrant.failedRefunds)
 	}
-	if len(view.refunds) > 0 {
-		wallet.arrange(holding.shard, retryDelay)
+	if len(shardView.pendingRefunds) > 0 {
+		client.scheduleRefunds(heldGrant.shard, refundRetryDelay)
 	}
 	return false
 }
--- a/internal/flow/quota/shard.go
+++ b/internal/flow/quota/shard.go
@@ -8,84 +8,85 @@
 )
 
 const (
-	// DefaultGrantLifetime is how long a drawer may spend a grant. It is long enough
-	// to gather tokens from several failure domains, and short enough that the
-	// tokens of a killed drawer are missing for less than a second.
+	// DefaultGrantLifetime is how long a client may spend a grant. It is long
+	// enough to collect tokens from several failure domains, and short enough that
+	// the tokens of a killed client are missing for less than a second.
 	DefaultGrantLifetime = 500 * time.Millisecond
-	// DefaultMargin is how much longer a shard counts a grant. It allows for
-	// clocks whose speeds differ by a fifth.
-	DefaultMargin = 100 * time.Millisecond
-	// Memory is how long a shard accepts returns for a grant that has ended. It
-	// exceeds the default request-limit of 5 min.
-	Memory = 6 * time.Minute
-	// maxRecords bounds the memory of a shard to about 2 MiB. The oldest ended
-	// grants are forgotten first; returns for them credit nothing.
-	maxRecords = 1 << 16
+	// DefaultGrantMargin is how much longer a shard counts a grant as outstanding.
+	// It allows for clocks whose speeds differ by a fifth.
+	DefaultGrantMargin = 100 * time.Millisecond
+	// RefundWindow is how long a shard accepts refunds of a grant that has ended.
+	// It exceeds the default request-limit of 5 min.
+	RefundWindow = 6 * time.Minute
+	// maxIssuedGrants limits the memory of a shard to about 2 MiB. The oldest ended
+	// grants are dropped first; refunds of them credit nothing.
+	maxIssuedGrants = 1 << 16
 	// maxBurst keeps a level in nano-tokens within an int64.
 	maxBurst model.Tokens = 9_000_000_000
 )
 
-// nanos counts billionths of a token, so that a rate in tokens per second
-// accrues whole units in each nanosecond.
-type nanos int64
+// nanoTokens counts billionths of a token, so that a rate in tokens per second
+// accrues a whole number of units in each nanosecond.
+type nanoTokens int64
 
-const perToken nanos = 1_000_000_000
+const nanosPerToken nanoTokens = 1_000_000_000
 
 // ShardConfig configures a Shard.
 type ShardConfig struct {
-	// Rate and Burst are the shard's part of the organisation's; see Part.
+	// Rate and Burst are the shard's part of the organisation's; see SplitPart.
 	Rate  model.Tokens
 	Burst model.Tokens
-	// Lifetime and Margin default to DefaultLifetime and DefaultMargin.
+	// Lifetime and Margin default to DefaultGrantLifetime and DefaultGrantMargin.
 	Lifetime time.Duration
 	Margin   time.Duration
 	// Start is when the hosting process began to host the shard.
 	Start time.Time
 }
 
-// Grant is the answer of a shard to a draw. An empty answer has no tokens.
+// Grant is a shard's reply to a draw. Tokens is 0 if nothing is granted.
 type Grant struct {
 	ID uint64
-	// Incarnation names the process that issued the grant. A Source sets it;
-	// a Shard leaves it 0.
+	// Incarnation identifies the process that issued the grant. A Transport sets
+	// it; a Shard leaves it 0.
 	Incarnation uint64
 	Tokens      model.Tokens
 	// Level is what the shard has left.
 	Level model.Tokens
-	// Lifetime counts from before the drawer sent its request.
+	// Lifetime is how long the grant may be spent, counted from before the client
+	// sent the draw.
 	Lifetime time.Duration
-	// RetryAfter is set when nothing is granted: the time until the least
-	// amount has accrued if nobody else draws.
+	// RetryAfter is set when nothing is granted: the time until the least amount
+	// has accrued if no other client draws.
 	RetryAfter time.Duration
 }
 
-// Shard is one part of an organisation's token bucket. Its methods may be
-// called concurrently. Times before the latest one seen count as the latest.
+// Shard is one part of an organisation's token bucket. Its methods may be called
+// concurrently. A time earlier than the latest one passed counts as the latest.
 type Shard struct {
-	mutex    sync.Mutex
-	start    time.Time
-	lifetime time.Duration
-	hold     time.Duration
+	mutex        sync.Mutex
+	start        time.Time
+	lifetime     time.Duration
+	grantTimeout time.Duration
 
-	rate        nanos // per nanosecond, which equals tokens per second
-	burst       nanos
-	level       nanos
-	outstanding nanos
-	at          time.Duration // since start; the instant of level and outstanding
+	rate        nanoTokens // per nanosecond, which equals tokens per second
+	burst       nanoTokens
+	level       nanoTokens
+	outstanding nanoTokens
+	updated     time.Duration // since start; the time of level and outstanding
 
-	records []record // by issue; the id of records[0] is first
-	first   uint64
-	live    int // no record before this index is outstanding
-	history history
-	noted   time.Duration // of the last entry of history
+	grants          []issuedGrant // in order of issue; grants[0] has the id firstID
+	firstID         uint64
+	firstOpen       int // no grant before this index is outstanding
+	headroomHistory headroomHistory
+	recorded        time.Duration // time of the last entry of headroomHistory
 }
 
-// record is a grant as the shard remembers it.
-type record struct {
-	end      time.Duration // when it ended, or will end at the latest
-	tokens   model.Tokens
-	returned model.Tokens
-	open     bool
+// issuedGrant is what a shard keeps of a grant that it issued.
+type issuedGrant struct {
+	end         time.Duration // when it ended, or will end at the latest; since start
+	tokens      model.Tokens
+	refunded    model.Tokens
+	outstanding bool
 }
 
 // NewShard returns a shard that is empty and issues nothing for lifetime +
@@ -95,23 +96,23 @@
 		config.Lifetime = DefaultGrantLifetime
 	}
 	if config.Margin <= 0 {
-		config.Margin = DefaultMargin
+		config.Margin = DefaultGrantMargin
 	}
 	shard := &Shard{
-		start:    config.Start,
-		lifetime: config.Lifetime,
-		hold:     config.Lifetime + config.Margin,
-		// Ids differ between incarnations, so that a return for a grant of the
-		// predecessor is unknown here.
-		first: uint64(config.Start.UnixNano()),
+		start:        config.Start,
+		lifetime:     config.Lifetime,
+		grantTimeout: config.Lifetime + config.Margin,
+		// Ids differ between incarnations, so that this shard does not recognise
+		// grants issued by its predecessor.
+		firstID: uint64(config.Start.UnixNano()),
 	}
-	shard.rate, shard.burst = limits(config.Rate, config.Burst)
+	shard.rate, shard.burst = nanoLimits(config.Rate, config.Burst)
 	return shard
 }
 
-// Part returns part index of count of a rate or burst. The parts add up to
-// total.
-func Part(total model.Tokens, index, count int) model.Tokens {
+// SplitPart returns part index, from 0, of a rate or burst that is divided into
+// count parts. The parts add up to total.
+func SplitPart(total model.Tokens, index, count int) model.Tokens {
 	parts := model.Tokens(count)
 	part := total / parts
 	if model.Tokens(index) < total%parts {
@@ -120,177 +121,179 @@
 	return part
 }
 
-// Draw grants up to want tokens. It grants nothing if fewer than least are
-// available and then says when to come back. A least above the burst counts as
-// the burst.
+// Draw grants up to want tokens and reports whether it granted any. If fewer than
+// least are available, it grants nothing and sets RetryAfter. A least above the
+// burst counts as the burst.
 func (shard *Shard) Draw(now time.Time, want, least model.Tokens) (Grant, bool) {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
 	shard.advance(now)
-	least = max(1, min(least, model.Tokens(shard.burst/perToken)))
-	available := model.Tokens(shard.level / perToken)
+	least = max(1, min(least, model.Tokens(shard.burst/nanosPerToken)))
+	available := model.Tokens(shard.level / nanosPerToken)
 	granted := min(want, available)
-	if granted < least || len(shard.records) >= maxRecords {
+	if granted < least || len(shard.grants) >= maxIssuedGrants {
 		return Grant{Level: available, Lifetime: shard.lifetime, RetryAfter: shard.retryAfter(least)}, false
 	}
-	shard.level -= nanos(granted) * perToken
-	shard.outstanding += nanos(granted) * perToken
-	id := shard.first + uint64(len(shard.records))
-	shard.records = append(shard.records, record{end: shard.at + shard.hold, tokens: granted, open: true})
+	shard.level -= nanoTokens(granted) * nanosPerToken
+	shard.outstanding += nanoTokens(granted) * nanosPerToken
+	id := shard.firstID + uint64(len(shard.grants))
+	shard.grants = append(shard.grants, issuedGrant{end: shard.updated + shard.grantTimeout, tokens: granted, outstanding: true})
 	return Grant{ID: id, Tokens: granted, Level: available - granted, Lifetime: shard.lifetime}, true
 }
 
-// Return gives tokens of a grant back and returns how many of them are
-// credited. tokens is the total returned for this grant so far, so that a
-// repeated return credits nothing. settled says that nothing of the grant will
-// be spent any more, which ends its time as outstanding.
+// Return refunds tokens of a grant and returns how many of them are credited.
+// tokens is the total refunded for this grant so far, so that a repeated refund
+// credits nothing. settled states that nothing of the grant will be spent any
+// more, which ends its time as outstanding.
 func (shard *Shard) Return(now time.Time, id uint64, tokens model.Tokens, settled bool) model.Tokens {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
 	shard.advance(now)
-	index := id - shard.first
-	if id < shard.first || index >= uint64(len(shard.records)) {
+	index := id - shard.firstID
+	if id < shard.firstID || index >= uint64(len(shard.grants)) {
 		return 0
 	}
-	record := &shard.records[index]
-	fresh := max(0, min(tokens, record.tokens)-record.returned)
-	record.returned += fresh
-	if !record.open {
-		return shard.creditLate(record.end, fresh)
+	issued := &shard.grants[index]
+	newlyRefunded := max(0, min(tokens, issued.tokens)-issued.refunded)
+	issued.refunded += newlyRefunded
+	if !issued.outstanding {
+		return shard.creditLateRefund(issued.end, newlyRefunded)
 	}
-	shard.outstanding -= nanos(fresh) * perToken
-	shard.level += nanos(fresh) * perToken
+	shard.outstanding -= nanoTokens(newlyRefunded) * nanosPerToken
+	shard.level += nanoTokens(newlyRefunded) * nanosPerToken
 	if settled {
-		shard.finish(record)
+		shard.endGrant(issued)
 	}
-	return fresh
+	return newlyRefunded
 }
 
-// Resize changes rate and burst. Levels above the new burst are cut; grants
+// Resize changes rate and burst. A level above the new burst is cut; grants
 // already issued stay valid.
 func (shard *Shard) Resize(now time.Time, rate, burst model.Tokens) {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
 	shard.advance(now)
-	shard.note()
-	shard.rate, shard.burst = limits(rate, burst)
+	shard.recordHeadroom()
+	shard.rate, shard.burst = nanoLimits(rate, burst)
 	shard.level = min(shard.level, max(0, shard.burst-shard.outstanding))
 }
 
-// Level returns the tokens available and those outstanding.
+// Level returns the available tokens and the outstanding ones.
 func (shard *Shard) Level(now time.Time) (level, outstanding model.Tokens) {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
 	shard.advance(now)
-	return model.Tokens(shard.level / perToken), model.Tokens(shard.outstanding / perToken)
+	return model.Tokens(shard.level / nanosPerToken), model.Tokens(shard.outstanding / nanosPerToken)
 }
 
-// creditLate credits a return for a grant that ended at end, as far as the
-// tokens would have fitted since.
-func (shard *Shard) creditLate(end time.Duration, tokens model.Tokens) model.Tokens {
-	if shard.at-end > Memory {
+// creditLateRefund credits a refund of a grant that ended at end, as far as the
+// headroom since then allows.
+func (shard *Shard) creditLateRefund(end time.Duration, tokens model.Tokens) model.Tokens {
+	if shard.updated-end > RefundWindow {
 		return 0
 	}
-	room := min(shard.room(), shard.history.least(end))
-	credited := min(tokens, model.Tokens(max(0, room)/perToken))
+	headroom := min(shard.headroom(), shard.headroomHistory.minSince(end))
+	credited := min(tokens, model.Tokens(max(0, headroom)/nanosPerToken))
 	if credited > 0 {
-		shard.history.lower(end, nanos(credited)*perToken)
-		shard.level += nanos(credited) * perToken
+		shard.headroomHistory.reduceSince(end, nanoTokens(credited)*nanosPerToken)
+		shard.level += nanoTokens(credited) * nanosPerToken
 	}
 	return credited
 }
 
-// advance ends expired grants in order and accrues up to now.
+// advance ends expired grants in order and accrues tokens up to now.
 func (shard *Shard) advance(now time.Time) {
-	at := max(shard.at, now.Sub(shard.start))
-	for shard.live < len(shard.records) {
-		record := &shard.records[shard.live]
-		if record.open {
-			if record.end > at {
+	at := max(shard.updated, now.Sub(shard.start))
+	for shard.firstOpen < len(shard.grants) {
+		issued := &shard.grants[shard.firstOpen]
+		if issued.outstanding {
+			if issued.end > at {
 				break
 			}
-			shard.accrue(record.end)
-			shard.finish(record)
+			shard.accrue(issued.end)
+			shard.endGrant(issued)
 		}
-		shard.live++
+		shard.firstOpen++
 	}
 	shard.accrue(at)
-	shard.forget()
+	shard.dropOldGrants()
 }
 
-// accrue adds what accrues until the given instant, as far as there is room.
+// accrue adds the tokens that accrue until an instant, as far as there is
+// headroom.
 func (shard *Shard) accrue(until time.Duration) {
-	elapsed := nanos(until - max(shard.at, shard.hold))
-	shard.at = max(shard.at, until)
-	room := shard.room()
-	if elapsed <= 0 || room <= 0 || shard.rate == 0 {
+	elapsed := nanoTokens(until - max(shard.updated, shard.grantTimeout))
+	shard.updated = max(shard.updated, until)
+	headroom := shard.headroom()
+	if elapsed <= 0 || headroom <= 0 || shard.rate == 0 {
 		return
 	}
-	if elapsed > room/shard.rate {
-		shard.level += room
+	if elapsed > headroom/shard.rate {
+		shard.level += headroom
 		return
 	}
 	shard.level += elapsed * shard.rate
 }
 
-// finish ends a grant's time as outstanding. The room has a local minimum at
-// this instant, so it is noted.
-func (shard *Shard) finish(record *record) {
-	shard.note()
-	shard.outstanding -= nanos(record.tokens-record.returned) * perToken
-	record.open = false
-	record.end = shard.noted
+// endGrant ends a grant's time as outstanding. The headroom has a local minimum
+// at this instant, so it is recorded.
+func (shard *Shard) endGrant(issued *issuedGrant) {
+	shard.recordHeadroom()
+	shard.outstanding -= nanoTokens(issued.tokens-issued.refunded) * nanosPerToken
+	issued.outstanding = false
+	issued.end = shard.recorded
 }
 
-// note remembers the room. Notes differ in time by at least a nanosecond, so
-// that a late return can tell those since the end of its grant.
-func (shard *Shard) note() {
-	shard.noted = max(shard.noted+1, shard.at)
-	shard.history.note(shard.noted, shard.room())
+// recordHeadroom records the headroom. Two entries differ in time by at least a
+// nanosecond, so that a late refund can identify those since the end of its grant.
+func (shard *Shard) recordHeadroom() {
+	shard.recorded = max(shard.recorded+1, shard.updated)
+	shard.headroomHistory.record(shard.recorded, shard.headroom())
 }
 
-// forget drops ended grants for which no return can be credited any more.
-func (shard *Shard) forget() {
-	oldest := shard.at - Memory
-	for len(shard.records) > 0 {
-		record := shard.records[0]
-		useful := record.returned < record.tokens && record.end >= oldest && len(shard.records) < maxRecords
-		if record.open || useful {
+// dropOldGrants drops ended grants for which no refund can be credited any more.
+func (shard *Shard) dropOldGrants() {
+	oldest := shard.updated - RefundWindow
+	for len(shard.grants) > 0 {
+		issued := shard.grants[0]
+		refundable := issued.refunded < issued.tokens && issued.end >= oldest && len(shard.grants) < maxIssuedGrants
+		if issued.outstanding || refundable {
 			break
 		}
-		shard.records = shard.records[1:]
-		shard.first++
-		shard.live = max(0, shard.live-1)
+		shard.grants = shard.grants[1:]
+		shard.firstID++
+		shard.firstOpen = max(0, shard.firstOpen-1)
 	}
-	shard.history.forget(oldest)
+	shard.headroomHistory.dropBefore(oldest)
 }
 
-// retryAfter returns when the level reaches least if nobody else draws.
+// retryAfter returns the time until the level reaches least if no other client
+// draws.
 func (shard *Shard) retryAfter(least model.Tokens) time.Duration {
 	if shard.rate == 0 {
-		return Memory
+		return RefundWindow
 	}
-	missing, room := nanos(least)*perToken-shard.level, shard.room()
-	at := max(shard.at, shard.hold)
-	for index := shard.live; room < missing && index < len(shard.records); index++ {
-		record := shard.records[index]
-		if !record.open {
+	missing, headroom := nanoTokens(least)*nanosPerToken-shard.level, shard.headroom()
+	at := max(shard.updated, shard.grantTimeout)
+	for index := shard.firstOpen; headroom < missing && index < len(shard.grants); index++ {
+		issued := shard.grants[index]
+		if !issued.outstanding {
 			continue
 		}
-		if elapsed := nanos(record.end - at); elapsed > 0 {
-			gain := room
-			if elapsed <= room/shard.rate {
+		if elapsed := nanoTokens(issued.end - at); elapsed > 0 {
+			gain := headroom
+			if elapsed <= headroom/shard.rate {
 				gain = elapsed * shard.rate
 			}
-			missing, room, at = missing-gain, room-gain, record.end
+			missing, headroom, at = missing-gain, headroom-gain, issued.end
 		}
-		room += nanos(record.tokens-record.returned) * perToken
+		headroom += nanoTokens(issued.tokens-issued.refunded) * nanosPerToken
 	}
-	return at - shard.at + time.Duration((max(0, missing)+shard.rate-1)/shard.rate) + 1
+	return at - shard.updated + time.Duration((max(0, missing)+shard.rate-1)/shard.rate) + 1
 }
 
-func (shard *Shard) room() nanos { return shard.burst - shard.level - shard.outstanding }
+func (shard *Shard) headroom() nanoTokens { return shard.burst - shard.level - shard.outstanding }
 
-func limits(rate, burst model.Tokens) (nanos, nanos) {
-	return nanos(max(0, rate)), nanos(max(0, min(burst, maxBurst))) * perToken
+func nanoLimits(rate, burst model.Tokens) (nanoTokens, nanoTokens) {
+	return nanoTokens(max(0, rate)), nanoTokens(max(0, min(burst, maxBurst))) * nanosPerToken
 }
--- a/internal/flow/quota/static.go
+++ b/internal/flow/quota/static.go
@@ -8,36 +8,37 @@
 )
 
 // StaticLimiter divides rates and bursts evenly over the entry instances, each of
-// which limits by itself. It is the baseline for shards and grants.
+// which enforces its part alone. It is the baseline to which shards and grants
+// are compared.
 type StaticLimiter struct {
 	mutex   sync.Mutex
-	buckets map[string]*staticBucket
+	buckets map[string]*instanceBucket
 }
 
-// staticBucket is one instance's part of an organisation's rate.
-type staticBucket struct {
-	level float64
-	last  time.Time
+// instanceBucket is one instance's part of an organisation's token bucket.
+type instanceBucket struct {
+	tokens  float64
+	updated time.Time
 }
 
-// NewStaticLimiter returns a Static with full buckets.
-func NewStaticLimiter() *StaticLimiter { return &StaticLimiter{buckets: map[string]*staticBucket{}} }
+// NewStaticLimiter returns a StaticLimiter with full buckets.
+func NewStaticLimiter() *StaticLimiter { return &StaticLimiter{buckets: map[string]*instanceBucket{}} }
 
-// Take takes tokens, or returns how long they take to accrue.
-func (static *StaticLimiter) Take(now time.Time, instances int, organisation model.OrganisationSpec, tokens model.Tokens) (time.Duration, bool) {
-	static.mutex.Lock()
-	defer static.mutex.Unlock()
+// Take takes tokens, or returns how long the missing tokens take to accrue.
+func (staticLimiter *StaticLimiter) Take(now time.Time, instances int, organisation model.OrganisationSpec, tokens model.Tokens) (time.Duration, bool) {
+	staticLimiter.mutex.Lock()
+	defer staticLimiter.mutex.Unlock()
 	rate, burst := float64(organisation.Rate)/float64(instances), float64(organisation.Burst)/float64(instances)
-	bucket, ok := static.buckets[organisation.Name]
+	bucket, ok := staticLimiter.buckets[organisation.Name]
 	if !ok {
-		bucket = &staticBucket{level: burst, last: now}
-		static.buckets[organisation.Name] = bucket
+		bucket = &instanceBucket{tokens: burst, updated: now}
+		staticLimiter.buckets[organisation.Name] = bucket
 	}
-	bucket.level = min(burst, bucket.level+now.Sub(bucket.last).Seconds()*rate)
-	bucket.last = now
-	if missing := float64(tokens) - bucket.level; missing > 0 {
+	bucket.tokens = min(burst, bucket.tokens+now.Sub(bucket.updated).Seconds()*rate)
+	bucket.updated = now
+	if missing := float64(tokens) - bucket.tokens; missing > 0 {
 		return time.Duration(missing / rate * float64(time.Second)), false
 	}
-	bucket.level -= float64(tokens)
+	bucket.tokens -= float64(tokens)
 	return 0, true
 }
--- a/internal/flow/quota/static_test.go
+++ b/internal/flow/quota/static_test.go
@@ -24,9 +24,9 @@
 		{"a part has accrued", 500 * time.Millisecond, 50, true, 0},
 		{"the burst bounds the level", time.Hour, 201, false, 10 * time.Millisecond},
 	}
-	static := NewStaticLimiter()
+	staticLimiter := NewStaticLimiter()
 	for _, test := range tests {
-		wait, ok := static.Take(start.Add(test.after), 3, organisation, test.tokens)
+		wait, ok := staticLimiter.Take(start.Add(test.after), 3, organisation, test.tokens)
 		if ok != test.want || wait != test.wait {
 			t.Errorf("%s: %v, %v", test.name, wait, ok)
 		}
