--- a/internal/flow/dedup/dedup_test.go
+++ b/internal/flow/dedup/dedup_test.go
@@ -14,35 +14,35 @@
 
 var start = time.Unix(1000, 0)
 
-// play calls the methods that a script names and returns their answers.
-func play(records *Attempts, script string) string {
+// runScript calls the method of each step in a script and returns the results.
+func runScript(attempts *Attempts, script string) string {
 	attempt := Attempt{"r", 1}
-	var answers []string
+	var results []string
 	for _, step := range strings.Fields(script) {
-		var answer any
+		var result any
 		switch step {
 		case "begin":
-			answer = records.Register(attempt, "oak", AtMostOnce)
+			result = attempts.Register(attempt, "oak", AtMostOnce)
 		case "dispatch":
-			answer = records.Dispatch(start, attempt, AtMostOnce)
+			result = attempts.Dispatch(start, attempt, AtMostOnce)
 		case "cancel":
-			answer = records.Cancel(start, attempt, 7)
+			result = attempts.Cancel(start, attempt, 7)
 		case "cancel-other":
-			answer = records.Cancel(start, attempt, 6)
+			result = attempts.Cancel(start, attempt, 6)
 		case "end":
-			records.End(start, attempt, fault.DidRun, 200)
+			attempts.End(start, attempt, fault.DidRun, 200)
 			continue
 		case "refuse":
-			records.End(start, attempt, fault.NotRun, 503)
+			attempts.End(start, attempt, fault.NotRun, 503)
 			continue
 		}
-		answers = append(answers, fmt.Sprint(answer))
+		results = append(results, fmt.Sprint(result))
 	}
-	return strings.Join(answers, " ")
+	return strings.Join(results, " ")
 }
 
-// Guards against an attempt that runs after Cancel was answered with not-run,
-// and against such an answer for an attempt that ran or may have.
+// Guards against an attempt that runs after Cancel returned NotRun, and against
+// NotRun for an attempt that ran or may have run.
 func TestCancelAndDispatch(t *testing.T) {
 	fresh, tombstoned, duplicate := fmt.Sprint(Accepted), fmt.Sprint(Tombstoned), fmt.Sprint(Duplicate)
 	tests := []struct{ script, want string }{
@@ -54,16 +54,16 @@
 		{"begin refuse cancel begin", fresh + " not-run " + tombstoned},
 	}
 	for _, test := range tests {
-		if got := play(NewAttempts(AttemptsConfig{Incarnation: 7}), test.script); got != test.want {
+		if got := runScript(NewAttempts(AttemptsConfig{Incarnation: 7}), test.script); got != test.want {
 			t.Errorf("%s: %s, want %s", test.script, got, test.want)
 		}
 	}
 }
 
-// Guards against a second run in another attempt of work that must run once.
+// Guards against a second attempt that runs a request which must run once.
 func TestSecondAttempt(t *testing.T) {
 	tests := []struct {
-		repeat   RunLimit
+		limit    RunLimit
 		ran      fault.Ran
 		verdict  Verdict
 		dispatch bool
@@ -76,56 +76,56 @@
 		{Unlimited, fault.DidRun, Accepted, true},
 	}
 	for _, test := range tests {
-		records := NewAttempts(AttemptsConfig{})
-		records.Register(Attempt{"r", 1}, "oak", test.repeat)
-		records.Dispatch(start, Attempt{"r", 1}, test.repeat)
-		records.End(start, Attempt{"r", 1}, test.ran, 200)
-		verdict := records.Register(Attempt{"r", 2}, "oak", test.repeat)
-		dispatch := records.Dispatch(start, Attempt{"r", 2}, test.repeat)
+		attempts := NewAttempts(AttemptsConfig{})
+		attempts.Register(Attempt{"r", 1}, "oak", test.limit)
+		attempts.Dispatch(start, Attempt{"r", 1}, test.limit)
+		attempts.End(start, Attempt{"r", 1}, test.ran, 200)
+		verdict := attempts.Register(Attempt{"r", 2}, "oak", test.limit)
+		dispatch := attempts.Dispatch(start, Attempt{"r", 2}, test.limit)
 		if verdict != test.verdict || dispatch != test.dispatch {
 			t.Errorf("%+v: verdict %v, dispatch %v", test, verdict, dispatch)
 		}
 	}
 }
 
-// Guards against tombstones that are dropped while a late attempt may arrive,
-// and against records without bound.
+// Guards against tombstones that are removed while the attempt may still arrive,
+// and against an unlimited number of records.
 func TestRecordBounds(t *testing.T) {
-	records := NewAttempts(AttemptsConfig{Incarnation: 7, Limit: 10, Hold: time.Minute})
+	attempts := NewAttempts(AttemptsConfig{Incarnation: 7, MaxFinished: 10, Retention: time.Minute})
 	for index := range 11 {
 		want := fault.NotRun
 		if index == 10 {
 			want = fault.Unknown
 		}
-		if got := records.Cancel(start, Attempt{fmt.Sprint(index), 1}, 7); got != want {
+		if got := attempts.Cancel(start, Attempt{fmt.Sprint(index), 1}, 7); got != want {
 			t.Errorf("cancel %d: %v, want %v", index, got, want)
 		}
 	}
-	if !records.Full(start.Add(time.Minute-1)) || records.Full(start.Add(time.Minute)) {
-		t.Error("the hold time is not kept")
+	if !attempts.Full(start.Add(time.Minute-1)) || attempts.Full(start.Add(time.Minute)) {
+		t.Error("the retention time is not kept")
 	}
 	for index := range 100 {
 		attempt := Attempt{fmt.Sprint("free-", index), 1}
-		records.Register(attempt, "oak", Unlimited)
-		records.Dispatch(start, attempt, Unlimited)
-		records.End(start, attempt, fault.DidRun, 200)
+		attempts.Register(attempt, "oak", Unlimited)
+		attempts.Dispatch(start, attempt, Unlimited)
+		attempts.End(start, attempt, fault.DidRun, 200)
 	}
-	if len(records.attempts) > 20 || len(records.numbers) > 20 {
-		t.Errorf("%d attempts of %d requests are held", len(records.attempts), len(records.numbers))
+	if len(attempts.attempts) > 20 || len(attempts.attemptNumbers) > 20 {
+		t.Errorf("%d attempts of %d requests are held", len(attempts.attempts), len(attempts.attemptNumbers))
 	}
 }
 
-// Guards against an outcome that is told of the wrong attempt: the one that
-// ran counts, not a later one that was refused.
+// Guards against the outcome of the wrong attempt: Lookup must return the one that
+// ran, not a later one that was refused.
 func TestLookup(t *testing.T) {
-	records := NewAttempts(AttemptsConfig{})
+	attempts := NewAttempts(AttemptsConfig{})
 	for number := range uint32(3) {
-		records.Register(Attempt{"r", number}, "oak", OncePerClaim)
+		attempts.Register(Attempt{"r", number}, "oak", OncePerClaim)
 	}
-	records.Dispatch(start, Attempt{"r", 1}, OncePerClaim)
-	records.End(start, Attempt{"r", 1}, fault.DidRun, 201)
-	records.End(start, Attempt{"r", 2}, fault.NotRun, 503)
-	record, ok := records.Lookup("r")
+	attempts.Dispatch(start, Attempt{"r", 1}, OncePerClaim)
+	attempts.End(start, Attempt{"r", 1}, fault.DidRun, 201)
+	attempts.End(start, Attempt{"r", 2}, fault.NotRun, 503)
+	record, ok := attempts.Lookup("r")
 	if !ok || record.Ran != fault.DidRun || record.Status != 201 {
 		t.Errorf("record %+v", record)
 	}
@@ -139,8 +139,8 @@
 	age       time.Duration
 }
 
-// Guards against two claimants that both believe to hold a key, and against a
-// claim that is released by another claimant, lost or held for ever.
+// Guards against two claimants that both take a key for theirs, and against a
+// claim that another claimant releases, that is lost, or that never expires.
 func TestClaimFold(t *testing.T) {
 	hash := []byte("hash")
 	tests := []struct {
@@ -161,13 +161,13 @@
 		t.Run(test.name, func(t *testing.T) {
 			claims := NewClaims(time.Hour)
 			for offset, event := range test.events {
-				holder := Claim{RequestID: event.requestID, Claimant: event.claimant}
+				claim := Claim{RequestID: event.requestID, Claimant: event.claimant}
 				var data []byte
 				switch event.kind {
 				case "claim":
-					data, _ = ClaimRecord("oak", hash, holder)
+					data, _ = ClaimRecord("oak", hash, claim)
 				case "release":
-					data, _ = ReleaseRecord("oak", hash, holder)
+					data, _ = ReleaseRecord("oak", hash, claim)
 				case "outcome":
 					data, _ = OutcomeRecord("oak", hash, event.requestID, Outcome{Status: 200, Body: []byte(event.requestID)})
 				}
@@ -178,7 +178,7 @@
 			claims.Apply(0, start, []byte{0xff})
 			got, _ := claims.FirstClaim("oak", hash)
 			if diff := cmp.Diff(test.want, got); diff != "" {
-				t.Errorf("holder (-want +got):\n%s", diff)
+				t.Errorf("claim (-want +got):\n%s", diff)
 			}
 			if _, ok := claims.FirstClaim("ash", hash); ok {
 				t.Error("another organisation holds the key")
@@ -190,8 +190,8 @@
 	}
 }
 
-// Guards against stored bodies without bound and against recent answers that
-// give way to old ones.
+// Guards against an unlimited size of stored bodies, and against recent bodies that
+// are replaced by digests before older ones.
 func TestClaimBodies(t *testing.T) {
 	claims := NewClaims(0)
 	outcome := Outcome{Status: 200, Body: bytes.Repeat([]byte("x"), MaxMemoryBody)}
@@ -207,12 +207,12 @@
 		claims.Apply(claims.NextOffset(), start, record)
 	}
 	for index := range 10 {
-		holder, _ := claims.FirstClaim("oak", []byte{byte(index)})
-		if whole := index >= 10-defaultBodies/MaxMemoryBody; holder.Outcome.Truncated == whole || whole && len(holder.Outcome.Body) != MaxMemoryBody {
-			t.Errorf("claim %d: truncated %v, %d bytes", index, holder.Outcome.Truncated, len(holder.Outcome.Body))
+		claim, _ := claims.FirstClaim("oak", []byte{byte(index)})
+		if whole := index >= 10-maxBodyBytes/MaxMemoryBody; claim.Outcome.Truncated == whole || whole && len(claim.Outcome.Body) != MaxMemoryBody {
+			t.Errorf("claim %d: truncated %v, %d bytes", index, claim.Outcome.Truncated, len(claim.Outcome.Body))
 		}
 	}
-	if claims.bodies > defaultBodies {
-		t.Errorf("%d bytes are held", claims.bodies)
+	if claims.bodyBytes > maxBodyBytes {
+		t.Errorf("%d bytes are held", claims.bodyBytes)
 	}
 }
--- a/internal/flow/dedup/record.go
+++ b/internal/flow/dedup/encode.go
@@ -8,28 +8,28 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// ClaimRecord encodes a claim for the log.
-func ClaimRecord(organisation string, hash []byte, holder Claim) ([]byte, error) {
+// ClaimRecord encodes a claim as a log record.
+func ClaimRecord(organisation string, hash []byte, claim Claim) ([]byte, error) {
 	return proto.Marshal(&wirepb.ClaimRecord{Body: &wirepb.ClaimRecord_Claim{Claim: &wirepb.Claim{
-		Organisation: organisation, KeyHash: hash, RequestDigest: holder.RequestDigest,
-		RequestId: holder.RequestID, Claimant: holder.Claimant,
+		Organisation: organisation, KeyHash: hash, RequestDigest: claim.RequestDigest,
+		RequestId: claim.RequestID, Claimant: claim.Claimant,
 	}}})
 }
 
-// ReleaseRecord encodes that the claim of a claimant is void since its request
-// did not run. It has status 0 and the claimant as its body, because another
-// claimant may hold the key with the same request id.
-func ReleaseRecord(organisation string, hash []byte, holder Claim) ([]byte, error) {
+// ReleaseRecord encodes the release of a claim whose request did not run, as a log
+// record. It is an outcome with status 0 whose body is the claimant, because
+// another claimant may have claimed the key with the same request id.
+func ReleaseRecord(organisation string, hash []byte, claim Claim) ([]byte, error) {
 	return proto.Marshal(&wirepb.ClaimRecord{Body: &wirepb.ClaimRecord_Outcome{Outcome: &wirepb.ClaimOutcome{
-		Organisation: organisation, KeyHash: hash, RequestId: holder.RequestID, Body: []byte(holder.Claimant),
+		Organisation: organisation, KeyHash: hash, RequestId: claim.RequestID, Body: []byte(claim.Claimant),
 	}}})
 }
 
-// OutcomeRecord encodes the outcome of a claim for the log, with at most
-// LogBody bytes of the answer.
+// OutcomeRecord encodes the outcome of a claim as a log record. A body of more
+// than MaxLogBody bytes is replaced by its digest.
 func OutcomeRecord(organisation string, hash []byte, requestID string, outcome Outcome) ([]byte, error) {
 	if len(outcome.Body) > MaxLogBody {
-		outcome = Digested(outcome)
+		outcome = WithBodyDigest(outcome)
 	}
 	return proto.Marshal(&wirepb.ClaimRecord{Body: &wirepb.ClaimRecord_Outcome{Outcome: &wirepb.ClaimOutcome{
 		Organisation: organisation, KeyHash: hash, RequestId: requestID,
@@ -39,9 +39,9 @@
 	}}})
 }
 
-// Digested returns the outcome with its body replaced by the body's SHA-256
-// digest.
-func Digested(outcome Outcome) Outcome {
+// WithBodyDigest returns the outcome with its body replaced by the SHA-256 digest
+// of the body.
+func WithBodyDigest(outcome Outcome) Outcome {
 	digest := sha256.Sum256(outcome.Body)
 	outcome.Body, outcome.Truncated = digest[:], true
 	return outcome
--- a/internal/flow/policy/policy.go
+++ b/internal/flow/policy/policy.go
@@ -1,4 +1,7 @@
-// Package policy chooses the upstream of a request.
+// Package policy holds the routing policies of entry instances whose upstreams
+// have side processes. A Policy chooses the upstream of a request, by adapter,
+// load report and failure domain. For engines that entry instances reach
+// directly, package picker does so.
 package policy
 
 import (
@@ -12,36 +15,39 @@
 	ID            string
 	FailureDomain string
 	Half          model.Half
-	// Leaving members receive no new work.
+	// Leaving says that the upstream gets no new requests.
 	Leaving bool
 }
 
-// Request describes the work that needs an upstream.
+// Request describes a request that needs an upstream.
 type Request struct {
-	// AdapterHash is place.AdapterHash, or 0 for a plain service.
+	// AdapterHash is the result of ring.AdapterHash, or 0 for a plain service.
 	AdapterHash uint64
-	// PrefixHash identifies the beginning of the prompt, or is 0.
+	// PrefixHash is a hash of the beginning of the prompt, or 0.
 	PrefixHash uint64
 	Half       model.Half
-	// PromptTokens is the estimate of the prompt's length.
+	// PromptTokens is the estimated length of the prompt.
 	PromptTokens model.Tokens
 	// Avoid lists upstreams that are chosen only when no other is usable.
 	Avoid []string
-	// RequiredUpstream names the one upstream that may be chosen, or is empty.
+	// RequiredUpstream is the only upstream that may be chosen. It is empty if
+	// any may be.
 	RequiredUpstream string
 }
 
-// LoadReport is the part of a side process's load report that decisions need.
+// LoadReport is the part of a side process's load report that a Policy uses.
 type LoadReport struct {
 	Incarnation  uint64
 	QueuedTokens model.Tokens
 	Queued       uint32
 	Running      uint32
 	Slots        uint32
+	// FreeSlots is the number of slots without an adapter that is in use or being
+	// loaded.
 	FreeSlots    uint32
 	ExpectedWait time.Duration
-	// LoadedAdapters holds hashes of the adapters that need no load. The Policy
-	// copies it.
+	// LoadedAdapters holds the hashes of the loaded adapters. The Policy copies
+	// it.
 	LoadedAdapters []uint64
 	Draining       bool
 }
@@ -51,21 +57,24 @@
 
 // The reasons of a Decision.
 const (
-	// LowestScore means that no other candidate had an equal score.
+	// LowestScore means that no other candidate's score was within the tie
+	// margin.
 	LowestScore Reason = iota
-	// TwoChoices means that the choice fell among candidates of equal score.
+	// TwoChoices means that several candidates had equal scores, and that the
+	// one of two random ones with fewer requests in flight was chosen.
 	TwoChoices
-	// RingSearch means that the adapter's first upstream was not usable.
+	// RingSearch means that the first upstream after the adapter on the ring
+	// was not usable.
 	RingSearch
 	// Assigned means that the request allowed only this upstream.
 	Assigned
-	// Rotation means that the policy takes the upstreams in turn.
+	// Rotation means that the policy chooses the upstreams in turn.
 	Rotation
-	// LastResort means that only an upstream to avoid was usable.
+	// LastResort means that only upstreams listed in Avoid were usable.
 	LastResort
 )
 
-var reasons = [...]string{
+var reasonNames = [...]string{
 	LowestScore: "lowest-score",
 	TwoChoices:  "two-choices",
 	RingSearch:  "ring-search",
@@ -75,12 +84,13 @@
 }
 
 // String returns the reason as written in log lines.
-func (reason Reason) String() string { return reasons[reason] }
+func (reason Reason) String() string { return reasonNames[reason] }
 
-// MaxCandidates bounds the candidates of one decision.
+// MaxCandidates is the maximum number of candidates of one decision.
 const MaxCandidates = 4
 
-// Candidate is a candidate with its score in milliseconds.
+// Candidate is an upstream that a decision considered. Its score is in
+// milliseconds; the lowest one is best.
 type Candidate struct {
 	Upstream string
 	Score    float64
@@ -91,41 +101,43 @@
 type Decision struct {
 	Upstream string
 	Reason   Reason
-	// Incarnation is that of the side process when it last reported, or 0.
+	// Incarnation is the incarnation in the upstream's last load report, or 0.
 	Incarnation uint64
 
-	alternatives [MaxCandidates]Candidate
-	count        int
+	candidates     [MaxCandidates]Candidate
+	candidateCount int
 }
 
-// Candidates returns the candidates, the chosen one included.
+// Candidates returns the candidates, including the chosen one.
 func (decision *Decision) Candidates() []Candidate {
-	return decision.alternatives[:decision.count]
+	return decision.candidates[:decision.candidateCount]
 }
 
-// Policy chooses upstreams of one service. It is safe for concurrent use.
+// Policy chooses among the upstreams of one service. It is safe for concurrent
+// use.
 type Policy interface {
-	// SetMembers replaces the upstreams. The number of entry instances relates
-	// the own rate of requests to the fleet's.
+	// SetMembers replaces the upstreams. The number of entry instances is used
+	// to estimate the fleet's request rates from those of this instance.
 	SetMembers(members []Member, instances int)
-	// Choose picks an upstream and counts a send to it.
+	// Choose picks an upstream and counts the request as sent to it. It returns
+	// false if no upstream is usable.
 	Choose(now time.Time, request Request) (Decision, bool)
-	// RequestEnded says that a request sent to the upstream has ended.
+	// RequestEnded records that a request sent to the upstream has ended.
 	RequestEnded(upstream string)
-	// UpdateLoad stores a load report of the upstream.
-	UpdateLoad(now time.Time, upstream string, load LoadReport)
+	// UpdateLoad stores the upstream's newest load report.
+	UpdateLoad(now time.Time, upstream string, report LoadReport)
 }
 
-// Health says which upstreams are ejected.
+// Health reports which upstreams are ejected.
 type Health interface {
-	// Usable reports whether the upstream may get a request now.
+	// Usable reports whether a request may be sent to the upstream now.
 	Usable(upstream string) bool
-	// TryProbe says that the upstream was chosen, which takes the only probe of
-	// an ejected one. The choice stands whatever it reports.
+	// TryProbe records that the upstream was chosen. If the upstream is ejected,
+	// the request is its only probe. The result does not change the choice.
 	TryProbe(upstream string) bool
 }
 
-// NoEjection is the default Health: it ejects nothing.
+// NoEjection is the default Health. It ejects no upstream.
 type NoEjection struct{}
 
 // Usable implements Health.
--- a/internal/flow/policy/rotate.go
+++ b/internal/flow/policy/roundrobin.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// RoundRobin is the naive Policy for comparison: it takes the healthy
-// upstreams in turn and knows neither adapters nor load.
+// RoundRobin is a Policy that chooses the usable upstreams in turn, without
+// regard to adapters and load. It is the baseline for comparisons.
 type RoundRobin struct {
 	health Health
 
@@ -17,7 +17,7 @@
 	next         int
 }
 
-// NewRoundRobin returns a RoundRobin. A nil health ejects nothing.
+// NewRoundRobin returns a RoundRobin. A nil health ejects no upstream.
 func NewRoundRobin(health Health) *RoundRobin {
 	if health == nil {
 		health = NoEjection{}
@@ -36,7 +36,7 @@
 func (roundRobin *RoundRobin) Choose(_ time.Time, request Request) (Decision, bool) {
 	roundRobin.mutex.Lock()
 	defer roundRobin.mutex.Unlock()
-	var last Decision
+	var avoided Decision
 	for range roundRobin.members {
 		member := &roundRobin.members[roundRobin.next%len(roundRobin.members)]
 		roundRobin.next++
@@ -44,19 +44,19 @@
 			continue
 		}
 		decision := Decision{Upstream: member.ID, Reason: Rotation, Incarnation: roundRobin.incarnations[member.ID]}
-		decision.alternatives[0], decision.count = Candidate{Upstream: member.ID}, 1
+		decision.candidates[0], decision.candidateCount = Candidate{Upstream: member.ID}, 1
 		if !slices.Contains(request.Avoid, member.ID) {
 			roundRobin.health.TryProbe(member.ID)
 			return decision, true
 		}
-		last = decision
+		avoided = decision
 	}
-	if last.Upstream == "" {
-		return last, false
+	if avoided.Upstream == "" {
+		return avoided, false
 	}
-	last.Reason = LastResort
-	roundRobin.health.TryProbe(last.Upstream)
-	return last, true
+	avoided.Reason = LastResort
+	roundRobin.health.TryProbe(avoided.Upstream)
+	return avoided, true
 }
 
 func (roundRobin *RoundRobin) usable(member *Member, request *Request) bool {
@@ -73,8 +73,8 @@
 func (*RoundRobin) RequestEnded(string) {}
 
 // UpdateLoad implements Policy.
-func (roundRobin *RoundRobin) UpdateLoad(_ time.Time, upstream string, load LoadReport) {
+func (roundRobin *RoundRobin) UpdateLoad(_ time.Time, upstream string, report LoadReport) {
 	roundRobin.mutex.Lock()
 	defer roundRobin.mutex.Unlock()
-	roundRobin.incarnations[upstream] = load.Incarnation
+	roundRobin.incarnations[upstream] = report.Incarnation
 }
--- a/internal/flow/policy/router.go
+++ b/internal/flow/policy/router.go
@@ -9,111 +9,114 @@
 	"jacinthfront.dev/jacinthfront/internal/flow/ring"
 )
 
-// prefixes is the number of prompt prefixes remembered.
-const prefixes = 4096
+// maxRecentPrefixes is the number of prompt prefixes whose last upstream is
+// remembered.
+const maxRecentPrefixes = 4096
 
-// Router is the Policy that takes adapters' places, load and distance into
-// account.
+// Router is the Policy for upstreams that load adapters. It scores the first
+// usable upstreams after the adapter on a consistent-hash ring by their load,
+// loaded adapters and distance.
 type Router struct {
 	config Config
 
-	mutex      sync.Mutex
-	ring       *ring.Ring
-	upstreams  []upstream
-	popularity *ring.Popularity
-	instances  float64
-	generation uint64
-	random     *rand.Rand
-	prefixes   [prefixes]prefixMark
+	mutex          sync.Mutex
+	ring           *ring.Ring
+	upstreams      []upstream
+	popularity     *ring.Popularity
+	instances      float64
+	generation     uint64
+	random         *rand.Rand
+	recentPrefixes [maxRecentPrefixes]prefixChoice
 }
 
-// prefixMark remembers where a prompt prefix went last.
-type prefixMark struct {
-	prefix uint64
-	slot   uint32
+// prefixChoice is the index of the upstream that was last chosen for a prompt
+// prefix.
+type prefixChoice struct {
+	hash     uint64
+	upstream uint32
 }
 
 // New returns a Router.
 func New(config Config) (*Router, error) {
-	if err := config.complete(); err != nil {
+	if err := config.setDefaults(); err != nil {
 		return nil, err
 	}
 	return &Router{
 		config:    config,
-		ring:      ring.NewRing(config.Upstreams),
+		ring:      ring.NewRing(config.ExpectedUpstreams),
 		instances: 1,
 		random:    rand.New(rand.NewPCG(config.Seed, 0)),
 		popularity: ring.NewPopularity(ring.PopularityConfig{
-			Adapters: config.Adapters, HalfLife: config.HalfLife, Start: config.Start,
+			Adapters: config.ExpectedAdapters, HalfLife: config.PopularityHalfLife, Start: config.Start,
 		}),
 	}, nil
 }
 
-// SetMembers implements Policy. Upstreams that stay keep their place and what
-// is known of them.
+// SetMembers implements Policy. Upstreams that stay keep their index and state.
 func (router *Router) SetMembers(members []Member, instances int) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
 	router.instances = float64(max(1, instances))
 	router.generation++
 	for index := range members {
-		router.put(&members[index])
+		router.putMember(&members[index])
 	}
-	for slot := range router.upstreams {
-		if router.upstreams[slot].seen != router.generation && router.ring.Live(uint32(slot)) {
-			router.ring.Remove(router.ring.ID(uint32(slot)))
+	for index := range router.upstreams {
+		if router.upstreams[index].generation != router.generation && router.ring.Live(uint32(index)) {
+			router.ring.Remove(router.ring.ID(uint32(index)))
 		}
 	}
 }
 
-func (router *Router) put(member *Member) {
-	slot, known := router.ring.Index(member.ID)
+func (router *Router) putMember(member *Member) {
+	index, known := router.ring.Index(member.ID)
 	if !known {
-		slot = router.ring.Add(member.ID)
-		if int(slot) == len(router.upstreams) {
+		index = router.ring.Add(member.ID)
+		if int(index) == len(router.upstreams) {
 			router.upstreams = append(router.upstreams, upstream{})
 		}
-		router.upstreams[slot] = upstream{}
+		router.upstreams[index] = upstream{}
 	}
-	state := &router.upstreams[slot]
-	state.seen, state.half, state.leaving = router.generation, member.Half, member.Leaving
-	state.distance = 0
+	state := &router.upstreams[index]
+	state.generation, state.half, state.leaving = router.generation, member.Half, member.Leaving
+	state.roundTrip = 0
 	if member.FailureDomain != router.config.FailureDomain {
-		state.distance = milliseconds(router.config.Distance(member.FailureDomain))
+		state.roundTrip = milliseconds(router.config.DomainRoundTrip(member.FailureDomain))
 	}
 }
 
 // UpdateLoad implements Policy.
-func (router *Router) UpdateLoad(now time.Time, upstream string, load LoadReport) {
+func (router *Router) UpdateLoad(now time.Time, upstream string, report LoadReport) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
-	if slot, ok := router.ring.Index(upstream); ok {
-		router.upstreams[slot].report(now.UnixNano(), &load)
-		router.upstreams[slot].least = router.least(now, &load)
+	if index, ok := router.ring.Index(upstream); ok {
+		router.upstreams[index].applyReport(now.UnixNano(), &report)
+		router.upstreams[index].evictionRate = router.evictionRate(now, &report)
 	}
 }
 
-// least returns the rate of the least popular adapter that a load would evict.
-func (router *Router) least(now time.Time, load *LoadReport) float32 {
-	if len(load.LoadedAdapters) < int(load.Slots) {
+// evictionRate returns the fleet's request rate for the least popular loaded
+// adapter, which a load would evict. It is 0 while a slot has no adapter.
+func (router *Router) evictionRate(now time.Time, report *LoadReport) float32 {
+	if len(report.LoadedAdapters) < int(report.Slots) {
 		return 0
 	}
-	least := math.Inf(1)
-	for _, adapter := range load.LoadedAdapters {
-		least = min(least, router.popularity.Rate(now, adapter))
+	lowest := math.Inf(1)
+	for _, adapter := range report.LoadedAdapters {
+		lowest = min(lowest, router.popularity.Rate(now, adapter))
 	}
-	if math.IsInf(least, 1) {
+	if math.IsInf(lowest, 1) {
 		return 0
 	}
-	return float32(least * router.instances)
+	return float32(lowest * router.instances)
 }
 
 // RequestEnded implements Policy.
 func (router *Router) RequestEnded(upstream string) {
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
-	if slot, ok := router.ring.Index(upstream); ok && router.upstreams[slot].inFlight > 0 {
-		router.upstreams[slot].inFlight--
+	if index, ok := router.ring.Index(upstream); ok && router.upstreams[index].inFlight > 0 {
+		router.upstreams[index].inFlight--
 	}
 }
 
@@ -122,19 +125,19 @@
 	router.mutex.Lock()
 	defer router.mutex.Unlock()
 	if request.RequiredUpstream != "" {
-		return router.assign(now, &request)
+		return router.chooseRequired(now, &request)
 	}
-	search := router.search(now, &request)
-	search.walk()
+	search := router.newSearch(now, &request)
+	search.walkRing()
 	if search.count == 0 {
-		search.scan()
+		search.scanAll()
 	}
 	if search.count == 0 && len(request.Avoid) > 0 {
 		search.lastResort = true
-		search.walk()
+		search.walkRing()
 	}
 	if search.count == 0 && search.lastResort {
-		search.scan()
+		search.scanAll()
 	}
 	if search.count == 0 {
 		return Decision{}, false
@@ -142,87 +145,90 @@
 	return router.decide(&search), true
 }
 
-// assign returns the one upstream that the request allows.
-func (router *Router) assign(now time.Time, request *Request) (Decision, bool) {
-	slot, ok := router.ring.Index(request.RequiredUpstream)
-	if !ok || !router.usable(now, slot, request) {
+// chooseRequired chooses the request's required upstream if it is usable.
+func (router *Router) chooseRequired(now time.Time, request *Request) (Decision, bool) {
+	index, ok := router.ring.Index(request.RequiredUpstream)
+	if !ok || !router.usable(now, index, request) {
 		return Decision{}, false
 	}
-	state := &router.upstreams[slot]
+	state := &router.upstreams[index]
 	decision := Decision{Upstream: request.RequiredUpstream, Reason: Assigned, Incarnation: state.incarnation}
 	score, loaded := state.score(now.UnixNano(), &router.config, request)
-	decision.alternatives[0], decision.count = Candidate{request.RequiredUpstream, score, loaded}, 1
-	state.send(now.UnixNano(), request)
+	decision.candidates[0], decision.candidateCount = Candidate{request.RequiredUpstream, score, loaded}, 1
+	state.recordSend(now.UnixNano(), request)
 	router.config.Health.TryProbe(request.RequiredUpstream)
 	return decision, true
 }
 
-func (router *Router) usable(now time.Time, slot uint32, request *Request) bool {
-	return router.upstreams[slot].usable(now.UnixNano(), request.Half) && router.config.Health.Usable(router.ring.ID(slot))
+func (router *Router) usable(now time.Time, index uint32, request *Request) bool {
+	return router.upstreams[index].usable(now.UnixNano(), request.Half) && router.config.Health.Usable(router.ring.ID(index))
 }
 
-// replicas returns how many upstreams should serve the request's adapter.
-func (router *Router) replicas(now time.Time, request *Request) int {
+// replicaCount counts the request and returns how many upstreams should serve
+// its adapter.
+func (router *Router) replicaCount(now time.Time, request *Request) int {
 	if request.AdapterHash == 0 {
 		return MaxCandidates
 	}
 	rate := router.popularity.CountRequest(now, request.AdapterHash) * router.instances
-	return ring.ReplicaCount(rate, router.config.ReplicaRate, MaxCandidates)
+	return ring.ReplicaCount(rate, router.config.RatePerReplica, MaxCandidates)
 }
 
 // decide scores the candidates and chooses one of them.
 func (router *Router) decide(search *search) Decision {
-	decision := Decision{count: search.count}
+	decision := Decision{candidateCount: search.count}
 	best := 0
-	for index, slot := range search.slots[:search.count] {
-		decision.alternatives[index] = router.rate(search, index, slot)
-		if decision.alternatives[index].Score < decision.alternatives[best].Score {
-			best = index
+	for rank, index := range search.candidates[:search.count] {
+		decision.candidates[rank] = router.scoreCandidate(search, rank, index)
+		if decision.candidates[rank].Score < decision.candidates[best].Score {
+			best = rank
 		}
 	}
-	chosen, several := router.choose(search, &decision, best)
-	slot := search.slots[chosen]
-	decision.Upstream = decision.alternatives[chosen].Upstream
-	decision.Incarnation = router.upstreams[slot].incarnation
+	chosen, tied := router.breakTie(search, &decision, best)
+	index := search.candidates[chosen]
+	decision.Upstream = decision.candidates[chosen].Upstream
+	decision.Incarnation = router.upstreams[index].incarnation
 	switch {
 	case search.lastResort:
 		decision.Reason = LastResort
-	case search.homeless:
+	case search.firstUnusable:
 		decision.Reason = RingSearch
-	case several:
+	case tied:
 		decision.Reason = TwoChoices
 	}
-	router.upstreams[slot].send(search.now.UnixNano(), &search.request)
+	router.upstreams[index].recordSend(search.now.UnixNano(), &search.request)
 	router.config.Health.TryProbe(decision.Upstream)
 	if prefix := search.request.PrefixHash; prefix != 0 {
-		router.prefixes[prefix%prefixes] = prefixMark{prefix, slot}
+		router.recentPrefixes[prefix%maxRecentPrefixes] = prefixChoice{prefix, index}
 	}
 	return decision
 }
 
-// rate returns a candidate with its score.
-func (router *Router) rate(search *search, index int, slot uint32) Candidate {
+// scoreCandidate returns the candidate that a search found at a rank, counted
+// from 0, with its score.
+func (router *Router) scoreCandidate(search *search, rank int, index uint32) Candidate {
 	request := &search.request
-	score, loaded := router.upstreams[slot].score(search.now.UnixNano(), &router.config, request)
-	if index >= search.replicas {
+	score, loaded := router.upstreams[index].score(search.now.UnixNano(), &router.config, request)
+	if rank >= search.replicas {
 		score += router.config.Weights.Overflow
 	}
-	mark := router.prefixes[request.PrefixHash%prefixes]
-	if request.PrefixHash != 0 && mark.prefix == request.PrefixHash && mark.slot == slot {
-		score -= router.config.Weights.Prefix
+	recent := router.recentPrefixes[request.PrefixHash%maxRecentPrefixes]
+	if request.PrefixHash != 0 && recent.hash == request.PrefixHash && recent.upstream == index {
+		score -= router.config.Weights.SharedPrefix
 	}
-	return Candidate{Upstream: router.ring.ID(slot), Score: score, Loaded: loaded}
+	return Candidate{Upstream: router.ring.ID(index), Score: score, Loaded: loaded}
 }
 
-// choose takes two candidates at random among those whose scores equal the
-// best, and of these the one with less in flight.
-func (router *Router) choose(search *search, decision *Decision, best int) (int, bool) {
-	var equals [MaxCandidates]int
+// breakTie takes two random candidates whose scores are within the tie margin
+// of the best one and returns the one with fewer requests in flight. It also
+// reports whether there were several.
+func (router *Router) breakTie(search *search, decision *Decision, best int) (int, bool) {
+	var ties [MaxCandidates]int
 	count := 0
-	limit := decision.alternatives[best].Score + router.config.Weights.Equal
+	limit := decision.candidates[best].Score + router.config.Weights.TieMargin
 	for index := range search.count {
-		if decision.alternatives[index].Score <= limit {
-			equals[count] = index
+		if decision.candidates[index].Score <= limit {
+			ties[count] = index
 			count++
 		}
 	}
@@ -231,8 +237,8 @@
 	}
 	first := router.random.IntN(count)
 	second := (first + 1 + router.random.IntN(count-1)) % count
-	one, other := equals[first], equals[second]
-	if router.upstreams[search.slots[other]].inFlight < router.upstreams[search.slots[one]].inFlight {
+	one, other := ties[first], ties[second]
+	if router.upstreams[search.candidates[other]].inFlight < router.upstreams[search.candidates[one]].inFlight {
 		return other, true
 	}
 	return one, true
--- a/internal/flow/policy/router_test.go
+++ b/internal/flow/policy/router_test.go
@@ -18,7 +18,7 @@
 
 func (ejected ejected) Usable(upstream string) bool { return !ejected[upstream] }
 
-// TryProbe marks probed upstreams by a name that no upstream has.
+// TryProbe records the upstream under a key that is not an upstream's ID.
 func (ejected ejected) TryProbe(upstream string) bool {
 	ejected["probed "+upstream] = true
 	return true
@@ -39,16 +39,16 @@
 	return []Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 }
 
-// homes returns the ring's order of a, b and c for an adapter.
-func homes(router *Router, adapter uint64) []string {
+// ringOrder returns a, b and c in their order on the ring after an adapter.
+func ringOrder(router *Router, adapter uint64) []string {
 	var ids []string
-	for _, slot := range router.ring.Candidates(adapter, 3, nil) {
-		ids = append(ids, router.ring.ID(slot))
+	for _, index := range router.ring.Candidates(adapter, 3, nil) {
+		ids = append(ids, router.ring.ID(index))
 	}
 	return ids
 }
 
-// setup is what a test case may change before the choice.
+// setup holds what a test case may change before the choice.
 type setup struct {
 	router  *Router
 	order   []string
@@ -57,26 +57,27 @@
 	request *Request
 }
 
-// change edits the member at a place of the adapter's ring.
-func (setup *setup) change(place int, edit func(*Member)) {
+// change edits the member at a position in the adapter's ring order.
+func (setup *setup) change(position int, edit func(*Member)) {
 	for index := range setup.members {
-		if setup.members[index].ID == setup.order[place] {
+		if setup.members[index].ID == setup.order[position] {
 			edit(&setup.members[index])
 		}
 	}
 	setup.router.SetMembers(setup.members, 1)
 }
 
-func (setup *setup) leave(place int) {
-	setup.change(place, func(member *Member) { member.Leaving = true })
+func (setup *setup) leave(position int) {
+	setup.change(position, func(member *Member) { member.Leaving = true })
 }
 
-func (setup *setup) halve(place int) {
-	setup.change(place, func(member *Member) { member.Half = "south" })
+func (setup *setup) moveSouth(position int) {
+	setup.change(position, func(member *Member) { member.Half = "south" })
 }
 
 // TestChoose guards against choices that ignore load, loaded adapters, distance
-// or exclusions. Upstreams are named by their place on the adapter's ring.
+// or exclusions. Upstreams are named by their position in the adapter's ring
+// order; home is the first one.
 func TestChoose(t *testing.T) {
 	adapter := ring.AdapterHash("oak", 1)
 	tests := []struct {
@@ -94,13 +95,13 @@
 		{name: "queue at home", setup: func(setup *setup) {
 			setup.router.UpdateLoad(now, setup.order[0], LoadReport{ExpectedWait: time.Second})
 		}, want: 1},
-		{name: "queue at home worked off", setup: func(setup *setup) {
+		{name: "queue at home drained since the report", setup: func(setup *setup) {
 			setup.router.UpdateLoad(now.Add(-time.Second), setup.order[0], LoadReport{ExpectedWait: time.Second})
 		}, want: 0},
-		{name: "gourd waits for the loaded adapter", weights: Gourd(), setup: func(setup *setup) {
+		{name: "gourd waits for the loaded adapter", weights: GourdWeights(), setup: func(setup *setup) {
 			setup.router.UpdateLoad(now, setup.order[0], LoadReport{ExpectedWait: 400 * time.Millisecond, LoadedAdapters: []uint64{adapter}})
 		}, want: 0},
-		{name: "bonsai does not", weights: Bonsai(), setup: func(setup *setup) {
+		{name: "bonsai does not wait for the loaded adapter", weights: BonsaiWeights(), setup: func(setup *setup) {
 			setup.router.UpdateLoad(now, setup.order[0], LoadReport{ExpectedWait: 400 * time.Millisecond, LoadedAdapters: []uint64{adapter}})
 		}, want: 1},
 		{name: "ejected", setup: func(setup *setup) { setup.ejected[setup.order[0]] = true }, want: 1, reason: RingSearch},
@@ -111,8 +112,8 @@
 		{name: "leaving", setup: func(setup *setup) { setup.leave(0) }, want: 1, reason: RingSearch},
 		{name: "other half", setup: func(setup *setup) {
 			setup.request.Half = "north"
-			setup.halve(0)
-			setup.halve(1)
+			setup.moveSouth(0)
+			setup.moveSouth(1)
 		}, want: 2, reason: LowestScore},
 		{name: "tried", setup: func(setup *setup) { setup.request.Avoid = setup.order[:1] }, want: 1, reason: RingSearch},
 		{name: "all tried", setup: func(setup *setup) { setup.request.Avoid = setup.order }, want: 0, reason: LastResort},
@@ -123,20 +124,20 @@
 		}, none: true},
 		{name: "only, but in the other half", setup: func(setup *setup) {
 			setup.request.Half, setup.request.RequiredUpstream = "north", setup.order[2]
-			setup.halve(2)
+			setup.moveSouth(2)
 		}, none: true},
 		{name: "all ejected", setup: func(setup *setup) {
 			for _, id := range setup.order {
 				setup.ejected[id] = true
 			}
 		}, none: true},
-		{name: "own sends count", weights: Weights{Load: 1, Send: 200, Overflow: 100}, setup: func(setup *setup) {
+		{name: "requests sent since the report count", weights: Weights{AdapterLoad: 1, SentRequest: 200, Overflow: 100}, setup: func(setup *setup) {
 			_, _ = setup.router.Choose(now, Request{RequiredUpstream: setup.order[0], AdapterHash: 5})
 		}, want: 1},
-		{name: "distance", weights: Weights{Distance: 1000}, setup: func(setup *setup) {
+		{name: "distance", weights: Weights{DomainDistance: 1000}, setup: func(setup *setup) {
 			setup.change(0, func(member *Member) { member.FailureDomain = "far" })
 		}, want: 1},
-		{name: "prefix", weights: Weights{Prefix: 1000, Overflow: 10}, setup: func(setup *setup) {
+		{name: "prefix", weights: Weights{SharedPrefix: 1000, Overflow: 10}, setup: func(setup *setup) {
 			setup.request.PrefixHash = 99
 			setup.router.SetMembers(setup.members, 1000)
 			_, _ = setup.router.Choose(now, Request{AdapterHash: adapter, PrefixHash: 99, Avoid: setup.order[:1]})
@@ -144,13 +145,13 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			out := ejected{}
+			health := ejected{}
 			members := threeMembers()
-			router := newRouter(t, Config{Weights: test.weights, Health: out}, members)
+			router := newRouter(t, Config{Weights: test.weights, Health: health}, members)
 			request := Request{AdapterHash: adapter}
-			order := homes(router, adapter)
+			order := ringOrder(router, adapter)
 			if test.setup != nil {
-				test.setup(&setup{router, order, members, out, &request})
+				test.setup(&setup{router, order, members, health, &request})
 			}
 			decision, ok := router.Choose(now, request)
 			if ok == test.none {
@@ -159,7 +160,7 @@
 			if test.none {
 				return
 			}
-			if !out["probed "+decision.Upstream] {
+			if !health["probed "+decision.Upstream] {
 				t.Error("the choice was not reported as a probe")
 			}
 			if diff := cmp.Diff([]string{order[test.want], test.reason.String()}, []string{decision.Upstream, decision.Reason.String()}); diff != "" {
@@ -169,8 +170,8 @@
 	}
 }
 
-// TestReplicas guards against popular adapters that stay at one upstream, and
-// against idle ones that spread.
+// TestReplicas guards against popular adapters that are served by one upstream
+// only, and against idle ones that are loaded at several.
 func TestReplicas(t *testing.T) {
 	tests := []struct {
 		name      string
@@ -188,7 +189,7 @@
 			for index := range members {
 				members[index].ID = fmt.Sprint(index)
 			}
-			router := newRouter(t, Config{Weights: Weights{Load: 1, Send: 10, Overflow: 1e9}}, members)
+			router := newRouter(t, Config{Weights: Weights{AdapterLoad: 1, SentRequest: 10, Overflow: 1e9}}, members)
 			router.SetMembers(members, test.instances)
 			used := map[string]bool{}
 			for range test.requests {
@@ -202,12 +203,12 @@
 	}
 }
 
-// TestTwoChoices guards against herds: equal candidates share the work, and a
-// seed repeats its choices.
+// TestTwoChoices guards against candidates of equal score that get unequal
+// numbers of requests, and against choices that differ for the same seed.
 func TestTwoChoices(t *testing.T) {
 	var runs [2]map[string]int
 	for index := range runs {
-		router := newRouter(t, Config{Weights: Weights{Wait: 1}, Seed: 7}, threeMembers())
+		router := newRouter(t, Config{Weights: Weights{QueueWait: 1}, Seed: 7}, threeMembers())
 		runs[index] = map[string]int{}
 		for range 300 {
 			decision, _ := router.Choose(now, Request{})
@@ -224,8 +225,8 @@
 	}
 }
 
-// TestReplacement guards against knowledge of an old upstream that passes to
-// another one in its slot.
+// TestReplacement guards against an upstream that inherits the state of a
+// removed one whose index it reuses.
 func TestReplacement(t *testing.T) {
 	router := newRouter(t, Config{}, nil)
 	for round := range 500 {
@@ -238,14 +239,15 @@
 		router.UpdateLoad(now, id, LoadReport{Incarnation: 3, ExpectedWait: time.Hour})
 	}
 	if len(router.upstreams) > 200 {
-		t.Errorf("%d slots for 1 upstream", len(router.upstreams))
+		t.Errorf("%d indexes for 1 upstream", len(router.upstreams))
 	}
 }
 
-// TestRoundRobin guards against a baseline that uses excluded upstreams.
+// TestRoundRobin guards against a RoundRobin that chooses ejected or leaving
+// upstreams, or ones of the other half.
 func TestRoundRobin(t *testing.T) {
-	out := ejected{"b": true}
-	policy := NewRoundRobin(out)
+	health := ejected{"b": true}
+	policy := NewRoundRobin(health)
 	policy.SetMembers([]Member{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d", Leaving: true}, {ID: "e", Half: "south"}}, 1)
 	var got []string
 	for range 4 {
@@ -257,8 +259,9 @@
 	}
 }
 
-// fleet returns a Router of the size expected in two years, with reports.
-func fleet(b testing.TB) *Router {
+// fleetRouter returns a Router with load reports and the number of upstreams
+// expected in two years.
+func fleetRouter(b testing.TB) *Router {
 	members := make([]Member, 7200)
 	for index := range members {
 		members[index] = Member{ID: fmt.Sprintf("upstream-%d", index), FailureDomain: fmt.Sprint(index % 23)}
@@ -266,22 +269,23 @@
 			members[index].Half = model.Half([]string{"north", "south"}[index/2%2])
 		}
 	}
-	router := newRouter(b, Config{FailureDomain: "3", Adapters: 170_000, Upstreams: 7200}, members)
+	router := newRouter(b, Config{FailureDomain: "3", ExpectedAdapters: 170_000, ExpectedUpstreams: 7200}, members)
 	router.SetMembers(members, 420)
 	random := rand.New(rand.NewPCG(1, 0))
 	for index := range members {
 		loaded := make([]uint64, 32)
-		for slot := range loaded {
-			loaded[slot] = random.Uint64()
+		for index := range loaded {
+			loaded[index] = random.Uint64()
 		}
 		router.UpdateLoad(now, members[index].ID, LoadReport{Incarnation: 1, ExpectedWait: time.Duration(random.IntN(1e8)), LoadedAdapters: loaded})
 	}
 	return router
 }
 
-// TestChooseAllocations guards against garbage on the hot path.
+// TestChooseAllocations guards against allocations in Choose, which runs for
+// every request.
 func TestChooseAllocations(t *testing.T) {
-	router := fleet(t)
+	router := fleetRouter(t)
 	adapter := uint64(0)
 	got := testing.AllocsPerRun(1000, func() {
 		adapter += 0x9e3779b97f4a7c15
@@ -293,7 +297,7 @@
 }
 
 func BenchmarkChoose(b *testing.B) {
-	router := fleet(b)
+	router := fleetRouter(b)
 	random := rand.New(rand.NewPCG(2, 0))
 	adapters := make([]uint64, 170_000)
 	for index := range adapters {
@@ -309,7 +313,7 @@
 }
 
 func BenchmarkSetMembers(b *testing.B) {
-	router := fleet(b)
+	router := fleetRouter(b)
 	members := make([]Member, 7200)
 	for index := range members {
 		members[index] = Member{ID: fmt.Sprintf("upstream-%d", index), FailureDomain: "3"}
--- a/internal/flow/policy/search.go
+++ b/internal/flow/policy/search.go
@@ -5,83 +5,87 @@
 	"time"
 )
 
-// searchPoints bounds the points looked at on the ring; beyond them all
-// upstreams are looked at in turn, which costs less than a whole round.
-const searchPoints = 512
+// maxRingPoints is the maximum number of ring points that a search visits. If it
+// finds no candidate there, it scans the list of upstreams, which costs less
+// than visiting every point of the ring.
+const maxRingPoints = 512
 
 // search collects the usable candidates of a request.
 type search struct {
-	router   *Router
-	now      time.Time
-	request  Request
-	start    uint64
-	replicas int
-	want     int
-	// homeless says that the first upstream on the ring is not usable.
-	homeless   bool
+	router    *Router
+	now       time.Time
+	request   Request
+	startHash uint64
+	replicas  int
+	wanted    int
+	// firstUnusable says that the first upstream on the ring is not usable.
+	firstUnusable bool
+	// lastResort says that upstreams listed in Avoid may be candidates.
 	lastResort bool
-	slots      [MaxCandidates]uint32
+	// candidates holds the indexes of the upstreams found so far.
+	candidates [MaxCandidates]uint32
 	count      int
 }
 
-func (router *Router) search(now time.Time, request *Request) search {
+func (router *Router) newSearch(now time.Time, request *Request) search {
 	start := request.AdapterHash
 	if start == 0 {
 		start = router.random.Uint64()
 	}
-	replicas := router.replicas(now, request)
+	replicas := router.replicaCount(now, request)
 	return search{
-		router: router, now: now, request: *request, start: start,
-		replicas: replicas, want: min(replicas+1, MaxCandidates),
+		router: router, now: now, request: *request, startHash: start,
+		replicas: replicas, wanted: min(replicas+1, MaxCandidates),
 	}
 }
 
-// walk takes the first usable upstreams on the ring.
-func (search *search) walk() {
+// walkRing adds the first usable upstreams on the ring, up to the wanted number.
+func (search *search) walkRing() {
 	ring := search.router.ring
-	cursor := ring.Seek(search.start)
+	cursor := ring.Seek(search.startHash)
 	first := true
-	for range searchPoints {
-		slot, ok := cursor.Next()
-		if !ok || search.count == search.want {
+	for range maxRingPoints {
+		index, ok := cursor.Next()
+		if !ok || search.count == search.wanted {
 			return
 		}
-		if !search.router.upstreams[slot].half.Shares(search.request.Half) {
+		if !search.router.upstreams[index].half.Shares(search.request.Half) {
 			continue
 		}
-		took := search.take(slot)
+		added := search.add(index)
 		if first {
-			first, search.homeless = false, !took
+			first, search.firstUnusable = false, !added
 		}
 	}
 }
 
-// scan looks at all upstreams, from a random one on.
-func (search *search) scan() {
+// scanAll adds usable upstreams from the whole list, starting at a random one.
+func (search *search) scanAll() {
 	ring := search.router.ring
-	slots := uint32(ring.IndexLimit())
-	if slots == 0 {
+	limit := uint32(ring.IndexLimit())
+	if limit == 0 {
 		return
 	}
-	offset := uint32(search.router.random.IntN(int(slots)))
-	for index := range slots {
-		slot := (index + offset) % slots
-		if ring.Live(slot) && search.take(slot) && search.count == search.want {
+	offset := uint32(search.router.random.IntN(int(limit)))
+	for step := range limit {
+		index := (step + offset) % limit
+		if ring.Live(index) && search.add(index) && search.count == search.wanted {
 			return
 		}
 	}
 }
 
-// take adds a usable upstream to the candidates.
-func (search *search) take(slot uint32) bool {
-	if slices.Contains(search.slots[:search.count], slot) {
+// add makes the upstream a candidate if it is usable, and reports whether it is
+// one.
+func (search *search) add(index uint32) bool {
+	if slices.Contains(search.candidates[:search.count], index) {
 		return true
 	}
-	avoided := !search.lastResort && slices.Contains(search.request.Avoid, search.router.ring.ID(slot))
-	if avoided || !search.router.usable(search.now, slot, &search.request) {
+	avoided := !search.lastResort && slices.Contains(search.request.Avoid, search.router.ring.ID(index))
+	if avoided || !search.router.usable(search.now, index, &search.request) {
 		return false
 	}
-	search.slots[search.count] = slot
+	search.candidates[search.count] = index
 	search.count++
 	return true
 }
--- a/internal/flow/ring/hash.go
+++ b/internal/flow/ring/hash.go
@@ -1,5 +1,6 @@
-// Package ring assigns adapters to upstreams: a consistent-hash ring, the
-// rendezvous order for idempotency keys and the popularity of adapters.
+// Package ring assigns adapters to upstreams. It holds a consistent-hash ring,
+// rendezvous hashing for idempotency keys, and the request rates of adapters,
+// which determine how many upstreams should serve each.
 package ring
 
 import (
@@ -8,8 +9,8 @@
 	"github.com/zeebo/xxh3"
 )
 
-// AdapterHash identifies an adapter in one version. Load reports carry it, so
-// every process must compute it in the same way.
+// AdapterHash returns the hash of one version of an adapter. Load reports contain
+// it, so every process must compute it in the same way.
 func AdapterHash(adapter string, version uint32) uint64 {
 	var buffer [128]byte
 	text := append(buffer[:0], adapter...)
@@ -18,9 +19,10 @@
 	return xxh3.Hash(text)
 }
 
-// Rendezvous returns the index of the id that ranks after the first rank ids
-// for the key, or -1 when there are not so many ids. Every process that knows
-// the same ids computes the same order.
+// Rendezvous returns the index of the id at a rank, counted from 0, in the
+// rendezvous order of the ids for the key. It returns -1 if the rank is not less
+// than the number of ids. Every process that knows the same ids computes the
+// same order.
 func Rendezvous(key []byte, ids []string, rank int) int {
 	seed := xxh3.Hash(key)
 	bound, found := uint64(0), -1
--- a/internal/flow/ring/popular_test.go
+++ b/internal/flow/ring/popularity_test.go
@@ -11,8 +11,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// TestPopularityAgainstNaive guards against rates that are off, by decay or by
-// mixing up adapters.
+// TestPopularityAgainstNaive compares rates with sums over all requests. It
+// guards against wrong decay and against requests counted for another adapter.
 func TestPopularityAgainstNaive(t *testing.T) {
 	const halfLife = 10 * time.Second
 	popularity := NewPopularity(PopularityConfig{Adapters: 1000, HalfLife: halfLife, Start: start})
@@ -25,10 +25,10 @@
 		naive[adapter] = append(naive[adapter], now)
 		popularity.CountRequest(now, adapter)
 	}
-	for adapter, touches := range naive {
+	for adapter, requests := range naive {
 		want := 0.0
-		for _, touch := range touches {
-			want += math.Exp2(-float64(now.Sub(touch))/float64(halfLife)) * math.Ln2 / halfLife.Seconds()
+		for _, request := range requests {
+			want += math.Exp2(-float64(now.Sub(request))/float64(halfLife)) * math.Ln2 / halfLife.Seconds()
 		}
 		if got := popularity.Rate(now, adapter); math.Abs(got-want) > 0.001*want+1e-9 {
 			t.Errorf("rate %v, want %v", got, want)
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestPopularityBounds guards against growth, against entries that outlive
-// their use, and against popular adapters that make room for others.
+// TestPopularityBounds guards against a table that grows, against idle entries
+// that never expire, and against popular adapters that are replaced by others.
 func TestPopularityBounds(t *testing.T) {
 	popularity := NewPopularity(PopularityConfig{Adapters: 512, HalfLife: time.Second, Start: start})
 	hot := AdapterHash("hot", 1)
@@ -48,16 +48,16 @@
 	if rate := popularity.Rate(start, hot); rate < 6000 {
 		t.Errorf("the popular adapter has rate %v", rate)
 	}
-	if got, room := popularity.Len(start), len(popularity.sets)*setSize; got > room || room > 2*512*5/4 {
-		t.Errorf("%d entries of %d for 512 adapters", got, room)
+	if got, capacity := popularity.Len(start), len(popularity.sets)*setSize; got > capacity || capacity > 2*512*5/4 {
+		t.Errorf("%d entries of %d for 512 adapters", got, capacity)
 	}
 	if got := popularity.Len(start.Add(time.Minute)); got != 0 {
 		t.Errorf("%d entries after a minute of idleness", got)
 	}
 }
 
-// TestPopularityRetention guards against a table that loses many of the
-// adapters that it is made for.
+// TestPopularityRetention guards against a table that, with as many adapters as
+// it is configured for, has no entry for many of them or uses too much memory.
 func TestPopularityRetention(t *testing.T) {
 	const adapters = 170_000
 	popularity := NewPopularity(PopularityConfig{Adapters: adapters, HalfLife: time.Minute, Start: start})
--- a/internal/flow/ring/ring_test.go
+++ b/internal/flow/ring/ring_test.go
@@ -11,25 +11,25 @@
 	"github.com/zeebo/xxh3"
 )
 
-// naiveRing keeps nothing but the ids and sorts all points at each question.
+// naiveRing holds only the ids and sorts all points on each call.
 type naiveRing map[string]bool
 
 func (naive naiveRing) candidates(hash uint64, count int) []string {
-	type place struct {
+	type naivePoint struct {
 		distance uint64
 		id       string
 	}
-	var places []place
+	var points []naivePoint
 	for id := range naive {
 		for index := range PointsPerUpstream {
-			places = append(places, place{pointHash(id, index) - hash, id})
+			points = append(points, naivePoint{pointHash(id, index) - hash, id})
 		}
 	}
-	slices.SortFunc(places, func(a, b place) int { return stdcmp.Compare(a.distance, b.distance) })
+	slices.SortFunc(points, func(a, b naivePoint) int { return stdcmp.Compare(a.distance, b.distance) })
 	var ids []string
-	for _, place := range places {
-		if len(ids) < count && !slices.Contains(ids, place.id) {
-			ids = append(ids, place.id)
+	for _, point := range points {
+		if len(ids) < count && !slices.Contains(ids, point.id) {
+			ids = append(ids, point.id)
 		}
 	}
 	return ids
@@ -37,21 +37,23 @@
 
 func (ring *Ring) candidateIDs(hash uint64, count int) []string {
 	var ids []string
-	for _, slot := range ring.Candidates(hash, count, nil) {
-		ids = append(ids, ring.ID(slot))
+	for _, index := range ring.Candidates(hash, count, nil) {
+		ids = append(ids, ring.ID(index))
 	}
 	return ids
 }
 
-// TestRingAgainstNaive guards against candidates that depend on the order of
-// changes, on marked points or on reclaimed ones.
+// TestRingAgainstNaive compares candidates with those of a naiveRing. It guards
+// against candidates that depend on the order of changes, on tombstones or on
+// reclaimed points.
 func TestRingAgainstNaive(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 0))
 			ring, naive := NewRing(16), naiveRing{}
 			for step := range 400 {
-				// A new upstream, one that may return, and some that go.
+				// Adds a new upstream and one that may have been removed, and
+				// removes some.
 				for _, id := range []string{fmt.Sprint(step), fmt.Sprint(random.IntN(step + 1))} {
 					ring.Add(id)
 					naive[id] = true
@@ -66,14 +68,15 @@
 					t.Fatalf("step %d, candidates (-naive +ring):\n%s", step, diff)
 				}
 			}
-			if len(ring.free)+ring.lives+len(ring.marked) != ring.IndexLimit() || len(ring.free) == 0 && ring.IndexLimit() == 400 {
-				t.Errorf("%d slots, %d live, %d marked, %d free", ring.IndexLimit(), ring.lives, len(ring.marked), len(ring.free))
+			if len(ring.freeIndexes)+ring.liveCount+len(ring.tombstones) != ring.IndexLimit() || len(ring.freeIndexes) == 0 && ring.IndexLimit() == 400 {
+				t.Errorf("%d indexes, %d live, %d tombstones, %d free", ring.IndexLimit(), ring.liveCount, len(ring.tombstones), len(ring.freeIndexes))
 			}
 		})
 	}
 }
 
-// TestRingBalance guards against an uneven ring, which overloads an upstream.
+// TestRingBalance guards against an uneven distribution of adapters, which would
+// overload an upstream.
 func TestRingBalance(t *testing.T) {
 	ring, shares := NewRing(100), map[uint32]int{}
 	for index := range 100 {
@@ -83,14 +86,14 @@
 	for index := range adapters {
 		shares[ring.Candidates(AdapterHash(fmt.Sprintf("adapter-%d", index), 1), 1, nil)[0]]++
 	}
-	for slot, share := range shares {
+	for index, share := range shares {
 		if share > adapters/100*2 || share < adapters/100/2 {
-			t.Errorf("%s has %d of %d adapters", ring.ID(slot), share, adapters)
+			t.Errorf("%s has %d of %d adapters", ring.ID(index), share, adapters)
 		}
 	}
 }
 
-// TestRingAllocations guards against garbage on the hot path.
+// TestRingAllocations guards against allocations in Candidates.
 func TestRingAllocations(t *testing.T) {
 	ring := NewRing(100)
 	for index := range 100 {
@@ -107,8 +110,8 @@
 	}
 }
 
-// TestRendezvous guards against an order that loses an upstream, or that
-// changes for the others when one goes.
+// TestRendezvous guards against an order that omits an upstream, and against one
+// that changes for the other upstreams when one is removed.
 func TestRendezvous(t *testing.T) {
 	ids := []string{"a", "b", "c", "d", "e"}
 	order := func(key string, ids []string) []string {
@@ -132,8 +135,8 @@
 	}
 }
 
-// TestAdapterHash guards against a change of the hash, which side processes
-// report.
+// TestAdapterHash guards against a change of the hash. Side processes
+// report it, also those of another version.
 func TestAdapterHash(t *testing.T) {
 	if got, want := AdapterHash("oak", 12), xxh3.HashString("oak@12"); got != want {
 		t.Errorf("hash %x, want %x", got, want)
@@ -158,7 +161,7 @@
 	}
 }
 
-// BenchmarkRingRemove takes an upstream off and puts it back, which touches no
+// BenchmarkRingRemove removes an upstream and adds it again, which changes no
 // points.
 func BenchmarkRingRemove(b *testing.B) {
 	ring := bigRing()
@@ -171,8 +174,8 @@
 	}
 }
 
-// BenchmarkRingReplace adds a new upstream for a removed one, which includes
-// the reclaim of marked points.
+// BenchmarkRingReplace removes an upstream and adds a new one, which includes
+// reclaiming tombstones.
 func BenchmarkRingReplace(b *testing.B) {
 	ring := bigRing()
 	next := 0
--- a/internal/flow/slots/loads.go
+++ b/internal/flow/slots/loads.go
@@ -3,35 +3,36 @@
 import "time"
 
 const (
-	// firstBackoff and longestBackoff bound the wait after failed loads.
-	firstBackoff   = 250 * time.Millisecond
-	longestBackoff = 8 * time.Second
-	// giveUpAfter failures, waiting requests go to another upstream.
-	giveUpAfter = 2
+	// minBackoff and maxBackoff bound the delay after failed loads.
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 8 * time.Second
+	// rejectAfter is the number of failed loads after which waiting requests go to
+	// another upstream.
+	rejectAfter = 2
 )
 
-// failure counts the failed loads of an adapter in a row.
-type failure struct {
-	count int
-	until time.Time
+// loadFailures counts the consecutive failed loads of an adapter.
+type loadFailures struct {
+	count      int
+	backoffEnd time.Time
 }
 
-// LoadStarted sets the moment from which the time of a load counts, once it is not
-// held up by permits any more.
+// LoadStarted records when a load started, after its wait for permits. Its load
+// time is measured from then.
 func (table *Table) LoadStarted(now time.Time, ref AdapterRef) {
 	if slot, ok := table.slots[ref]; ok && slot.loading {
-		slot.started = now
+		slot.loadStarted = now
 	}
 }
 
-// LoadFinished reports the end of a load. It returns whether the requests that wait
-// for the adapter should go to another upstream.
-func (table *Table) LoadFinished(now time.Time, ref AdapterRef, err error) (giveUp bool) {
+// LoadFinished records the end of a load. It reports whether the requests that
+// wait for the adapter should go to another upstream.
+func (table *Table) LoadFinished(now time.Time, ref AdapterRef, err error) (reject bool) {
 	slot, ok := table.slots[ref]
 	if !ok || !slot.loading {
 		return false
 	}
-	table.throttle.finish(now, now.Sub(slot.started), err == nil)
+	table.limiter.loadFinished(now, now.Sub(slot.loadStarted), err == nil)
 	if err == nil {
 		slot.loading = false
 		slot.lastUsed = now
@@ -39,72 +40,77 @@
 		return false
 	}
 	delete(table.slots, ref)
-	known, ok := table.failures[ref]
+	failed, ok := table.failures[ref]
 	if !ok {
-		table.forget(now)
-		known = &failure{}
-		table.failures[ref] = known
+		table.forgetEndedBackoffs(now)
+		failed = &loadFailures{}
+		table.failures[ref] = failed
 	}
-	known.count++
-	known.until = now.Add(table.backoff(known.count))
-	return known.count >= giveUpAfter
+	failed.count++
+	failed.backoffEnd = now.Add(table.backoff(failed.count))
+	return failed.count >= rejectAfter
 }
 
-// keepTime is how long an adapter stays that the engine refused to evict.
-const keepTime = time.Second
+// evictionRetryDelay is how long an adapter is kept that the engine refused to
+// evict.
+const evictionRetryDelay = time.Second
 
-// EvictionRefused reports that the engine did not carry out the eviction of an order,
-// so that its load did not begin. It is no failure of the load.
+// EvictionRefused records that the engine refused the eviction of an order, so
+// that its load did not start. This does not count as a failed load.
 func (table *Table) EvictionRefused(now time.Time, order Order) {
 	if slot, ok := table.slots[order.Load]; ok && slot.loading {
 		delete(table.slots, order.Load)
-		table.throttle.inFlight = max(table.throttle.inFlight-1, 0)
+		table.limiter.inFlight = max(table.limiter.inFlight-1, 0)
 	}
-	table.slots[order.Evict] = &slot{lastUsed: now, keep: now.Add(keepTime)}
+	table.slots[order.Evict] = &slot{lastUsed: now, keepUntil: now.Add(evictionRetryDelay)}
 }
 
-// maxFailures bounds the adapters whose failures are remembered.
+// maxFailures is the number of adapters with failed loads from which those whose
+// backoff has ended are forgotten.
 const maxFailures = 1024
 
-// forget drops failures whose backoff has ended when there are too many.
-func (table *Table) forget(now time.Time) {
+// forgetEndedBackoffs forgets failures whose backoff has ended, if there are too
+// many.
+func (table *Table) forgetEndedBackoffs(now time.Time) {
 	if len(table.failures) < maxFailures {
 		return
 	}
-	for ref, known := range table.failures {
-		if !known.until.After(now) {
+	for ref, failed := range table.failures {
+		if !failed.backoffEnd.After(now) {
 			delete(table.failures, ref)
 		}
 	}
 }
 
-// backoff returns a wait between half the doubled delay and all of it.
+// backoff returns a random delay between half of the exponential backoff after
+// count failures and all of it.
 func (table *Table) backoff(count int) time.Duration {
-	delay := firstBackoff
-	for ; count > 1 && delay < longestBackoff; count-- {
+	delay := minBackoff
+	for ; count > 1 && delay < maxBackoff; count-- {
 		delay *= 2
 	}
-	delay = min(delay, longestBackoff)
+	delay = min(delay, maxBackoff)
 	return delay/2 + time.Duration(table.random.Int64N(int64(delay/2)+1))
 }
 
 func (table *Table) backingOff(now time.Time, ref AdapterRef) bool {
-	known, ok := table.failures[ref]
-	return ok && known.until.After(now)
+	failed, ok := table.failures[ref]
+	return ok && failed.backoffEnd.After(now)
 }
 
-// RejectFor reports whether loads of the adapter failed so often that requests
-// should go to another upstream, and for how long.
+// RejectFor reports whether loads of the adapter have failed so often that
+// requests should go to another upstream, and until when, as the time from now.
 func (table *Table) RejectFor(now time.Time, ref AdapterRef) (time.Duration, bool) {
-	known, ok := table.failures[ref]
-	if !ok || known.count < giveUpAfter || !known.until.After(now) {
+	failed, ok := table.failures[ref]
+	if !ok || failed.count < rejectAfter || !failed.backoffEnd.After(now) {
 		return 0, false
 	}
-	return known.until.Sub(now), true
+	return failed.backoffEnd.Sub(now), true
 }
 
-// NextPlanTime returns when Plan may give other orders although nothing happened:
-// when a backoff or the pause between loads ends, or a demand becomes late.
+// NextPlanTime returns when Plan may return other orders without another event:
+// when a backoff or the pause between loads ends, a demand becomes overdue, or an
+// adapter may be evicted again. It returns false if there is no such time.
 func (table *Table) NextPlanTime(now time.Time, demands []Demand) (time.Time, bool) {
 	var next time.Time
 	consider := func(moment time.Time) {
@@ -113,16 +119,16 @@
 		}
 	}
 	for _, demand := range demands {
-		if _, known := table.slots[demand.Ref]; known {
+		if _, present := table.slots[demand.Ref]; present {
 			continue
 		}
-		if known, ok := table.failures[demand.Ref]; ok {
-			consider(known.until)
+		if failed, ok := table.failures[demand.Ref]; ok {
+			consider(failed.backoffEnd)
 		}
 		consider(demand.OldestArrival.Add(table.config.MaxLoadDeferral))
-		consider(table.throttle.pause)
+		consider(table.limiter.pausedUntil)
 		for _, slot := range table.slots {
-			consider(slot.keep)
+			consider(slot.keepUntil)
 		}
 	}
 	return next, !next.IsZero()
--- a/internal/flow/slots/plan.go
+++ b/internal/flow/slots/plan.go
@@ -8,33 +8,33 @@
 	"jacinthfront.dev/jacinthfront/internal/state/model"
 )
 
-// Demand tells how many requests wait for an adapter.
+// Demand describes the requests that wait for an adapter.
 type Demand struct {
 	Ref             AdapterRef
 	Class           model.Class
 	WaitingRequests int
-	// OldestArrival is the arrival of the longest-waiting request.
+	// OldestArrival is when the request that has waited the longest arrived.
 	OldestArrival time.Time
 }
 
-// Order asks the engine for a load, after the eviction of Evict if it is set.
-// An order without Load only evicts and is not answered by Finish.
+// Order tells the engine to evict an adapter, unless Evict is zero, and then to
+// load one, unless Load is zero.
 type Order struct {
 	Load  AdapterRef
 	Evict AdapterRef
 }
 
-// Plan returns the orders to give to the engine now. Each is answered by one
-// call of Finish. Demands name loaded adapters too, whose waiting requests
-// put off their eviction.
+// Plan returns the orders to send to the engine now. The caller reports the end
+// of each one that loads by LoadFinished or EvictionRefused. Demands include those
+// for loaded adapters, whose eviction they defer.
 func (table *Table) Plan(now time.Time, demands []Demand) []Order {
 	orders, _ := table.PlanAtMost(now, demands, len(demands))
 	return orders
 }
 
-// PlanAtMost is Plan with a bound on the orders that load, and reports whether
-// the bound held one back.
-func (table *Table) PlanAtMost(now time.Time, demands []Demand, most int) (orders []Order, more bool) {
+// PlanAtMost is Plan with a maximum number of orders that load. It also reports
+// whether the maximum held back a load.
+func (table *Table) PlanAtMost(now time.Time, demands []Demand, maxLoads int) (orders []Order, more bool) {
 	waiting := make(map[AdapterRef]bool, len(demands))
 	wanted := demands[:0:0]
 	for _, demand := range demands {
@@ -44,40 +44,40 @@
 			wanted = append(wanted, demand)
 		}
 	}
-	slices.SortFunc(wanted, func(left, right Demand) int { return table.compare(now, left, right) })
-	orders = table.trim(now)
+	slices.SortFunc(wanted, func(left, right Demand) int { return table.compareDemands(now, left, right) })
+	orders = table.evictExcess(now)
 	if len(wanted) == 0 {
-		table.reopen()
+		table.stopDraining()
 	}
 	for _, demand := range wanted {
-		if !table.throttle.allows(now) {
+		if !table.limiter.allows(now) {
 			break
 		}
-		late := table.late(now, demand)
-		evict, ok := table.room(now, waiting, late)
+		overdue := table.overdue(now, demand)
+		evict, ok := table.findSlot(now, waiting, overdue)
 		if !ok {
-			if late {
-				table.close(now, waiting)
+			if overdue {
+				table.drainSlot(now, waiting)
 			}
 			continue
 		}
-		if most--; most < 0 {
+		if maxLoads--; maxLoads < 0 {
 			return orders, true
 		}
 		delete(table.slots, evict)
-		table.slots[demand.Ref] = &slot{loading: true, started: now, lastUsed: now}
-		table.throttle.start()
+		table.slots[demand.Ref] = &slot{loading: true, loadStarted: now, lastUsed: now}
+		table.limiter.loadStarted()
 		orders = append(orders, Order{Load: demand.Ref, Evict: evict})
 	}
 	return orders, false
 }
 
-// trim evicts what the engine holds beyond its slots, which can be seen after
-// orders whose replies were lost.
-func (table *Table) trim(now time.Time) []Order {
+// evictExcess evicts unused adapters while more are loaded than there are slots.
+// That happens after Resize, and after orders whose replies were lost.
+func (table *Table) evictExcess(now time.Time) []Order {
 	var orders []Order
 	for len(table.slots) > table.size {
-		ref, ok := table.least(now, func(_ AdapterRef, slot *slot) bool { return slot.pins == 0 })
+		ref, ok := table.leastValuable(now, func(_ AdapterRef, slot *slot) bool { return slot.pins == 0 })
 		if !ok {
 			break
 		}
@@ -87,19 +87,20 @@
 	return orders
 }
 
-// late reports whether a demand has been put off long enough.
-func (table *Table) late(now time.Time, demand Demand) bool {
+// overdue reports whether a demand has waited for the longest deferral.
+func (table *Table) overdue(now time.Time, demand Demand) bool {
 	return now.Sub(demand.OldestArrival) >= table.config.MaxLoadDeferral
 }
 
-// lateFactor is how many deferrals a demand waits before its age alone puts it
-// before demands with more waiting requests.
-const lateFactor = 8
+// agePriorityFactor is the number of longest deferrals after which a demand's age
+// takes precedence over its class and its number of waiting requests.
+const agePriorityFactor = 8
 
-// compare orders demands by class, waiting requests and age.
-func (table *Table) compare(now time.Time, left, right Demand) int {
-	overdue := lateFactor * table.config.MaxLoadDeferral
-	if now.Sub(left.OldestArrival) >= overdue || now.Sub(right.OldestArrival) >= overdue {
+// compareDemands orders demands by class, number of waiting requests and age, or
+// by age alone if one of them has waited very long.
+func (table *Table) compareDemands(now time.Time, left, right Demand) int {
+	ageLimit := agePriorityFactor * table.config.MaxLoadDeferral
+	if now.Sub(left.OldestArrival) >= ageLimit || now.Sub(right.OldestArrival) >= ageLimit {
 		if order := left.OldestArrival.Compare(right.OldestArrival); order != 0 {
 			return order
 		}
@@ -116,54 +117,55 @@
 	return cmp.Or(cmp.Compare(left.Adapter, right.Adapter), cmp.Compare(left.Version, right.Version))
 }
 
-// room finds a place for one more adapter: a free slot, or the least valuable
-// adapter that is not in use. Adapters with waiting requests are evicted only
-// for a late demand.
-func (table *Table) room(now time.Time, waiting map[AdapterRef]bool, late bool) (AdapterRef, bool) {
+// findSlot finds a slot for one more adapter. It returns the zero AdapterRef for a
+// free slot, or else the least valuable unused adapter, which is to be evicted.
+// Adapters with waiting requests are evicted only for an overdue demand.
+func (table *Table) findSlot(now time.Time, waiting map[AdapterRef]bool, overdue bool) (AdapterRef, bool) {
 	if len(table.slots) < table.size {
 		return AdapterRef{}, true
 	}
 	if len(table.slots) > table.size {
 		return AdapterRef{}, false
 	}
-	return table.least(now, func(ref AdapterRef, slot *slot) bool {
-		return slot.pins == 0 && (late || slot.closing || !waiting[ref])
+	return table.leastValuable(now, func(ref AdapterRef, slot *slot) bool {
+		return slot.pins == 0 && (overdue || slot.draining || !waiting[ref])
 	})
 }
 
-// close stops new pins of the least valuable adapter in use, unless enough
-// slots are closing. Without it, a steady load on the loaded adapters would
-// keep every slot pinned for ever. One slot closes at a time: closing up to half
-// of them raised the waits for loads by half against the engine stand-in.
-func (table *Table) close(now time.Time, waiting map[AdapterRef]bool) {
+// drainSlot makes the least valuable adapter in use admit no new pins. Otherwise
+// a steady load on the loaded adapters could keep every slot pinned for ever. Only
+// one slot drains at a time: draining up to half of them made the waits for loads
+// half as long again against the engine stand-in.
+func (table *Table) drainSlot(now time.Time, waiting map[AdapterRef]bool) {
 	for _, slot := range table.slots {
-		if slot.closing {
+		if slot.draining {
 			return
 		}
 	}
-	ref, ok := table.least(now, func(ref AdapterRef, _ *slot) bool { return !waiting[ref] })
+	ref, ok := table.leastValuable(now, func(ref AdapterRef, _ *slot) bool { return !waiting[ref] })
 	if !ok {
-		ref, ok = table.least(now, func(AdapterRef, *slot) bool { return true })
+		ref, ok = table.leastValuable(now, func(AdapterRef, *slot) bool { return true })
 	}
 	if ok {
-		table.slots[ref].closing = true
+		table.slots[ref].draining = true
 	}
 }
 
-// reopen admits new pins everywhere once nothing waits for a slot.
-func (table *Table) reopen() {
+// stopDraining lets all slots admit new pins again, since no demand waits for a
+// slot.
+func (table *Table) stopDraining() {
 	for _, slot := range table.slots {
-		slot.closing = false
+		slot.draining = false
 	}
 }
 
-// least returns the adapter of least value among those that may go: by decayed
-// use, then by oldest use.
-func (table *Table) least(now time.Time, may func(AdapterRef, *slot) bool) (AdapterRef, bool) {
+// leastValuable returns the adapter with the lowest decayed use count among the
+// eligible ones, and among equals the one that was used the longest ago.
+func (table *Table) leastValuable(now time.Time, eligible func(AdapterRef, *slot) bool) (AdapterRef, bool) {
 	var best AdapterRef
 	var bestSlot *slot
 	for ref, slot := range table.slots {
-		if slot.loading || slot.keep.After(now) || !may(ref, slot) {
+		if slot.loading || slot.keepUntil.After(now) || !eligible(ref, slot) {
 			continue
 		}
 		if bestSlot == nil || table.less(now, ref, slot, best, bestSlot) {
@@ -173,6 +175,7 @@
 	return best, bestSlot != nil
 }
 
+// less reports whether an adapter is less valuable than the best one so far.
 func (table *Table) less(now time.Time, ref AdapterRef, slot *slot, best AdapterRef, bestSlot *slot) bool {
 	return cmp.Or(
 		cmp.Compare(slot.value(now, table.config.HalfLife), bestSlot.value(now, table.config.HalfLife)),
--- a/internal/flow/slots/slots.go
+++ b/internal/flow/slots/slots.go
@@ -1,5 +1,6 @@
 // Package slots holds the adapter slot table of one engine: which adapters are
-// loaded, which are in use, what to load next and what to evict for it.
+// loaded, which are in use, which to load next and which to evict for it. Side
+// processes use it; package lora does the same for loaders.
 package slots
 
 import (
@@ -11,55 +12,56 @@
 	"github.com/zeebo/xxh3"
 )
 
-// AdapterRef names an adapter in one version.
+// AdapterRef names one version of an adapter.
 type AdapterRef struct {
 	Adapter string
 	Version uint32
 }
 
-// String returns the reference as callers write it.
+// String returns the reference in the form that callers use: adapter@version.
 func (ref AdapterRef) String() string {
 	return ref.Adapter + "@" + strconv.FormatUint(uint64(ref.Version), 10)
 }
 
-// Hash returns the hash under which load reports name the adapter.
+// Hash returns the hash of the adapter in load reports.
 func (ref AdapterRef) Hash() uint64 { return xxh3.HashString(ref.String()) }
 
-// Config sets up a Table. Zero fields take their defaults.
+// Config configures a Table. Zero fields take their defaults.
 type Config struct {
 	Slots int
 	Seed  uint64
-	// TargetLoadTime is the load time at which concurrency stays as it is.
+	// TargetLoadTime is the load time that the limit of concurrent loads aims for.
 	TargetLoadTime time.Duration
-	// MaxConcurrentLoads bounds the loads in flight.
+	// MaxConcurrentLoads is the maximum number of concurrent loads.
 	MaxConcurrentLoads int
-	// MaxLoadDeferral bounds how long requests for loaded adapters may put off
-	// the load of another one.
+	// MaxLoadDeferral is the longest time that waiting requests for loaded
+	// adapters defer the load of another one.
 	MaxLoadDeferral time.Duration
-	// HalfLife is how fast use counts decay.
+	// HalfLife is the half-life of use counts.
 	HalfLife time.Duration
 }
 
 const (
-	// defaultTarget is the weight store's load time while it is not overloaded.
-	defaultTarget      = 250 * time.Millisecond
-	defaultConcurrency = 8
-	// defaultSwitchDeferral is one load time. Against the engine stand-in with 4
+	// defaultTargetLoadTime is the load time of the weight store while it is not
+	// overloaded.
+	defaultTargetLoadTime     = 250 * time.Millisecond
+	defaultMaxConcurrentLoads = 8
+	// defaultMaxLoadDeferral is one load time. Against the engine stand-in with 4
 	// slots and 12 adapters, 100 ms answered 4% fewer requests in time, and
 	// 500 ms about as many.
-	defaultSwitchDeferral = 250 * time.Millisecond
-	defaultHalfLife       = time.Minute
+	defaultMaxLoadDeferral = 250 * time.Millisecond
+	defaultHalfLife        = time.Minute
 )
 
 func (config Config) withDefaults() Config {
 	if config.TargetLoadTime <= 0 {
-		config.TargetLoadTime = defaultTarget
+		config.TargetLoadTime = defaultTargetLoadTime
 	}
 	if config.MaxConcurrentLoads <= 0 {
-		config.MaxConcurrentLoads = defaultConcurrency
+		config.MaxConcurrentLoads = defaultMaxConcurrentLoads
 	}
 	if config.MaxLoadDeferral <= 0 {
-		config.MaxLoadDeferral = defaultSwitchDeferral
+		config.MaxLoadDeferral = defaultMaxLoadDeferral
 	}
 	if config.HalfLife <= 0 {
 		config.HalfLife = defaultHalfLife
@@ -67,21 +69,26 @@
 	return config
 }
 
-// slot holds one adapter that is loading or loaded.
+// slot holds one adapter that is being loaded or loaded.
 type slot struct {
-	loading bool
-	started time.Time
-	// closing slots admit no new pins, so that they come free for another adapter.
-	closing  bool
-	pins     int
-	use      float64
+	loading     bool
+	loadStarted time.Time
+	// draining slots admit no new pins, so that they can be evicted for another
+	// adapter.
+	draining bool
+	// pins is the number of requests that use the adapter.
+	pins int
+	// useCount is the count of pins, decayed up to lastUsed.
+	useCount float64
 	lastUsed time.Time
-	// keep is until when the adapter is not evicted, after the engine refused it.
-	keep time.Time
+	// keepUntil is the time before which the adapter is not evicted, since the
+	// engine refused to evict it.
+	keepUntil time.Time
 }
 
+// value returns the use count decayed up to now.
 func (slot *slot) value(now time.Time, halfLife time.Duration) float64 {
-	return slot.use * math.Exp2(-float64(now.Sub(slot.lastUsed))/float64(halfLife))
+	return slot.useCount * math.Exp2(-float64(now.Sub(slot.lastUsed))/float64(halfLife))
 }
 
 // Table is the slot table of one engine. It is not safe for concurrent use.
@@ -89,52 +96,51 @@
 	config   Config
 	slots    map[AdapterRef]*slot
 	size     int
-	failures map[AdapterRef]*failure
-	throttle throttle
+	failures map[AdapterRef]*loadFailures
+	limiter  loadLimiter
 	random   *rand.Rand
 }
 
-// New returns a Table of an engine with nothing loaded.
+// New returns a Table of an engine without loaded adapters.
 func New(config Config) *Table {
 	config = config.withDefaults()
 	return &Table{
 		config:   config,
 		size:     config.Slots,
 		slots:    map[AdapterRef]*slot{},
-		failures: map[AdapterRef]*failure{},
-		throttle: newThrottle(config),
+		failures: map[AdapterRef]*loadFailures{},
+		limiter:  newLoadLimiter(config),
 		random:   rand.New(rand.NewPCG(config.Seed, 0)),
 	}
 }
 
-// Reset replaces the contents after the engine started anew. Pins and loads
-// from before are void; Unpin and Finish of them are ignored by the caller.
+// Reset replaces the contents after the engine has restarted. It drops all pins
+// and loads, for which the caller must not call Unpin or LoadFinished any more.
 func (table *Table) Reset(now time.Time, size int, loaded []AdapterRef) {
 	table.size = size
 	table.slots = make(map[AdapterRef]*slot, size)
-	table.throttle.inFlight = 0
+	table.limiter.inFlight = 0
 	for _, ref := range loaded {
 		table.slots[ref] = &slot{lastUsed: now}
 	}
 }
 
-// Resize follows a change of the number of slots. What exceeds it is evicted
-// when it is not in use.
+// Resize changes the number of slots. Adapters beyond it are evicted by later
+// plans when they are not in use.
 func (table *Table) Resize(size int) { table.size = size }
 
-// Reconcile corrects the table after an order failed, when it is not known
-// what the engine did: adapters that the engine holds are added, and those not
-// in use that it lacks are dropped.
+// Reconcile corrects the table after an order failed with an unknown effect. It
+// adds adapters that the engine has loaded and drops unused ones that it has not.
 func (table *Table) Reconcile(now time.Time, loaded []AdapterRef) {
-	held := make(map[AdapterRef]bool, len(loaded))
+	atEngine := make(map[AdapterRef]bool, len(loaded))
 	for _, ref := range loaded {
-		held[ref] = true
+		atEngine[ref] = true
 		if _, known := table.slots[ref]; !known {
 			table.slots[ref] = &slot{lastUsed: now}
 		}
 	}
 	for ref, slot := range table.slots {
-		if !held[ref] && !slot.loading && slot.pins == 0 {
+		if !atEngine[ref] && !slot.loading && slot.pins == 0 {
 			delete(table.slots, ref)
 		}
 	}
@@ -143,7 +149,8 @@
 // Size returns the number of slots.
 func (table *Table) Size() int { return table.size }
 
-// FreeSlots returns the number of slots without an adapter in use or loading.
+// FreeSlots returns the number of slots without an adapter that is in use or
+// being loaded.
 func (table *Table) FreeSlots() int {
 	free := table.size
 	for _, slot := range table.slots {
@@ -154,7 +161,7 @@
 	return max(free, 0)
 }
 
-// LoadedAdapters returns the loaded adapters, at most limit of them.
+// LoadedAdapters returns up to limit of the loaded adapters.
 func (table *Table) LoadedAdapters(limit int) []AdapterRef {
 	refs := make([]AdapterRef, 0, min(limit, len(table.slots)))
 	for ref, slot := range table.slots {
@@ -168,23 +175,23 @@
 // Ready reports whether a request for the adapter may start now.
 func (table *Table) Ready(ref AdapterRef) bool {
 	slot, ok := table.slots[ref]
-	return ok && !slot.loading && !slot.closing
+	return ok && !slot.loading && !slot.draining
 }
 
-// Pin marks the adapter as in use by one more request and reports whether it
-// was ready.
+// Pin marks the adapter as in use by one more request, if it is ready, and
+// reports whether it is. Pinned adapters are not evicted.
 func (table *Table) Pin(now time.Time, ref AdapterRef) bool {
 	if !table.Ready(ref) {
 		return false
 	}
 	slot := table.slots[ref]
-	slot.use = slot.value(now, table.config.HalfLife) + 1
+	slot.useCount = slot.value(now, table.config.HalfLife) + 1
 	slot.lastUsed = now
 	slot.pins++
 	return true
 }
 
-// Unpin ends one use of the adapter.
+// Unpin ends the use of the adapter by one request.
 func (table *Table) Unpin(ref AdapterRef) {
 	if slot, ok := table.slots[ref]; ok && slot.pins > 0 {
 		slot.pins--
--- a/internal/flow/slots/slots_test.go
+++ b/internal/flow/slots/slots_test.go
@@ -21,24 +21,24 @@
 
 func ref(name string) AdapterRef { return AdapterRef{Adapter: name, Version: 1} }
 
-// naiveSlot remembers every use.
+// naiveSlot stores the time of every use.
 type naiveSlot struct {
-	ref              AdapterRef
-	loading, closing bool
-	pins             int
-	uses             []time.Time
-	last             time.Time
+	ref               AdapterRef
+	loading, draining bool
+	pins              int
+	uses              []time.Time
+	last              time.Time
 }
 
-// naive is a slot table over lists that recomputes everything. It loads one
+// naive is a slot table that recomputes everything from lists. It loads one
 // adapter at a time.
 type naive struct {
 	size   int
 	config Config
 	slots  []*naiveSlot
-	// until is the end of each adapter's backoff, taken from the table since
-	// it is random.
-	until func(AdapterRef) time.Time
+	// backoffEnd returns the end of an adapter's backoff. It asks the tested
+	// table, because backoffs are random.
+	backoffEnd func(AdapterRef) time.Time
 }
 
 func (naive *naive) find(ref AdapterRef) *naiveSlot {
@@ -54,7 +54,7 @@
 	naive.slots = slices.DeleteFunc(naive.slots, func(slot *naiveSlot) bool { return slot.ref == ref })
 }
 
-func (naive *naive) least(now time.Time, may func(*naiveSlot) bool) *naiveSlot {
+func (naive *naive) leastValuable(now time.Time, eligible func(*naiveSlot) bool) *naiveSlot {
 	value := func(slot *naiveSlot) (sum float64) {
 		for _, use := range slot.uses {
 			sum += math.Exp2(-now.Sub(use).Seconds() / naive.config.HalfLife.Seconds())
@@ -63,7 +63,7 @@
 	}
 	var candidates []*naiveSlot
 	for _, slot := range naive.slots {
-		if !slot.loading && may(slot) {
+		if !slot.loading && eligible(slot) {
 			candidates = append(candidates, slot)
 		}
 	}
@@ -81,13 +81,13 @@
 	for _, demand := range demands {
 		if naive.find(demand.Ref) != nil {
 			waiting[demand.Ref] = true
-		} else if !naive.until(demand.Ref).After(now) {
+		} else if !naive.backoffEnd(demand.Ref).After(now) {
 			wanted = append(wanted, demand)
 		}
 	}
-	overdue := func(demand Demand) bool { return now.Sub(demand.OldestArrival) >= 8*naive.config.MaxLoadDeferral }
+	ageFirst := func(demand Demand) bool { return now.Sub(demand.OldestArrival) >= 8*naive.config.MaxLoadDeferral }
 	slices.SortFunc(wanted, func(left, right Demand) int {
-		if order := left.OldestArrival.Compare(right.OldestArrival); order != 0 && (overdue(left) || overdue(right)) {
+		if order := left.OldestArrival.Compare(right.OldestArrival); order != 0 && (ageFirst(left) || ageFirst(right)) {
 			return order
 		}
 		return cmp.Or(cmp.Compare(left.Class, right.Class), cmp.Compare(right.WaitingRequests, left.WaitingRequests),
@@ -95,22 +95,22 @@
 	})
 	if len(wanted) == 0 {
 		for _, slot := range naive.slots {
-			slot.closing = false
+			slot.draining = false
 		}
 	}
 	for _, demand := range wanted {
 		if slices.ContainsFunc(naive.slots, func(slot *naiveSlot) bool { return slot.loading }) {
 			break
 		}
-		late := now.Sub(demand.OldestArrival) >= naive.config.MaxLoadDeferral
+		overdue := now.Sub(demand.OldestArrival) >= naive.config.MaxLoadDeferral
 		var evict AdapterRef
 		if len(naive.slots) == naive.size {
-			victim := naive.least(now, func(slot *naiveSlot) bool {
-				return slot.pins == 0 && (late || slot.closing || !waiting[slot.ref])
+			victim := naive.leastValuable(now, func(slot *naiveSlot) bool {
+				return slot.pins == 0 && (overdue || slot.draining || !waiting[slot.ref])
 			})
 			if victim == nil {
-				if late {
-					naive.close(now, waiting)
+				if overdue {
+					naive.drainSlot(now, waiting)
 				}
 				continue
 			}
@@ -123,29 +123,29 @@
 	return orders
 }
 
-func (naive *naive) close(now time.Time, waiting map[AdapterRef]bool) {
-	if slices.ContainsFunc(naive.slots, func(slot *naiveSlot) bool { return slot.closing }) {
+func (naive *naive) drainSlot(now time.Time, waiting map[AdapterRef]bool) {
+	if slices.ContainsFunc(naive.slots, func(slot *naiveSlot) bool { return slot.draining }) {
 		return
 	}
-	victim := naive.least(now, func(slot *naiveSlot) bool { return !waiting[slot.ref] })
+	victim := naive.leastValuable(now, func(slot *naiveSlot) bool { return !waiting[slot.ref] })
 	if victim == nil {
-		victim = naive.least(now, func(*naiveSlot) bool { return true })
+		victim = naive.leastValuable(now, func(*naiveSlot) bool { return true })
 	}
 	if victim != nil {
-		victim.closing = true
+		victim.draining = true
 	}
 }
 
-// Guards against wrong victims, lost pins, double loads and starved demands
-// after any sequence of pins, unpins, plans, loads and failures.
+// Guards against wrong evictions, lost pins, duplicate loads and starved demands
+// after random sequences of pins, unpins, plans, loads and failures.
 func TestTableAgainstNaive(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 2))
 		config := Config{Slots: 4, Seed: seed, TargetLoadTime: time.Hour, MaxConcurrentLoads: 1, HalfLife: 10 * time.Second}.withDefaults()
 		table := New(config)
-		naive := &naive{size: 4, config: config, until: func(ref AdapterRef) time.Time {
+		naive := &naive{size: 4, config: config, backoffEnd: func(ref AdapterRef) time.Time {
 			if known, ok := table.failures[ref]; ok {
-				return known.until
+				return known.backoffEnd
 			}
 			return time.Time{}
 		}}
@@ -153,17 +153,17 @@
 		var pinned []AdapterRef
 		for step := range 400 {
 			now = now.Add(time.Duration(1+random.IntN(100)) * time.Millisecond)
-			name := ref(fmt.Sprint(random.IntN(9)))
+			adapter := ref(fmt.Sprint(random.IntN(9)))
 			switch action := random.IntN(10); {
 			case action < 4:
-				slot := naive.find(name)
-				want := slot != nil && !slot.loading && !slot.closing
-				if got := table.Pin(now, name); got != want {
-					t.Fatalf("seed %d step %d: pin of %s: %v", seed, step, name, got)
+				slot := naive.find(adapter)
+				want := slot != nil && !slot.loading && !slot.draining
+				if got := table.Pin(now, adapter); got != want {
+					t.Fatalf("seed %d step %d: pin of %s: %v", seed, step, adapter, got)
 				}
 				if want {
 					slot.pins, slot.uses, slot.last = slot.pins+1, append(slot.uses, now), now
-					pinned = append(pinned, name)
+					pinned = append(pinned, adapter)
 				}
 			case action < 7 && len(pinned) > 0:
 				index := random.IntN(len(pinned))
@@ -207,8 +207,9 @@
 	}
 }
 
-// loaded returns a full table of two adapters, a and b, of which a is used more.
-func loaded(t *testing.T) *Table {
+// fullTable returns a table with two slots and the loaded adapters a and b, of
+// which a was used more.
+func fullTable(t *testing.T) *Table {
 	t.Helper()
 	table := New(Config{Slots: 2, Seed: 1})
 	table.Reset(start, 2, []AdapterRef{ref("a"), ref("b")})
@@ -221,8 +222,8 @@
 	return table
 }
 
-// Guards against an adapter switch that throws away work which could start at
-// once, and against one that is put off for ever.
+// Guards against the eviction of an adapter whose waiting requests could start
+// at once, and against a load that is deferred for ever.
 func TestSwitchDeferral(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -230,7 +231,7 @@
 		waiting []string
 		age     time.Duration
 		want    []Order
-		closed  string
+		drained string
 	}{
 		{"idle victim", nil, nil, 0, []Order{{ref("c"), ref("b")}}, ""},
 		{"least used has work", nil, []string{"b"}, 0, []Order{{ref("c"), ref("a")}}, ""},
@@ -243,7 +244,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			table := loaded(t)
+			table := fullTable(t)
 			for _, name := range test.pins {
 				table.Pin(start, ref(name))
 			}
@@ -255,22 +256,22 @@
 			if diff := compare.Diff(test.want, table.Plan(now, demands)); diff != "" {
 				t.Errorf("orders (-want +got):\n%s", diff)
 			}
-			if test.closed == "" {
+			if test.drained == "" {
 				return
 			}
-			if table.Ready(ref(test.closed)) {
-				t.Error("the victim still takes new work")
+			if table.Ready(ref(test.drained)) {
+				t.Error("the draining adapter still admits requests")
 			}
-			table.Unpin(ref(test.closed))
-			if diff := compare.Diff([]Order{{ref("c"), ref(test.closed)}}, table.Plan(now, demands)); diff != "" {
+			table.Unpin(ref(test.drained))
+			if diff := compare.Diff([]Order{{ref("c"), ref(test.drained)}}, table.Plan(now, demands)); diff != "" {
 				t.Errorf("orders after its work (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// Guards against a backoff that is not kept, not doubled or not bounded, and
-// against requests that wait for more than two failures.
+// Guards against a backoff that is ignored, not doubled or not bounded, and
+// against requests that still wait after two failed loads.
 func TestBackoff(t *testing.T) {
 	table := New(Config{Slots: 1, Seed: 3})
 	now := start
@@ -280,11 +281,11 @@
 		if orders := table.Plan(now, demand); len(orders) != 1 {
 			t.Fatalf("failure %d: orders %v", count, orders)
 		}
-		if giveUp := table.LoadFinished(now, ref("a"), errStore); giveUp != (count >= 2) {
-			t.Errorf("failure %d: give up %v", count, giveUp)
+		if reject := table.LoadFinished(now, ref("a"), errStore); reject != (count >= 2) {
+			t.Errorf("failure %d: reject %v", count, reject)
 		}
 		next, _ := table.NextPlanTime(now, demand)
-		wait := table.failures[ref("a")].until.Sub(now)
+		wait := table.failures[ref("a")].backoffEnd.Sub(now)
 		if wait < delay/2 || wait > delay || next.After(now.Add(wait)) {
 			t.Errorf("failure %d: wait %v of %v, next plan after %v", count, wait, delay, next.Sub(now))
 		}
@@ -300,8 +301,8 @@
 	}
 }
 
-// Guards against a fleet that loads faster than the store can, and against one
-// that stays slow once the store is fast again.
+// Guards against loads that overload the weight store, and against a limit that
+// is not raised by fast loads.
 func TestThrottle(t *testing.T) {
 	tests := []struct {
 		took  time.Duration
@@ -309,18 +310,18 @@
 		want  float64
 	}{
 		{200 * time.Millisecond, 60, 8}, {250 * time.Millisecond, 60, 8},
-		{400 * time.Millisecond, 1, 1}, {400 * time.Millisecond, 10, leastLimit},
+		{400 * time.Millisecond, 1, 1}, {400 * time.Millisecond, 10, minLimit},
 	}
 	for _, test := range tests {
 		table := New(Config{Slots: 1000, MaxConcurrentLoads: 8})
 		now := start
 		for index := range test.loads {
-			name := ref(fmt.Sprint(index))
-			if orders := table.Plan(now, []Demand{{Ref: name, OldestArrival: now}}); len(orders) != 1 {
+			adapter := ref(fmt.Sprint(index))
+			if orders := table.Plan(now, []Demand{{Ref: adapter, OldestArrival: now}}); len(orders) != 1 {
 				t.Fatalf("%+v: load %d is held up", test, index)
 			}
 			now = now.Add(test.took)
-			table.LoadFinished(now, name, nil)
+			table.LoadFinished(now, adapter, nil)
 			now = now.Add(10 * time.Second)
 		}
 		if table.LoadConcurrency() != test.want {
@@ -329,10 +330,10 @@
 	}
 }
 
-// Guards against loads that follow each other too closely below one at a time.
+// Guards against missing pauses between loads while the limit is below 1.
 func TestThrottlePause(t *testing.T) {
 	table := New(Config{Slots: 10})
-	table.throttle.limit = 0.5
+	table.limiter.limit = 0.5
 	demand := []Demand{{Ref: ref("b"), OldestArrival: start}}
 	table.Plan(start, []Demand{{Ref: ref("a"), OldestArrival: start}})
 	now := start.Add(time.Second)
@@ -346,8 +347,8 @@
 	}
 }
 
-// Guards against a table that differs from the engine after orders whose
-// effect is not known.
+// Guards against a table that differs from the engine after orders with an
+// unknown effect.
 func TestReconcile(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -364,7 +365,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			table := loaded(t)
+			table := fullTable(t)
 			table.Pin(start, ref("a"))
 			test.change(table)
 			table.Plan(start, nil)
@@ -386,8 +387,8 @@
 	table.Reset(start, 32, refs)
 	b.ReportAllocs()
 	for index := 0; b.Loop(); index++ {
-		name := refs[index%32]
-		table.Pin(start, name)
-		table.Unpin(name)
+		adapter := refs[index%32]
+		table.Pin(start, adapter)
+		table.Unpin(adapter)
 	}
 }
