--- a/internal/flow/bucket/bucket.go
+++ b/internal/flow/bucket/bucket.go
@@ -1,8 +1,12 @@
-// Package bucket holds an organisation's rate over all entry instances without a
-// coordinator: each instance keeps a copy of the organisation's token bucket,
-// takes its own requests from it at once and those of the others as it hears of
-// them. The copies differ by what was spent within one exchange. An instance
-// that does not hear from the others takes no more than its part of the rate.
+// Package bucket limits the rate of each organisation over all entry instances
+// without a coordinator. Each instance keeps a copy of the organisation's token
+// bucket, takes its own requests off it at once, and takes off what the other
+// instances spend as they report it. The copies differ by what is spent within
+// one exchange. While another instance is silent, the fraction of the rate that
+// it spent before is reserved for it.
+//
+// The limit over all side processes, which shards the buckets, is in package
+// quota.
 package bucket
 
 import (
@@ -14,156 +18,165 @@
 
 // Defaults of Config.
 const (
-	// DefaultPeerTimeout is how long another instance may be silent before its part
-	// of the rate is left to it.
+	// DefaultPeerTimeout is how long nothing may be heard of another instance
+	// before it counts as silent and a fraction of the rate is reserved for it.
 	DefaultPeerTimeout = 450 * time.Millisecond
-	// DefaultInitial is the part of the burst that all instances together may
-	// spend at once after all started anew. What was spent before is not known.
-	DefaultInitial = 0.6
-	// DefaultUse is the part of rate and burst that is given out. The rest
-	// covers what the instances spend between two exchanges.
-	DefaultUse = 1.0
+	// DefaultInitialFraction is the fraction of the burst that all instances
+	// together may spend at once after a restart of all of them, when nobody
+	// knows what was spent before.
+	DefaultInitialFraction = 0.6
+	// DefaultUsableFraction is the fraction of rate and burst that requests may
+	// use. The rest covers what the instances spend between two exchanges.
+	DefaultUsableFraction = 1.0
 )
 
 const (
-	// paceTime is over how long spending is averaged.
-	paceTime = 2 * time.Second
-	// evenPart is the part of a rate that counts as spent evenly, so that an
-	// organisation that was idle is split evenly.
-	evenPart = 0.1
-	// recentTime is how long after a start it matters what buckets held then.
-	recentTime = 2 * time.Second
-	// followTime is how long after its start an instance heeds what those that
-	// started earlier say of the buckets.
-	followTime = 10 * time.Second
-	// leastPart bounds the part of a rate that an instance has from below.
-	leastPart = 0.01
+	// averagingTime is the time constant of the average spending rates.
+	averagingTime = 2 * time.Second
+	// evenFraction is the fraction of a rate that counts as spent equally by
+	// all instances, so that the rate of an idle organisation is split equally.
+	evenFraction = 0.1
+	// startupTime is how long after its start an instance counts as just
+	// started. Instances that start together each get a grant of the burst.
+	startupTime = 2 * time.Second
+	// capTime is how long after its start an instance limits its bucket levels
+	// to those that instances which started earlier report.
+	capTime = 10 * time.Second
+	// minFraction is the smallest fraction of a rate that an instance counts
+	// on.
+	minFraction = 0.01
 )
 
-// Config configures a Ledger. Zero values mean the defaults.
+// Config configures a Limiter. Zero values mean the defaults.
 type Config struct {
-	Silence time.Duration
-	Initial float64
-	Use     float64
+	PeerTimeout     time.Duration
+	InitialFraction float64
+	UsableFraction  float64
 }
 
-// Limit is the rate of one organisation, in its own units.
+// Limit is the rate limit of one organisation, in the units that it is charged
+// in.
 type Limit struct {
 	// Rate is in units per second; 0 means no limit.
 	Rate  float64
 	Burst float64
 }
 
-// Limiter holds the buckets of all organisations as one instance sees them. Its
+// Limiter holds this instance's copy of the buckets of all organisations. Its
 // methods may be called concurrently.
 type Limiter struct {
 	config Config
 
 	mutex sync.Mutex
 	start time.Time
-	// since is the time from which the buckets count: the start of this
-	// instance, or of the one whose buckets it took over.
-	since     time.Time
+	// fillStart is the time from which new buckets fill: the start of this
+	// instance, or of the one whose levels it adopted.
+	fillStart time.Time
 	instances int
-	// settled means that it is decided what new buckets hold, and adopted that
-	// the buckets of another instance were taken over.
-	settled bool
-	adopted bool
-	buckets map[string]*bucket
-	peers   map[string]*peer
+	// initialised means that the level of new buckets is known, and adopted
+	// that the levels of another instance were adopted.
+	initialised bool
+	adopted     bool
+	buckets     map[string]*bucket
+	peers       map[string]*peer
 }
 
+// bucket is this instance's copy of an organisation's token bucket.
 type bucket struct {
 	limit Limit
 	level float64
-	// own is what this instance has spent since its start, and pace how fast.
-	own   float64
-	pace  pace
-	drawn time.Time
+	// spent is what this instance has spent since its start, and rate how fast
+	// it spends.
+	spent    float64
+	rate     spendingRate
+	filledAt time.Time
 }
 
-// New returns an empty Ledger.
+// New returns a Limiter without buckets.
 func New(config Config) *Limiter {
-	config.Silence = cmp.Or(config.Silence, DefaultPeerTimeout)
-	config.Initial = cmp.Or(config.Initial, DefaultInitial)
-	config.Use = cmp.Or(config.Use, DefaultUse)
+	config.PeerTimeout = cmp.Or(config.PeerTimeout, DefaultPeerTimeout)
+	config.InitialFraction = cmp.Or(config.InitialFraction, DefaultInitialFraction)
+	config.UsableFraction = cmp.Or(config.UsableFraction, DefaultUsableFraction)
 	now := time.Now()
-	return &Limiter{config: config, start: now, since: now, buckets: make(map[string]*bucket), peers: make(map[string]*peer)}
+	return &Limiter{config: config, start: now, fillStart: now, buckets: make(map[string]*bucket), peers: make(map[string]*peer)}
 }
 
-// Take spends cost of an organisation's bucket. If the bucket does not hold it,
-// Take spends nothing and returns how long it takes to fill so far.
-func (ledger *Limiter) Take(organisation string, limit Limit, cost float64) (time.Duration, bool) {
+// Take spends cost from an organisation's bucket. If the level does not
+// suffice, it spends nothing and returns false and the time after which it
+// would. A cost above the burst needs a full bucket.
+func (limiter *Limiter) Take(organisation string, limit Limit, cost float64) (time.Duration, bool) {
 	if limit.Rate <= 0 {
 		return 0, true
 	}
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	bucket := ledger.refill(organisation, limit)
-	if lacking := math.Min(cost, limit.Burst*ledger.config.Use) - bucket.level; lacking > 0 {
-		rate := limit.Rate * ledger.config.Use * ledger.part(organisation, limit)
-		return time.Duration(lacking / rate * float64(time.Second)), false
+	limiter.mutex.Lock()
+	defer limiter.mutex.Unlock()
+	bucket := limiter.currentBucket(organisation, limit)
+	if missing := math.Min(cost, limit.Burst*limiter.config.UsableFraction) - bucket.level; missing > 0 {
+		rate := limit.Rate * limiter.config.UsableFraction * limiter.fraction(organisation, limit)
+		return time.Duration(missing / rate * float64(time.Second)), false
 	}
 	bucket.level -= cost
-	bucket.own += cost
-	bucket.pace.add(cost)
+	bucket.spent += cost
+	bucket.rate.add(cost)
 	return 0, true
 }
 
-// Status is what an instance knows of an organisation's share.
+// Status describes an organisation's bucket as this instance sees it.
 type Status struct {
-	// Level is what may be spent at once, Part the part of the rate that this
-	// instance counts on.
+	// Level is what may be spent at once, and Fraction the fraction of the rate
+	// that this instance counts on.
 	Level    float64
 	Fraction float64
 	// SilentPeers is the number of instances that are not heard.
 	SilentPeers int
 }
 
-// Status returns what is known of an organisation's share.
-func (ledger *Limiter) Status(organisation string, limit Limit) Status {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	bucket := ledger.refill(organisation, limit)
-	standing := Status{Level: bucket.level, Fraction: ledger.part(organisation, limit)}
-	for _, peer := range ledger.peers {
+// Status returns the status of an organisation's bucket.
+func (limiter *Limiter) Status(organisation string, limit Limit) Status {
+	limiter.mutex.Lock()
+	defer limiter.mutex.Unlock()
+	bucket := limiter.currentBucket(organisation, limit)
+	status := Status{Level: bucket.level, Fraction: limiter.fraction(organisation, limit)}
+	for _, peer := range limiter.peers {
 		if peer.silent {
-			standing.SilentPeers++
+			status.SilentPeers++
 		}
 	}
-	return standing
+	return status
 }
 
-// Refund gives back what a request took that did not run.
-func (ledger *Limiter) Refund(organisation string, cost float64) {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	if bucket, ok := ledger.buckets[organisation]; ok {
-		bucket.level = math.Min(bucket.level+cost, bucket.limit.Burst*ledger.config.Use)
-		bucket.own -= cost
+// Refund returns the cost of a request that did not run to its organisation's
+// bucket.
+func (limiter *Limiter) Refund(organisation string, cost float64) {
+	limiter.mutex.Lock()
+	defer limiter.mutex.Unlock()
+	if bucket, ok := limiter.buckets[organisation]; ok {
+		bucket.level = math.Min(bucket.level+cost, bucket.limit.Burst*limiter.config.UsableFraction)
+		bucket.spent -= cost
 	}
 }
 
-// refill brings a bucket to the present.
-func (ledger *Limiter) refill(organisation string, limit Limit) *bucket {
-	found, ok := ledger.buckets[organisation]
+// currentBucket returns an organisation's bucket, refilled up to now and held
+// to the present limit.
+func (limiter *Limiter) currentBucket(organisation string, limit Limit) *bucket {
+	found, ok := limiter.buckets[organisation]
 	if !ok {
-		found = ledger.create(organisation, limit)
-		ledger.buckets[organisation] = found
+		found = limiter.newBucket(organisation, limit)
+		limiter.buckets[organisation] = found
 	}
 	if found.limit != limit {
 		found.limit = limit
 		found.level = math.Min(found.level, limit.Burst)
 	}
-	ledger.fill(found, organisation)
+	limiter.refill(found, organisation)
 	return found
 }
 
-// fill adds to a bucket what its rate gave since it was drawn from.
-func (ledger *Limiter) fill(bucket *bucket, organisation string) {
+// refill adds what the rate has given since the bucket was last refilled.
+func (limiter *Limiter) refill(bucket *bucket, organisation string) {
 	now := time.Now()
-	elapsed := now.Sub(bucket.drawn).Seconds()
-	bucket.drawn = now
-	use, limit := ledger.config.Use, bucket.limit
-	bucket.level = math.Min(bucket.level+elapsed*limit.Rate*use*ledger.part(organisation, limit), limit.Burst*use)
+	elapsed := now.Sub(bucket.filledAt).Seconds()
+	bucket.filledAt = now
+	usable, limit := limiter.config.UsableFraction, bucket.limit
+	bucket.level = math.Min(bucket.level+elapsed*limit.Rate*usable*limiter.fraction(organisation, limit), limit.Burst*usable)
 }
--- a/internal/flow/bucket/bucket_test.go
+++ b/internal/flow/bucket/bucket_test.go
@@ -12,64 +12,66 @@
 
 var limit = Limit{Rate: 60_000, Burst: 60_000}
 
-// allowed is what may run within eight seconds by the users' rule: a tenth over
-// rate and burst, and 11,000 tokens.
-const allowed = (60_000*8+60_000)*1.1 + 11_000
+// maxAdmitted is what may run within eight seconds: a tenth over rate and
+// burst, and 11,000 tokens.
+const maxAdmitted = (60_000*8+60_000)*1.1 + 11_000
 
 type admitted struct {
 	at   time.Time
 	cost float64
 }
 
-// instances is a fleet of ledgers that exchange what they spent.
-type instances struct {
-	ledgers []*Limiter
-	starts  []int64
+// fleet is a set of instances that exchange their usage.
+type fleet struct {
+	limiters []*Limiter
+	starts   []int64
 }
 
-func newInstances(count int) *instances {
-	fleet := &instances{}
+func newFleet(count int) *fleet {
+	fleet := &fleet{}
 	for i := range count {
-		ledger := New(Config{})
-		ledger.SetInstances(count)
-		fleet.ledgers = append(fleet.ledgers, ledger)
+		limiter := New(Config{})
+		limiter.SetInstances(count)
+		fleet.limiters = append(fleet.limiters, limiter)
 		fleet.starts = append(fleet.starts, int64(i+1))
 	}
 	return fleet
 }
 
 // restart replaces an instance by one that knows nothing.
-func (fleet *instances) restart(i int) {
-	fleet.ledgers[i] = New(Config{})
+func (fleet *fleet) restart(i int) {
+	fleet.limiters[i] = New(Config{})
 	fleet.starts[i] += 100
 }
 
-// settle tells the instances of which loaders have heard how many there are.
-func (fleet *instances) settle() {
-	for _, ledger := range fleet.ledgers {
-		if ledger.LocalUsage().Uptime >= 120*time.Millisecond {
-			ledger.SetInstances(len(fleet.ledgers))
+// initialise sets the instance count at the instances that have run for 120 ms,
+// by when loaders have told them.
+func (fleet *fleet) initialise() {
+	for _, limiter := range fleet.limiters {
+		if limiter.LocalUsage().Uptime >= 120*time.Millisecond {
+			limiter.SetInstances(len(fleet.limiters))
 		}
 	}
 }
 
-// exchange tells each what the others spent; a part of it is lost.
-func (fleet *instances) exchange(random *rand.Rand, loss float64, cut int) {
-	for from, ledger := range fleet.ledgers {
-		for to, other := range fleet.ledgers {
+// exchange sends each instance's usage to the others. A fraction of the
+// datagrams is lost, and nothing reaches or leaves the instance cut.
+func (fleet *fleet) exchange(random *rand.Rand, loss float64, cut int) {
+	for from, limiter := range fleet.limiters {
+		for to, other := range fleet.limiters {
 			if from == to || from == cut || to == cut || random.Float64() < loss {
 				continue
 			}
-			statement := ledger.LocalUsage()
-			statement.Start = fleet.starts[from]
-			other.MergeUsage(fmt.Sprint(from), statement)
+			usage := limiter.LocalUsage()
+			usage.Start = fleet.starts[from]
+			other.MergeUsage(fmt.Sprint(from), usage)
 		}
 	}
 }
 
 // TestBound plays an organisation that sends seven times its rate through all
-// instances, while datagrams are lost, an instance is cut off and another starts
-// anew. Within any eight seconds no more may run than the users allow.
+// instances while datagrams are lost, one instance is partitioned and others
+// restart. Within any eight seconds no more than maxAdmitted may run.
 func TestBound(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -78,9 +80,9 @@
 		restart bool
 		outage  bool
 	}{
-		{name: "calm"},
+		{name: "no fault"},
 		{name: "loss", loss: 0.3},
-		{name: "cut", cut: true},
+		{name: "partition", cut: true},
 		{name: "restart", restart: true},
 		{name: "all restart", loss: 0.2, outage: true},
 		{name: "all at once", loss: 0.2, cut: true, restart: true},
@@ -89,7 +91,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				random := rand.New(rand.NewPCG(1, 2))
-				fleet := newInstances(5)
+				fleet := newFleet(5)
 				var history []admitted
 				began := time.Now()
 				for step := 0; time.Since(began) < 30*time.Second; step++ {
@@ -101,15 +103,15 @@
 						fleet.restart(1)
 					}
 					if test.outage && step%1000 == 500 {
-						for i := range fleet.ledgers {
+						for i := range fleet.limiters {
 							fleet.restart(i)
 						}
 					}
-					fleet.settle()
+					fleet.initialise()
 					for range 3 {
-						ledger := fleet.ledgers[random.IntN(5)]
+						limiter := fleet.limiters[random.IntN(5)]
 						cost := 400 + random.Float64()*2000
-						if _, ok := ledger.Take(organisation, limit, cost); ok {
+						if _, ok := limiter.Take(organisation, limit, cost); ok {
 							history = append(history, admitted{time.Now(), cost})
 						}
 					}
@@ -118,13 +120,13 @@
 					}
 					time.Sleep(10 * time.Millisecond)
 				}
-				checkBound(t, history)
+				checkAdmitted(t, history)
 			})
 		})
 	}
 }
 
-func checkBound(t *testing.T, history []admitted) {
+func checkAdmitted(t *testing.T, history []admitted) {
 	t.Helper()
 	first, sum, most, total := 0, 0.0, 0.0, 0.0
 	for _, entry := range history {
@@ -136,24 +138,24 @@
 		}
 		most = max(most, sum)
 	}
-	if most > allowed {
-		t.Errorf("%.0f tokens within 8 s, at most %.0f are allowed", most, allowed)
+	if most > maxAdmitted {
+		t.Errorf("%.0f tokens within 8 s, want at most %.0f", most, maxAdmitted)
 	}
 	if least := 60_000 * 30 * 0.75; total < least {
-		t.Errorf("%.0f tokens in 30 s, at least %.0f were within the rate", total, least)
+		t.Errorf("%.0f tokens in 30 s, want at least %.0f of the rate", total, least)
 	}
 }
 
-// TestWithinRate guards against refusals of an organisation that stays within
-// its rate, spread unevenly over the instances.
+// TestWithinRate guards against refusing an organisation that stays within its
+// rate but sends all requests to one instance.
 func TestWithinRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(3, 4))
-		fleet := newInstances(5)
+		fleet := newFleet(5)
 		time.Sleep(time.Second)
 		refused := 0
 		for step := range 2000 {
-			if _, ok := fleet.ledgers[0].Take(organisation, limit, 1460*0.9*60_000/146_000); !ok {
+			if _, ok := fleet.limiters[0].Take(organisation, limit, 1460*0.9*60_000/146_000); !ok {
 				refused++
 			}
 			if step%10 == 0 {
@@ -167,24 +169,24 @@
 	})
 }
 
-// TestCutWithinRate guards against refusals of an organisation within its rate
-// because an instance that served a tenth of it is cut off.
+// TestCutWithinRate guards against refusing an organisation within its rate
+// because an instance that served a tenth of its requests is partitioned.
 func TestCutWithinRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(5, 6))
-		fleet := newInstances(2)
+		fleet := newFleet(2)
 		refused := 0
 		for step := range 1500 {
 			cut := -1
 			if step > 500 {
 				cut = 1
 			}
-			at := 0
+			target := 0
 			if step%10 == 0 {
-				at = 1
+				target = 1
 			}
 			// Five ninths of the rate, as the organisations usually send.
-			if _, ok := fleet.ledgers[at].Take(organisation, limit, 600/1.8); !ok && step > 100 {
+			if _, ok := fleet.limiters[target].Take(organisation, limit, 600/1.8); !ok && step > 100 {
 				refused++
 			}
 			if step%10 == 0 {
@@ -198,32 +200,33 @@
 	})
 }
 
-// TestOutage plays the restart of all instances under an organisation that stays
-// within its rate and sends most to one of them. Once they know of each other
-// nothing is refused: none has to serve it from its own part of the burst.
+// TestOutage plays the restart of all instances while an organisation stays
+// within its rate and sends most requests to one of them. Once the instances
+// know of each other nothing is refused: the one must not have to serve the
+// organisation from its own grant alone.
 func TestOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(7, 8))
-		fleet := newInstances(4)
+		fleet := newFleet(4)
 		refused := 0
 		for step := range 300 {
 			if step == 100 {
-				for i := range fleet.ledgers {
+				for i := range fleet.limiters {
 					fleet.restart(i)
 				}
 			}
-			fleet.settle()
-			at := 0
+			fleet.initialise()
+			target := 0
 			if step%10 == 0 {
-				at = 1 + random.IntN(3)
+				target = 1 + random.IntN(3)
 			}
-			settled := fleet.ledgers[at].Initialised()
-			// Callers come back at once after the outage.
+			initialised := fleet.limiters[target].Initialised()
+			// Callers that waited come back together after the outage.
 			cost := 400.0
 			if step > 130 && step < 160 {
 				cost = 1200
 			}
-			if _, ok := fleet.ledgers[at].Take(organisation, limit, cost); !ok && settled {
+			if _, ok := fleet.limiters[target].Take(organisation, limit, cost); !ok && initialised {
 				refused++
 			}
 			if step%10 == 0 {
@@ -238,7 +241,7 @@
 }
 
 // TestAdopt guards against an instance that starts later refusing what the
-// others would serve, or serving what they would refuse.
+// others would admit, or admitting what they would refuse.
 func TestAdopt(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -253,18 +256,18 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				random := rand.New(rand.NewPCG(9, 10))
-				fleet := newInstances(3)
+				fleet := newFleet(3)
 				fleet.exchange(random, 0, -1)
 				time.Sleep(5 * time.Second)
-				if _, ok := fleet.ledgers[0].Take(organisation, limit, test.spent); !ok {
-					t.Fatal("the burst is refused")
+				if _, ok := fleet.limiters[0].Take(organisation, limit, test.spent); !ok {
+					t.Fatal("request within the burst refused")
 				}
 				fleet.restart(2)
 				fleet.exchange(random, 0, -1)
-				if !fleet.ledgers[2].Initialised() {
-					t.Fatal("the instance does not take over the buckets of the others")
+				if !fleet.limiters[2].Initialised() {
+					t.Fatal("the instance does not adopt the levels of the others")
 				}
-				if _, ok := fleet.ledgers[2].Take(organisation, limit, 25_000); ok != test.want {
+				if _, ok := fleet.limiters[2].Take(organisation, limit, 25_000); ok != test.want {
 					t.Errorf("admitted %v, want %v", ok, test.want)
 				}
 			})
@@ -272,86 +275,86 @@
 	}
 }
 
-// TestLowered guards against a bucket that keeps the burst of a limit that was
-// lowered.
+// TestLowered guards against a bucket that keeps the burst of an earlier,
+// higher limit.
 func TestLowered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ledger := New(Config{})
-		ledger.SetInstances(1)
+		limiter := New(Config{})
+		limiter.SetInstances(1)
 		time.Sleep(10 * time.Second)
-		ledger.Take(organisation, limit, 1)
+		limiter.Take(organisation, limit, 1)
 		lowered := Limit{Rate: 1000, Burst: 1000}
-		if _, ok := ledger.Take(organisation, lowered, 900); !ok {
+		if _, ok := limiter.Take(organisation, lowered, 900); !ok {
 			t.Error("refused within the lowered burst")
 		}
-		wait, ok := ledger.Take(organisation, lowered, 900)
+		wait, ok := limiter.Take(organisation, lowered, 900)
 		if ok {
 			t.Error("took twice the lowered burst")
 		}
 		if want := 800 * time.Millisecond; wait < want-time.Millisecond || wait > want+time.Millisecond {
-			t.Errorf("told to wait %v, want %v", wait, want)
+			t.Errorf("wait %v, want %v", wait, want)
 		}
 	})
 }
 
-// TestReturn guards against a request that did not run counting against its
-// organisation.
-func TestReturn(t *testing.T) {
+// TestRefund guards against charging an organisation for a request that did not
+// run.
+func TestRefund(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ledger := New(Config{})
+		limiter := New(Config{})
 		small := Limit{Rate: 100, Burst: 100}
 		time.Sleep(2 * time.Second)
-		if _, ok := ledger.Take(organisation, small, 100); !ok {
+		if _, ok := limiter.Take(organisation, small, 100); !ok {
 			t.Fatal("refused with a full bucket")
 		}
-		ledger.Refund(organisation, 100)
-		if _, ok := ledger.Take(organisation, small, 100); !ok {
-			t.Error("refused after the cost was returned")
+		limiter.Refund(organisation, 100)
+		if _, ok := limiter.Take(organisation, small, 100); !ok {
+			t.Error("refused after the cost was refunded")
 		}
 	})
 }
 
-// TestWait guards against a wait that is told too short, so that who waits it
-// out is refused again.
+// TestWait guards against a wait that is too short, so that a caller who waits
+// it out is refused again.
 func TestWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ledger := New(Config{})
-		wait, ok := ledger.Take(organisation, limit, 1460)
+		limiter := New(Config{})
+		wait, ok := limiter.Take(organisation, limit, 1460)
 		if ok {
-			t.Fatal("a new bucket holds a whole request before the fleet is known")
+			t.Fatal("a new bucket admits a request before the instance count is known")
 		}
 		time.Sleep(wait + time.Microsecond)
-		if _, ok := ledger.Take(organisation, limit, 1460); !ok {
+		if _, ok := limiter.Take(organisation, limit, 1460); !ok {
 			t.Errorf("refused after waiting %v", wait)
 		}
 	})
 }
 
-// TestPartial guards against statements that tell only what changed: one that
-// comes before the first whole one must not take all that was ever spent off the
-// buckets, and organisations that are left out must stay as they were.
+// TestPartial guards against two faults of partial usage reports: one that
+// comes before the first full report must not take all that was ever spent off
+// the buckets, and organisations that it leaves out must stay as they were.
 func TestPartial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ledger := New(Config{})
-		ledger.SetInstances(1)
+		limiter := New(Config{})
+		limiter.SetInstances(1)
 		time.Sleep(10 * time.Second)
-		ledger.Take(organisation, limit, 1000)
-		ledger.Take("idle", limit, 1000)
-		level := func(name string) float64 { return ledger.Status(name, limit).Level }
+		limiter.Take(organisation, limit, 1000)
+		limiter.Take("idle", limit, 1000)
+		level := func(name string) float64 { return limiter.Status(name, limit).Level }
 		steps := []struct {
 			name  string
 			spent map[string]float64
-			whole bool
-			// want is what the bucket holds after the statement.
+			full  bool
+			// want is what the bucket holds after the usage.
 			want map[string]float64
 		}{
 			{"partial first", map[string]float64{organisation: 50_000}, false, map[string]float64{organisation: 59_000, "idle": 59_000}},
-			{"whole", map[string]float64{organisation: 50_000, "idle": 40_000}, true, map[string]float64{organisation: 59_000, "idle": 59_000}},
+			{"full", map[string]float64{organisation: 50_000, "idle": 40_000}, true, map[string]float64{organisation: 59_000, "idle": 59_000}},
 			{"a change", map[string]float64{organisation: 53_000}, false, map[string]float64{organisation: 56_000, "idle": 59_000}},
-			{"whole again", map[string]float64{organisation: 54_000, "idle": 42_000}, true, map[string]float64{organisation: 55_000, "idle": 57_000}},
+			{"full again", map[string]float64{organisation: 54_000, "idle": 42_000}, true, map[string]float64{organisation: 55_000, "idle": 57_000}},
 		}
 		for _, step := range steps {
-			ledger.MergeUsage("other", Usage{Start: 7, Uptime: time.Hour, Initialised: true, Partial: !step.whole, Spent: step.spent})
+			limiter.MergeUsage("other", Usage{Start: 7, Uptime: time.Hour, Initialised: true, Partial: !step.full, Spent: step.spent})
 			for name, want := range step.want {
 				if got := level(name); got != want {
 					t.Errorf("%s: the bucket of %s holds %.0f, want %.0f", step.name, name, got, want)
--- a/internal/flow/bucket/peers.go
+++ b/internal/flow/bucket/peers.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Usage is what an instance says of its spending.
+// Usage is what an instance has spent, and its bucket levels.
 type Usage struct {
-	// Start identifies the instance's start, and Uptime is the time for which
-	// its buckets count.
+	// Start identifies the instance's incarnation, and Uptime is the time for
+	// which its buckets have filled.
 	Start  int64
 	Uptime time.Duration
 	// Initialised means that Levels holds all buckets.
@@ -16,8 +16,8 @@
 	// Partial means that Spent and Levels leave out organisations that have not
 	// changed lately.
 	Partial bool
-	// Spent is what it has spent since its start, and Levels what its buckets
-	// hold, by organisation.
+	// Spent is what the instance has spent since its start, and Levels the
+	// level of each bucket, by organisation.
 	Spent  map[string]float64
 	Levels map[string]float64
 }
@@ -25,76 +25,75 @@
 // peer is another entry instance.
 type peer struct {
 	Usage
-	// granted means that it started together with this instance, with a grant
-	// of its own.
+	// granted means that the peer started together with this instance and has a
+	// grant of its own.
 	granted bool
-	heard   time.Time
+	heardAt time.Time
 	silent  bool
-	paces   map[string]*pace
-	// kept is the part of each organisation's rate that is left to the instance
-	// while it is silent.
-	kept map[string]float64
+	rates   map[string]*spendingRate
+	// reserved is the fraction of each organisation's rate that is reserved for
+	// the peer while it is silent.
+	reserved map[string]float64
 }
 
-// LocalUsage returns what this instance says of its spending. The caller adds
-// what identifies its start.
-func (ledger *Limiter) LocalUsage() Usage {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	statement := Usage{
-		Uptime:      time.Since(ledger.since),
-		Initialised: ledger.settled,
-		Spent:       make(map[string]float64, len(ledger.buckets)),
-		Levels:      make(map[string]float64, len(ledger.buckets)),
+// LocalUsage returns this instance's usage. The caller sets Start.
+func (limiter *Limiter) LocalUsage() Usage {
+	limiter.mutex.Lock()
+	defer limiter.mutex.Unlock()
+	usage := Usage{
+		Uptime:      time.Since(limiter.fillStart),
+		Initialised: limiter.initialised,
+		Spent:       make(map[string]float64, len(limiter.buckets)),
+		Levels:      make(map[string]float64, len(limiter.buckets)),
 	}
-	for organisation, bucket := range ledger.buckets {
-		statement.Spent[organisation] = bucket.own
-		if ledger.settled {
-			ledger.fill(bucket, organisation)
-			statement.Levels[organisation] = bucket.level
+	for organisation, bucket := range limiter.buckets {
+		usage.Spent[organisation] = bucket.spent
+		if limiter.initialised {
+			limiter.refill(bucket, organisation)
+			usage.Levels[organisation] = bucket.level
 		}
 	}
-	return statement
+	return usage
 }
 
-// MergeUsage records what another instance says of its spending. A partial statement
-// of a start that is not known is passed over, since it does not tell what was
-// spent before.
-func (ledger *Limiter) MergeUsage(name string, statement Usage) {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	known, ok := ledger.peers[name]
-	if !ok || known.Start != statement.Start {
-		if statement.Partial {
+// MergeUsage takes what another instance has spent since its previous report
+// off the buckets. A partial report of an unknown incarnation is ignored, since
+// it does not tell what was spent before.
+func (limiter *Limiter) MergeUsage(name string, usage Usage) {
+	limiter.mutex.Lock()
+	defer limiter.mutex.Unlock()
+	known, ok := limiter.peers[name]
+	if !ok || known.Start != usage.Start {
+		if usage.Partial {
 			return
 		}
-		known = ledger.meet(name, statement)
+		known = limiter.addPeer(name, usage)
 	}
-	for organisation, total := range statement.Spent {
-		more := total - known.Spent[organisation]
-		known.pace(organisation).add(more)
-		if bucket, ok := ledger.buckets[organisation]; ok {
-			bucket.level -= more
+	for organisation, total := range usage.Spent {
+		added := total - known.Spent[organisation]
+		known.spendingRate(organisation).add(added)
+		if bucket, ok := limiter.buckets[organisation]; ok {
+			bucket.level -= added
 		}
 	}
-	if !ledger.settled && statement.Initialised {
-		ledger.adopt(statement)
+	if !limiter.initialised && usage.Initialised {
+		limiter.adoptLevels(usage)
 	}
-	ledger.follow(statement)
-	known.heard, known.silent = time.Now(), false
-	known.take(statement)
+	limiter.capLevels(usage)
+	known.heardAt, known.silent = time.Now(), false
+	known.update(usage)
 }
 
-// take takes over what an instance says. What it leaves out stands.
-func (peer *peer) take(statement Usage) {
-	if statement.Partial {
-		statement.Spent = merged(peer.Spent, statement.Spent)
-		statement.Levels = merged(peer.Levels, statement.Levels)
+// update replaces the peer's usage. What a partial report leaves out stays.
+func (peer *peer) update(usage Usage) {
+	if usage.Partial {
+		usage.Spent = merged(peer.Spent, usage.Spent)
+		usage.Levels = merged(peer.Levels, usage.Levels)
 	}
-	peer.Usage = statement
+	peer.Usage = usage
 }
 
-// merged returns the older values with the newer ones in their places.
+// merged returns the union of two maps; newer values replace older ones.
 func merged(older, newer map[string]float64) map[string]float64 {
 	all := make(map[string]float64, len(older)+len(newer))
 	maps.Copy(all, older)
@@ -102,21 +101,23 @@
 	return all
 }
 
-// RemovePeer records that another instance has ended, so that its part of the rate is
-// free. Silence alone does not show this: it may serve behind a partition.
-func (ledger *Limiter) RemovePeer(name string) {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	delete(ledger.peers, name)
+// RemovePeer records that another instance has ended, so that nothing is
+// reserved for it any longer. Silence alone does not show this: the instance
+// may still serve on the other side of a partition.
+func (limiter *Limiter) RemovePeer(name string) {
+	limiter.mutex.Lock()
+	defer limiter.mutex.Unlock()
+	delete(limiter.peers, name)
 }
 
-// CountPeers returns how many other instances are heard, and how many are silent.
-func (ledger *Limiter) CountPeers() (heard, silent int) {
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
+// CountPeers returns how many other instances are heard and how many are
+// silent.
+func (limiter *Limiter) CountPeers() (heard, silent int) {
+	limiter.mutex.Lock()
+	defer limiter.mutex.Unlock()
 	now := time.Now()
-	for _, peer := range ledger.peers {
-		if now.Sub(peer.heard) > ledger.config.Silence {
+	for _, peer := range limiter.peers {
+		if now.Sub(peer.heardAt) > limiter.config.PeerTimeout {
 			silent++
 		} else {
 			heard++
--- a/internal/flow/lora/lora.go
+++ b/internal/flow/lora/lora.go
@@ -1,7 +1,9 @@
-// Package lora decides which adapters the engine beside a loader holds: it
-// turns what the entry instances ask for, and what the engine reports, into one
-// order at a time. The engine's report is the truth; an order whose outcome is
-// unknown counts as carried out until a report says otherwise.
+// Package lora plans which adapters the engine of a loader loads and unloads,
+// one order at a time, from the demands of the entry instances and the engine's
+// reports. The reports are authoritative: an order without an answer is given
+// again with the same sequence, which the engine accepts only once.
+//
+// The adapter slot table of a side process is in package slots.
 package lora
 
 import (
@@ -14,186 +16,192 @@
 
 // Defaults of Config.
 const (
-	// DefaultLinger is how long a demand counts after the entry instance that
-	// sent it was last heard.
-	DefaultLinger = 1500 * time.Millisecond
-	// DefaultTransit is the largest number of adapters on their way at once.
-	DefaultTransit = 4
-	// DefaultStore is the number of adapters on their way to all engines up to
-	// which the weight store brings each at full speed. Beyond it an engine asks
-	// for one at a time, so that the adapters most asked for come first.
-	DefaultStore = 8
-	// DefaultKeep is how long an adapter is kept after its last use, so that
-	// requests on their way still find it.
-	DefaultKeep = 300 * time.Millisecond
+	// DefaultDemandTimeout is how long a demand counts after it was received.
+	DefaultDemandTimeout = 1500 * time.Millisecond
+	// DefaultMaxPending is the largest number of loads pending on one engine.
+	DefaultMaxPending = 4
+	// DefaultStoreConcurrency is the number of pending loads on all engines up
+	// to which the weight store serves each at full speed. Beyond it an engine
+	// loads one adapter at a time, so that those with the most waiting requests
+	// come first.
+	DefaultStoreConcurrency = 8
+	// DefaultMinIdle is how long an adapter stays resident after its last use,
+	// so that requests already dispatched to the engine still find it.
+	DefaultMinIdle = 300 * time.Millisecond
 )
 
 // Config configures a Planner. Zero values mean the defaults.
 type Config struct {
-	Linger  time.Duration
-	Transit int
-	Store   int
-	Keep    time.Duration
+	DemandTimeout    time.Duration
+	MaxPending       int
+	StoreConcurrency int
+	MinIdle          time.Duration
 }
 
-// Adapter is an adapter in one version.
+// Adapter identifies one version of an adapter.
 type Adapter struct {
 	Name    string
 	Version uint32
 }
 
-// Satisfies reports whether the adapter can answer for the wanted one: it is the
-// same, in that version or a newer one.
+// Satisfies reports whether the adapter can serve requests for the wanted one:
+// it has the same name, and that version or a newer one.
 func (adapter Adapter) Satisfies(wanted Adapter) bool {
 	return adapter.Name == wanted.Name && adapter.Version >= wanted.Version
 }
 
-// AnySatisfies reports whether one of the adapters can answer for the wanted one.
+// AnySatisfies reports whether one of the adapters satisfies the wanted one.
 func AnySatisfies(adapters []Adapter, wanted Adapter) bool {
 	return slices.ContainsFunc(adapters, func(adapter Adapter) bool { return adapter.Satisfies(wanted) })
 }
 
-// EngineState is what the engine says of itself.
+// EngineState is what an engine reports of itself.
 type EngineState struct {
-	// StartedAt is its start in Unix milliseconds.
+	// StartedAt is the engine's start in Unix milliseconds.
 	StartedAt int64
-	// Sequence counts the orders that it accepted since.
+	// Sequence counts the orders that it has accepted since then.
 	Sequence int64
-	// Busy means that it takes no other order at present.
+	// Busy means that the engine takes no other order at present.
 	Busy bool
-	// Models holds the models in memory.
+	// Models holds the loaded models.
 	Models   []string
 	Resident []Adapter
 	Pending  []Adapter
 }
 
-// AdapterUse is how many requests of one entry instance use an adapter.
+// AdapterUse counts the requests of one entry instance that use an adapter.
 type AdapterUse struct {
 	Adapter Adapter
 	Running int
 	Waiting int
-	// Late is the part of Waiting that misses its response-time goal.
+	// Late is the number of waiting requests that miss their response-time
+	// goal.
 	Late int
 }
 
-// Demand is what one entry instance asks for.
+// Demand is what one entry instance needs from the engine.
 type Demand struct {
 	Entry string
 	Model string
-	// Slots is the number of places for adapters.
+	// Slots is the number of adapter slots of the engine.
 	Slots int
-	// PendingElsewhere is the number of adapters on their way to other engines.
+	// PendingElsewhere is the number of loads pending on other engines.
 	PendingElsewhere int
 	Uses             []AdapterUse
 }
 
-// Operation is what an order does.
+// Operation is the kind of an order.
 type Operation uint8
 
 const (
-	// Load brings a model, or an adapter of a model that is there.
+	// Load loads a model, or an adapter of a loaded model.
 	Load Operation = iota
-	// Unload makes room.
+	// Unload frees the slot of an adapter.
 	Unload
 )
 
-// Order is one order to the engine. Sequence must be the engine's own for the
-// order to be valid.
+// Order is a control call to the engine. The engine rejects it unless Sequence
+// equals its own.
 type Order struct {
 	Operation Operation
 	Model     string
-	// Adapter is empty for an order that concerns the whole model.
+	// Adapter is empty for an order that concerns a whole model.
 	Adapter  Adapter
 	Sequence int64
 }
 
-// Planner decides the orders for one engine. Its methods may be called
+// Planner decides the orders to one engine. Its methods may be called
 // concurrently.
 type Planner struct {
 	config Config
 
-	mutex   sync.Mutex
-	engine  EngineState
-	known   bool
-	demands map[string]*demand
-	used    map[string]time.Time
-	asked   map[Adapter]time.Time
-	recall  *recall
+	mutex  sync.Mutex
+	engine EngineState
+	// reported means that engine holds a report.
+	reported bool
+	demands  map[string]*demand
+	// lastUsed is when a demand last named an adapter, and firstAsked since when
+	// requests have waited for one.
+	lastUsed   map[string]time.Time
+	firstAsked map[Adapter]time.Time
+	cache      *localCache
 }
 
+// demand is a Demand and the time at which it was received.
 type demand struct {
 	Demand
-	heard time.Time
+	heardAt time.Time
 }
 
-// New returns a Planner that knows nothing yet.
+// New returns a Planner without reports or demands.
 func New(config Config) *Planner {
-	config.Linger = cmp.Or(config.Linger, DefaultLinger)
-	config.Transit = cmp.Or(config.Transit, DefaultTransit)
-	config.Store = cmp.Or(config.Store, DefaultStore)
-	config.Keep = cmp.Or(config.Keep, DefaultKeep)
+	config.DemandTimeout = cmp.Or(config.DemandTimeout, DefaultDemandTimeout)
+	config.MaxPending = cmp.Or(config.MaxPending, DefaultMaxPending)
+	config.StoreConcurrency = cmp.Or(config.StoreConcurrency, DefaultStoreConcurrency)
+	config.MinIdle = cmp.Or(config.MinIdle, DefaultMinIdle)
 	return &Planner{
-		config:  config,
-		demands: make(map[string]*demand),
-		used:    make(map[string]time.Time),
-		asked:   make(map[Adapter]time.Time),
-		recall:  newRecall(),
+		config:     config,
+		demands:    make(map[string]*demand),
+		lastUsed:   make(map[string]time.Time),
+		firstAsked: make(map[Adapter]time.Time),
+		cache:      newLocalCache(),
 	}
 }
 
-// Observe records a report of the engine and returns the adapters that have
-// come since the last one.
+// Observe records a report of the engine and returns the loads that completed
+// since the previous one. After a restart of the engine its earlier evictions
+// and uses do not count.
 func (planner *Planner) Observe(engine EngineState) []CompletedLoad {
 	planner.mutex.Lock()
 	defer planner.mutex.Unlock()
-	if planner.known && planner.engine.StartedAt != engine.StartedAt {
-		clear(planner.used)
-		planner.recall = newRecall()
+	if planner.reported && planner.engine.StartedAt != engine.StartedAt {
+		clear(planner.lastUsed)
+		planner.cache = newLocalCache()
 	}
-	planner.engine, planner.known = engine, true
-	return planner.recall.observe(engine.Resident, engine.Pending)
+	planner.engine, planner.reported = engine, true
+	return planner.cache.observe(engine.Resident, engine.Pending)
 }
 
-// Evicted returns the adapters that the engine dropped, the latest one last.
+// Evicted returns the adapters that the engine evicted, the last evicted one at
+// the end.
 func (planner *Planner) Evicted() []Adapter {
 	planner.mutex.Lock()
 	defer planner.mutex.Unlock()
-	return planner.recall.Dropped()
+	return planner.cache.Evicted()
 }
 
-// CacheCapacity returns how many of the adapters dropped last the engine is thought to
-// bring back by itself.
+// CacheCapacity returns the estimated number of most recently evicted adapters
+// that the engine can load from its local cache.
 func (planner *Planner) CacheCapacity() int {
 	planner.mutex.Lock()
 	defer planner.mutex.Unlock()
-	return planner.recall.reach
+	return planner.cache.capacity
 }
 
-// RecordOrder records that an order was given.
+// RecordOrder records an order that the engine may have carried out.
 func (planner *Planner) RecordOrder(order Order) {
 	planner.mutex.Lock()
 	defer planner.mutex.Unlock()
 	if order.Operation == Load && order.Adapter.Name != "" {
-		planner.recall.gave(order.Adapter)
+		planner.cache.recordLoad(order.Adapter)
 	}
 }
 
-// SetDemand records what an entry instance asks for; it replaces what the instance
-// asked for before.
+// SetDemand replaces the demand of an entry instance.
 func (planner *Planner) SetDemand(request Demand) {
 	planner.mutex.Lock()
 	defer planner.mutex.Unlock()
 	now := time.Now()
-	planner.demands[request.Entry] = &demand{Demand: request, heard: now}
+	planner.demands[request.Entry] = &demand{Demand: request, heardAt: now}
 	for _, use := range request.Uses {
-		planner.used[use.Adapter.Name] = now
-		if _, ok := planner.asked[use.Adapter]; !ok && use.Waiting > 0 {
-			planner.asked[use.Adapter] = now
+		planner.lastUsed[use.Adapter.Name] = now
+		if _, ok := planner.firstAsked[use.Adapter]; !ok && use.Waiting > 0 {
+			planner.firstAsked[use.Adapter] = now
 		}
 	}
 }
 
-// QueuedLoads returns the number of adapters that are on their way or still to be
+// QueuedLoads returns the number of loads that are pending or still to be
 // ordered.
 func (planner *Planner) QueuedLoads() int {
 	planner.mutex.Lock()
@@ -201,26 +209,28 @@
 	return len(planner.engine.Pending) + len(planner.missing())
 }
 
-// FreeSlots returns the number of places that no request uses or waits for.
+// FreeSlots returns the number of adapter slots that no running or waiting
+// request needs.
 func (planner *Planner) FreeSlots() int {
 	planner.mutex.Lock()
 	defer planner.mutex.Unlock()
-	_, slots := planner.wish()
-	busy := make(map[string]bool)
+	_, slots := planner.target()
+	used := make(map[string]bool)
 	for _, demand := range planner.demands {
 		for _, use := range demand.Uses {
-			busy[use.Adapter.Name] = true
+			used[use.Adapter.Name] = true
 		}
 	}
-	return max(slots-len(busy), 0)
+	return max(slots-len(used), 0)
 }
 
-// forget drops the demands of entry instances that fell silent.
-func (planner *Planner) forget() {
+// expireDemands removes the demands that were received more than DemandTimeout
+// ago.
+func (planner *Planner) expireDemands() {
 	now := time.Now()
 	wanted := make(map[Adapter]bool)
 	for entry, demand := range planner.demands {
-		if now.Sub(demand.heard) > planner.config.Linger {
+		if now.Sub(demand.heardAt) > planner.config.DemandTimeout {
 			delete(planner.demands, entry)
 			continue
 		}
@@ -228,18 +238,19 @@
 			wanted[use.Adapter] = wanted[use.Adapter] || use.Waiting > 0
 		}
 	}
-	for adapter := range planner.asked {
+	for adapter := range planner.firstAsked {
 		if !wanted[adapter] {
-			delete(planner.asked, adapter)
+			delete(planner.firstAsked, adapter)
 		}
 	}
 }
 
-// Entries returns the names of the entry instances that were heard lately.
+// Entries returns the entry instances with a demand that has not expired,
+// sorted.
 func (planner *Planner) Entries() []string {
 	planner.mutex.Lock()
 	defer planner.mutex.Unlock()
-	planner.forget()
+	planner.expireDemands()
 	return slices.Sorted(maps.Keys(planner.demands))
 }
 
--- a/internal/flow/lora/lora_test.go
+++ b/internal/flow/lora/lora_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-const places = 4
+const slots = 4
 
 func adapter(number int) Adapter { return Adapter{Name: fmt.Sprint("a", number), Version: 1} }
 
@@ -33,13 +33,13 @@
 
 func TestNext(t *testing.T) {
 	tests := []struct {
-		name   string
-		guards string
-		engine EngineState
-		uses   []AdapterUse
-		other  int
-		want   Order
-		none   bool
+		name             string
+		guards           string
+		engine           EngineState
+		uses             []AdapterUse
+		pendingElsewhere int
+		want             Order
+		none             bool
 	}{
 		{
 			name: "model first", guards: "adapters ordered at an engine that restarted empty",
@@ -52,28 +52,28 @@
 			want: Order{Operation: Load, Model: "m", Adapter: adapter(2)},
 		},
 		{
-			name: "full", guards: "an order beyond the places, which crashes the engine",
+			name: "full", guards: "a load without a free slot, which crashes the engine",
 			engine: EngineState{Models: []string{"m"}, Resident: adapters(1, 2, 3, 4)}, uses: []AdapterUse{waiting(5, 1), running(1, 1), running(2, 1), running(3, 1)},
 			want: Order{Operation: Unload, Model: "m", Adapter: adapter(4)},
 		},
 		{
-			name: "full with one on its way", guards: "a pending adapter that is not counted",
+			name: "full with one pending", guards: "a pending adapter that is not counted",
 			engine: EngineState{Models: []string{"m"}, Resident: adapters(1, 2, 3), Pending: adapters(4)}, uses: []AdapterUse{waiting(5, 1), running(1, 1), running(2, 1)},
 			want: Order{Operation: Unload, Model: "m", Adapter: adapter(3)},
 		},
 		{
-			name: "all in use", guards: "an adapter in use is evicted",
+			name: "all in use", guards: "eviction of an adapter in use",
 			engine: EngineState{Models: []string{"m"}, Resident: adapters(1, 2, 3, 4)}, uses: []AdapterUse{waiting(5, 1), running(1, 1), running(2, 1), running(3, 1), waiting(4, 1)},
 			none: true,
 		},
 		{
-			name: "older version", guards: "a request waits for ever for a version that was announced",
+			name: "older version", guards: "a request that waits forever for a version that was announced",
 			engine: EngineState{Models: []string{"m"}, Resident: adapters(1, 2, 3, 4)},
 			uses:   []AdapterUse{{Adapter: Adapter{Name: "a1", Version: 2}, Waiting: 1}},
 			want:   Order{Operation: Load, Model: "m", Adapter: Adapter{Name: "a1", Version: 2}},
 		},
 		{
-			name: "on its way", guards: "an adapter is ordered twice",
+			name: "pending", guards: "an adapter ordered twice",
 			engine: EngineState{Models: []string{"m"}, Pending: adapters(1)}, uses: []AdapterUse{waiting(1, 1)}, none: true,
 		},
 		{
@@ -81,12 +81,12 @@
 			engine: EngineState{Models: []string{"m"}, Busy: true}, uses: []AdapterUse{waiting(1, 1)}, none: true,
 		},
 		{
-			name: "store busy", guards: "48 adapters on their way, each six times as long, after a cold start",
-			engine: EngineState{Models: []string{"m"}, Pending: adapters(2)}, uses: []AdapterUse{waiting(1, 1)}, other: 8, none: true,
+			name: "store busy", guards: "48 pending loads after a cold start, each six times as slow",
+			engine: EngineState{Models: []string{"m"}, Pending: adapters(2)}, uses: []AdapterUse{waiting(1, 1)}, pendingElsewhere: 8, none: true,
 		},
 		{
 			name: "store free", guards: "an engine that loads one at a time although the store is idle",
-			engine: EngineState{Models: []string{"m"}, Pending: adapters(2)}, uses: []AdapterUse{waiting(1, 1)}, other: 3,
+			engine: EngineState{Models: []string{"m"}, Pending: adapters(2)}, uses: []AdapterUse{waiting(1, 1)}, pendingElsewhere: 3,
 			want: Order{Operation: Load, Model: "m", Adapter: adapter(1)},
 		},
 	}
@@ -95,10 +95,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				planner := New(Config{})
 				planner.Observe(test.engine)
-				planner.SetDemand(Demand{Entry: "entry", Model: "m", Slots: places, PendingElsewhere: test.other, Uses: test.uses})
+				planner.SetDemand(Demand{Entry: "entry", Model: "m", Slots: slots, PendingElsewhere: test.pendingElsewhere, Uses: test.uses})
 				got, ok := planner.Next()
 				if ok == test.none {
-					t.Fatalf("%s: order given %v: %v", test.guards, ok, got)
+					t.Fatalf("%s: order returned %v: %v", test.guards, ok, got)
 				}
 				if diff := cmp.Diff(test.want, got); diff != "" {
 					t.Errorf("%s: order (-want +got):\n%s", test.guards, diff)
@@ -108,18 +108,19 @@
 	}
 }
 
-// TestOverdue plays the cold start of scale-1, where more adapters are asked for
-// than the store brings: those whose requests can still meet their goal come
-// before older ones, in place of all being late.
+// TestOverdue plays the cold start of the scenario scale-1, where more adapters
+// are needed than the weight store delivers in time. If the oldest went first,
+// all requests would be late, so adapters with requests that can still meet
+// their response-time goal come first.
 func TestOverdue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		planner := New(Config{})
 		planner.Observe(EngineState{Models: []string{"m"}})
 		old := waiting(1, 2)
-		planner.SetDemand(Demand{Entry: "entry", Model: "m", Slots: places, Uses: []AdapterUse{old}})
+		planner.SetDemand(Demand{Entry: "entry", Model: "m", Slots: slots, Uses: []AdapterUse{old}})
 		time.Sleep(time.Second)
 		old.Late = old.Waiting
-		planner.SetDemand(Demand{Entry: "entry", Model: "m", Slots: places, Uses: []AdapterUse{old, waiting(2, 1)}})
+		planner.SetDemand(Demand{Entry: "entry", Model: "m", Slots: slots, Uses: []AdapterUse{old, waiting(2, 1)}})
 		order, _ := planner.Next()
 		if diff := cmp.Diff(adapter(2), order.Adapter); diff != "" {
 			t.Errorf("adapter (-want +got):\n%s", diff)
@@ -132,15 +133,15 @@
 	})
 }
 
-// TestSilentEntry guards against an adapter that is kept for an entry instance
-// that was killed.
+// TestSilentEntry guards against keeping adapters resident for an entry
+// instance that was killed.
 func TestSilentEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		planner := New(Config{})
 		planner.Observe(EngineState{Models: []string{"m"}, Resident: adapters(1, 2, 3, 4)})
-		planner.SetDemand(Demand{Entry: "dead", Model: "m", Slots: places, Uses: []AdapterUse{running(1, 1), running(2, 1), running(3, 1), running(4, 1)}})
-		time.Sleep(DefaultLinger + time.Millisecond)
-		planner.SetDemand(Demand{Entry: "entry", Model: "m", Slots: places, Uses: []AdapterUse{waiting(5, 1)}})
+		planner.SetDemand(Demand{Entry: "dead", Model: "m", Slots: slots, Uses: []AdapterUse{running(1, 1), running(2, 1), running(3, 1), running(4, 1)}})
+		time.Sleep(DefaultDemandTimeout + time.Millisecond)
+		planner.SetDemand(Demand{Entry: "entry", Model: "m", Slots: slots, Uses: []AdapterUse{waiting(5, 1)}})
 		order, ok := planner.Next()
 		if !ok || order.Operation != Unload {
 			t.Errorf("got %v %v, want an unload", order, ok)
@@ -148,29 +149,29 @@
 	})
 }
 
-// lateEngine carries some orders out without an answer, some of them later.
-type lateEngine struct {
+// unreliableEngine executes some orders without answering, some of them later.
+type unreliableEngine struct {
 	EngineState
-	random *rand.Rand
-	late   []Order
-	most   int
+	random  *rand.Rand
+	delayed []Order
+	maxHeld int
 }
 
-// give takes an order and reports whether it is answered.
-func (engine *lateEngine) give(order Order) bool {
+// receive takes an order and reports whether the engine answers it.
+func (engine *unreliableEngine) receive(order Order) bool {
 	switch engine.random.IntN(4) {
 	case 0:
 		return false
 	case 1:
-		engine.late = append(engine.late, order)
+		engine.delayed = append(engine.delayed, order)
 		return false
 	default:
-		engine.carryOut(order)
+		engine.execute(order)
 		return engine.random.IntN(4) > 0
 	}
 }
 
-func (engine *lateEngine) carryOut(order Order) {
+func (engine *unreliableEngine) execute(order Order) {
 	if order.Sequence != engine.Sequence {
 		return
 	}
@@ -180,34 +181,34 @@
 		return
 	}
 	engine.Pending = append(slices.Clone(engine.Pending), order.Adapter)
-	engine.most = max(engine.most, len(engine.Resident)+len(engine.Pending))
+	engine.maxHeld = max(engine.maxHeld, len(engine.Resident)+len(engine.Pending))
 }
 
-func (engine *lateEngine) step() {
+func (engine *unreliableEngine) step() {
 	if len(engine.Pending) > 0 && engine.random.IntN(3) == 0 {
 		engine.Resident = append(slices.Clone(engine.Resident), engine.Pending[0])
 		engine.Pending = slices.Clone(engine.Pending[1:])
 	}
-	if len(engine.late) > 0 && engine.random.IntN(8) == 0 {
-		engine.carryOut(engine.late[0])
-		engine.late = engine.late[1:]
+	if len(engine.delayed) > 0 && engine.random.IntN(8) == 0 {
+		engine.execute(engine.delayed[0])
+		engine.delayed = engine.delayed[1:]
 	}
 }
 
-// TestLateOrders plays orders without an answer that are carried out later, as
-// on the days of high load. The engine must never hold more than its places,
-// and must go on getting what is asked for.
+// TestLateOrders plays orders that get no answer and are executed later, as
+// under high load. The engine must never hold more adapters than it has slots,
+// and must go on loading the adapters that requests wait for.
 func TestLateOrders(t *testing.T) {
 	for seed := range uint64(50) {
 		synctest.Test(t, func(t *testing.T) {
-			engine := &lateEngine{EngineState: EngineState{Models: []string{"m"}}, random: rand.New(rand.NewPCG(seed, 1))}
+			engine := &unreliableEngine{EngineState: EngineState{Models: []string{"m"}}, random: rand.New(rand.NewPCG(seed, 1))}
 			planner := New(Config{})
 			served := 0
 			for round := range 2000 {
 				planner.Observe(engine.EngineState)
-				planner.SetDemand(Demand{Entry: "entry", Model: "m", Slots: places, Uses: []AdapterUse{waiting(round/50, 1)}})
+				planner.SetDemand(Demand{Entry: "entry", Model: "m", Slots: slots, Uses: []AdapterUse{waiting(round/50, 1)}})
 				if order, ok := planner.Next(); ok {
-					engine.give(order)
+					engine.receive(order)
 				}
 				engine.step()
 				if slices.Contains(engine.Resident, adapter(round/50)) {
@@ -215,11 +216,11 @@
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
-			if engine.most > places {
-				t.Errorf("seed %d: %d adapters in %d places", seed, engine.most, places)
+			if engine.maxHeld > slots {
+				t.Errorf("seed %d: %d adapters in %d slots", seed, engine.maxHeld, slots)
 			}
 			if served < 1000 {
-				t.Errorf("seed %d: the adapter asked for was there in %d of 2,000 rounds", seed, served)
+				t.Errorf("seed %d: the adapter needed was resident in %d of 2,000 rounds", seed, served)
 			}
 		})
 	}
--- a/internal/flow/lora/plan.go
+++ b/internal/flow/lora/plan.go
@@ -7,58 +7,62 @@
 	"time"
 )
 
-// Next returns the order to give now, if there is one.
+// Next returns the order to send now, if there is one.
 func (planner *Planner) Next() (Order, bool) {
 	planner.mutex.Lock()
 	defer planner.mutex.Unlock()
-	planner.forget()
-	if !planner.known || planner.engine.Busy {
+	planner.expireDemands()
+	if !planner.reported || planner.engine.Busy {
 		return Order{}, false
 	}
-	model, slots := planner.wish()
+	model, slots := planner.target()
 	if model == "" {
 		return Order{}, false
 	}
 	if !slices.Contains(planner.engine.Models, model) {
-		return planner.order(Load, model, Adapter{})
+		return planner.newOrder(Load, model, Adapter{})
 	}
 	return planner.adapterOrder(model, slots)
 }
 
-func (planner *Planner) order(operation Operation, model string, adapter Adapter) (Order, bool) {
+func (planner *Planner) newOrder(operation Operation, model string, adapter Adapter) (Order, bool) {
 	return Order{Operation: operation, Model: model, Adapter: adapter, Sequence: planner.engine.Sequence}, true
 }
 
+// adapterOrder returns the order that loads the next adapter, or one that frees
+// a slot for it.
 func (planner *Planner) adapterOrder(model string, slots int) (Order, bool) {
 	if !planner.mayLoad() {
 		return Order{}, false
 	}
-	wanted, ok := planner.wanted()
+	wanted, ok := planner.nextLoad()
 	if !ok {
 		return Order{}, false
 	}
-	if planner.replaces(wanted) || planner.places() < slots {
-		return planner.order(Load, model, wanted)
+	if planner.replaces(wanted) || planner.slotsTaken() < slots {
+		return planner.newOrder(Load, model, wanted)
 	}
 	victim, ok := planner.victim()
 	if !ok {
 		return Order{}, false
 	}
-	return planner.order(Unload, model, victim)
+	return planner.newOrder(Unload, model, victim)
 }
 
-// mayLoad reports whether one more adapter may be on its way.
+// mayLoad reports whether one more load may become pending.
 func (planner *Planner) mayLoad() bool {
 	pending := len(planner.engine.Pending)
 	if pending == 0 {
 		return true
 	}
-	latest := planner.latest()
-	return pending < planner.config.Transit && latest != nil && pending+latest.PendingElsewhere < planner.config.Store
+	latest := planner.latestDemand()
+	return pending < planner.config.MaxPending && latest != nil && pending+latest.PendingElsewhere < planner.config.StoreConcurrency
 }
 
-// places returns the number of places that are taken or promised.
-func (planner *Planner) places() int {
+// slotsTaken returns the number of adapter slots that resident and pending
+// adapters take. An adapter pending in another version takes the slot of the
+// resident one.
+func (planner *Planner) slotsTaken() int {
 	names := make(map[string]bool)
 	for _, adapter := range planner.engine.Resident {
 		names[adapter.Name] = true
@@ -72,39 +76,42 @@
 	return len(names) + pending
 }
 
+// replaces reports whether another version of the adapter is resident, whose
+// slot a load takes.
 func (planner *Planner) replaces(wanted Adapter) bool {
 	return slices.ContainsFunc(planner.engine.Resident, func(adapter Adapter) bool { return adapter.Name == wanted.Name })
 }
 
-// wish returns the model that the latest demand names, and its places.
-func (planner *Planner) wish() (string, int) {
-	latest := planner.latest()
+// target returns the model that the latest demand names, and its adapter slots.
+func (planner *Planner) target() (string, int) {
+	latest := planner.latestDemand()
 	if latest == nil {
 		return "", 0
 	}
 	return latest.Model, latest.Slots
 }
 
-func (planner *Planner) latest() *demand {
+// latestDemand returns the demand received last, or nil.
+func (planner *Planner) latestDemand() *demand {
 	var latest *demand
 	for _, demand := range planner.demands {
-		if latest == nil || demand.heard.After(latest.heard) {
+		if latest == nil || demand.heardAt.After(latest.heardAt) {
 			latest = demand
 		}
 	}
 	return latest
 }
 
-// shortage is how many requests wait for an adapter.
-type shortage struct {
+// waiters counts the requests that wait for one adapter.
+type waiters struct {
 	onTime int
 	late   int
 }
 
-// wanted returns the adapter to load next: the one with the most requests that
-// can still meet their goal, then the one with the most that are late, then the
-// one asked for first.
-func (planner *Planner) wanted() (Adapter, bool) {
+// nextLoad returns the adapter to load next: the one with the most waiting
+// requests that can still meet their response-time goal, then the one with the
+// most late requests, then the one that has been waited for longest.
+func (planner *Planner) nextLoad() (Adapter, bool) {
 	missing := planner.missing()
 	if len(missing) == 0 {
 		return Adapter{}, false
@@ -113,53 +120,53 @@
 		return cmp.Or(
 			cmp.Compare(missing[b].onTime, missing[a].onTime),
 			cmp.Compare(missing[b].late, missing[a].late),
-			planner.asked[a].Compare(planner.asked[b]),
+			planner.firstAsked[a].Compare(planner.firstAsked[b]),
 			cmp.Compare(a.Name, b.Name),
 			cmp.Compare(b.Version, a.Version),
 		)
 	}), true
 }
 
-// missing returns how many requests wait for each adapter that is neither there
-// nor on its way.
-func (planner *Planner) missing() map[Adapter]shortage {
-	missing := make(map[Adapter]shortage)
+// missing returns the waiting requests of each adapter that is neither resident
+// nor pending.
+func (planner *Planner) missing() map[Adapter]waiters {
+	missing := make(map[Adapter]waiters)
 	for _, demand := range planner.demands {
 		for _, use := range demand.Uses {
-			if use.Waiting > 0 && !planner.holds(use.Adapter) {
-				sum := missing[use.Adapter]
-				missing[use.Adapter] = shortage{onTime: sum.onTime + use.Waiting - use.Late, late: sum.late + use.Late}
+			if use.Waiting > 0 && !planner.residentOrPending(use.Adapter) {
+				counts := missing[use.Adapter]
+				missing[use.Adapter] = waiters{onTime: counts.onTime + use.Waiting - use.Late, late: counts.late + use.Late}
 			}
 		}
 	}
 	return missing
 }
 
-// holds reports whether the adapter is there or on its way, in this version or
-// a newer one.
-func (planner *Planner) holds(wanted Adapter) bool {
+// residentOrPending reports whether the adapter is resident or pending, in the
+// wanted version or a newer one.
+func (planner *Planner) residentOrPending(wanted Adapter) bool {
 	return AnySatisfies(planner.engine.Resident, wanted) || AnySatisfies(planner.engine.Pending, wanted)
 }
 
-// victim returns the adapter unused for longest among those that no entry
-// instance uses.
+// victim returns the least recently used resident adapter among those that no
+// request uses and that have been idle for MinIdle.
 func (planner *Planner) victim() (Adapter, bool) {
-	busy := make(map[string]bool)
+	inUse := make(map[string]bool)
 	for _, demand := range planner.demands {
 		for _, use := range demand.Uses {
-			busy[use.Adapter.Name] = true
+			inUse[use.Adapter.Name] = true
 		}
 	}
 	now := time.Now()
-	var found Adapter
+	var oldest Adapter
 	for _, adapter := range planner.engine.Resident {
-		used := planner.used[adapter.Name]
-		if busy[adapter.Name] || now.Sub(used) < planner.config.Keep {
+		lastUsed := planner.lastUsed[adapter.Name]
+		if inUse[adapter.Name] || now.Sub(lastUsed) < planner.config.MinIdle {
 			continue
 		}
-		if found.Name == "" || used.Before(planner.used[found.Name]) {
-			found = adapter
+		if oldest.Name == "" || lastUsed.Before(planner.lastUsed[oldest.Name]) {
+			oldest = adapter
 		}
 	}
-	return found, found.Name != ""
+	return oldest, oldest.Name != ""
 }
