--- a/internal/daemon/loader/engine.go
+++ b/internal/daemon/loader/engine.go
@@ -9,7 +9,7 @@
 	"jacinthfront.dev/jacinthfront/internal/flow/lora"
 )
 
-// Report is what the engine says of itself.
+// Report is what the engine reports of itself.
 type Report struct {
 	lora.EngineState
 	Running     int
@@ -21,33 +21,36 @@
 
 // Errors of Engine.Order.
 var (
-	// ErrConflict means that the engine is busy, or took an order that this
-	// process does not know of.
-	ErrConflict = errors.New("the engine's orders have changed")
+	// ErrConflict means that the engine is busy, or has accepted an order that
+	// this process does not know of.
+	ErrConflict = errors.New("engine is busy or has accepted another order")
 	// ErrFenced means that the engine has seen a higher fencing token.
-	ErrFenced = errors.New("the engine has seen a higher fencing token")
+	ErrFenced = errors.New("engine has seen a higher fencing token")
 )
 
-// BackoffError means that the engine did nothing and wants no call for a time.
+// BackoffError means that the engine did nothing and asks for no calls during
+// Delay.
 type BackoffError struct {
 	Delay time.Duration
 }
 
 // Error implements error.
 func (err BackoffError) Error() string {
-	return fmt.Sprintf("the engine wants no calls for %v", err.Delay)
+	return fmt.Sprintf("engine asks for no calls for %v", err.Delay)
 }
 
-// Engine is the engine beside this process. Errors that are a RestError mean
-// that nothing was done.
+// Engine controls the engine of this loader. After a BackoffError the engine
+// has done nothing.
 type Engine interface {
 	Report(ctx context.Context) (Report, error)
-	// Order gives an order to the engine with the given id. Errors other than
-	// ErrConflict, ErrFenced and a RestError leave open whether it is carried out.
+	// Order sends an order to the engine with the given upstream id. After an
+	// error other than ErrConflict, ErrFenced and BackoffError the engine may
+	// still execute it.
 	Order(ctx context.Context, upstream string, order lora.Order, fence int64) error
 }
 
-// holds reports whether the adapter is loaded in the version or a newer one.
+// holds reports whether the adapter is resident in the wanted version or a
+// newer one. Without an adapter name it reports whether a model is loaded.
 func (report Report) holds(wanted lora.Adapter) bool {
 	if wanted.Name == "" {
 		return len(report.Models) > 0
--- a/internal/daemon/loader/exchange.go
+++ b/internal/daemon/loader/exchange.go
@@ -15,58 +15,60 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// heard takes over what an entry instance asks for.
-func (loader *Loader) heard(_ string, datagram *wirepb.Datagram) {
+// handleDemand handles a demand of an entry instance.
+func (loader *Loader) handleDemand(_ string, datagram *wirepb.Datagram) {
 	demand := datagram.GetDemand()
-	if demand == nil || !loader.meant(demand) {
+	if demand == nil || !loader.acceptDemand(demand) {
 		return
 	}
-	loader.meet(demand.GetEntry(), demand.GetStart(), demand.GetFullSerial())
+	loader.recordEntry(demand.GetEntry(), demand.GetStart(), demand.GetFullSerial())
 	loader.planner.SetDemand(decodeDemand(demand))
-	loader.gate.SetRequests(demand.GetEntry(), admit.EngineConfig{
+	loader.admission.SetRequests(demand.GetEntry(), admit.EngineConfig{
 		Slots:        int(demand.GetSlots()),
 		EventTokens:  int(demand.GetEventTokens()),
 		MaxEventGap:  time.Duration(demand.GetGapMs()) * time.Millisecond,
 		TypicalSpeed: codec.DecodePace(demand.GetTypical()),
 	}, codec.DecodeAsks(demand.GetAsks()))
-	loader.gate.RecordMeasurements(demand.GetEntry(), codec.DecodeReadings(demand.GetReadings()))
-	wake(loader.turns)
+	loader.admission.RecordMeasurements(demand.GetEntry(), codec.DecodeReadings(demand.GetReadings()))
+	wake(loader.wakeGrants)
 	for _, use := range demand.GetUses() {
 		if use.GetWaiting() > 0 {
-			wake(loader.orders)
+			wake(loader.wakeOrders)
 			return
 		}
 	}
 }
 
-// meet notes the last full state that an entry instance has. It has all told
-// soon when an entry instance has started, so that it learns what the engine
-// holds, and the others that it is there.
-func (loader *Loader) meet(entry string, start int64, full uint64) {
+// recordEntry records the last full state that an entry instance has
+// acknowledged. After a start of an entry instance it has a full state sent to
+// all soon: the new one learns what the engine holds, and the others learn of
+// the new one.
+func (loader *Loader) recordEntry(entry string, start int64, acknowledged uint64) {
 	loader.mutex.Lock()
 	defer loader.mutex.Unlock()
-	if loader.starts[entry] == start {
-		last := loader.tellings[entry]
-		last.has = full
-		loader.tellings[entry] = last
+	if loader.entryStarts[entry] == start {
+		state := loader.entryStates[entry]
+		state.acknowledged = acknowledged
+		loader.entryStates[entry] = state
 		return
 	}
-	loader.starts[entry] = start
-	loader.greet = true
-	delete(loader.tellings, entry)
-	wake(loader.orders)
+	loader.entryStarts[entry] = start
+	loader.newEntry = true
+	delete(loader.entryStates, entry)
+	wake(loader.wakeOrders)
 }
 
-// meant reports whether a demand is for the present start of the engine. One
-// address may be listed under several ids after a restart.
-func (loader *Loader) meant(demand *wirepb.Demand) bool {
+// acceptDemand reports whether a demand is for the engine's present
+// incarnation, and records the id that it names. After a restart one address
+// may be listed under several ids.
+func (loader *Loader) acceptDemand(demand *wirepb.Demand) bool {
 	loader.mutex.Lock()
 	defer loader.mutex.Unlock()
 	if demand.GetBorn() != 0 && demand.GetBorn() < loader.report.StartedAt {
 		return false
 	}
-	loader.listed = demand.GetUpstream()
-	loader.listedBorn = max(loader.listedBorn, demand.GetBorn())
+	loader.upstream = demand.GetUpstream()
+	loader.listedStartedAt = max(loader.listedStartedAt, demand.GetBorn())
 	return true
 }
 
@@ -77,105 +79,107 @@
 	}
 }
 
-// tellChanges tells all entry instances what changed, at once if it concerns
-// adapters or the engine's life, else from time to time.
-func (loader *Loader) tellChanges() {
+// sendChanges sends a state to the entry instances if it is due: at once after
+// a change of the adapters or of the engine's availability, otherwise at
+// intervals.
+func (loader *Loader) sendChanges() {
 	loader.mutex.Lock()
-	since, idle := time.Since(loader.told), time.Since(loader.toldAny)
-	held := !sameHeld(loader.sent, loader.report) || loader.misses == lostReports || loader.greet
-	loaded := loader.report.Running != loader.sent.Running || loader.report.Queued != loader.sent.Queued
+	sinceFull, sinceLast := time.Since(loader.fullStateAt), time.Since(loader.lastStateAt)
+	urgent := !sameAdapters(loader.sentReport, loader.report) || loader.missedReports == unreachableAfter || loader.newEntry
+	loadChanged := loader.report.Running != loader.sentReport.Running || loader.report.Queued != loader.sentReport.Queued
 	loader.mutex.Unlock()
-	if held || loaded && idle >= tellPeriod || idle >= idlePeriod {
-		granted, _ := loader.gate.Grant()
-		loader.tell(granted, held || since >= fullPeriod)
+	if urgent || loadChanged && sinceLast >= loadPeriod || sinceLast >= idlePeriod {
+		granted, _ := loader.admission.Grant()
+		loader.sendState(granted, urgent || sinceFull >= fullStatePeriod)
 	}
 }
 
-// sameHeld reports whether two reports name the same adapters and state.
-func sameHeld(a, b Report) bool {
+// sameAdapters reports whether two reports have the same incarnation, models,
+// adapters and draining flag.
+func sameAdapters(a, b Report) bool {
 	return a.StartedAt == b.StartedAt && a.Draining == b.Draining && slices.Equal(a.Models, b.Models) &&
 		slices.Equal(a.Resident, b.Resident) && slices.Equal(a.Pending, b.Pending)
 }
 
-// tell sends the engine's state, and what was granted, to the entry instances.
-// Those that ask nothing of the engine at present are told less often where
-// there are many. Only a full state names the adapters; an entry instance that
-// was not told the last one gets it with the next state.
-func (loader *Loader) tell(granted map[string][]uint64, full bool) {
+// sendState sends the engine's state and the grants to the entry instances that
+// are due. Only a full state names the adapters. An entry instance that has not
+// received the last full state gets the adapters with its next state, and one
+// that has received none also the evicted adapters.
+func (loader *Loader) sendState(granted map[string][]uint64, full bool) {
 	entries := loader.planner.Entries()
-	brief := loader.state(full, entries)
+	brief := loader.newState(full, entries)
 	if brief == nil {
 		return
 	}
-	var whole *wirepb.EngineState
+	var withAdapters *wirepb.EngineState
 	for _, address := range entries {
-		informed, due := loader.due(address, len(entries), len(granted[address]) > 0, brief.GetFullSerial())
+		sent, due := loader.due(address, len(entries), len(granted[address]) > 0, brief.GetFullSerial())
 		if !due {
 			continue
 		}
-		if informed != toldLast && whole == nil {
-			whole = loader.whole(brief, entries)
+		if sent != sentLatest && withAdapters == nil {
+			withAdapters = loader.fullState(brief, entries)
 		}
 		state := brief
-		switch informed {
-		case toldBefore:
-			state = whole
-		case toldNothing:
-			state = proto.CloneOf(whole)
+		switch sent {
+		case sentOlder:
+			state = withAdapters
+		case sentNothing:
+			state = proto.CloneOf(withAdapters)
 			state.Dropped = codec.EncodeAdapters(loader.planner.Evicted())
 		}
 		state.Granted = granted[address]
 		datagram := &wirepb.Datagram{Body: &wirepb.Datagram_EngineState{EngineState: state}}
-		loader.config.Datagrams.Send(datagram, []string{address}, loader.unsent)
+		loader.config.Datagrams.Send(datagram, []string{address}, loader.logUnsent)
 	}
 }
 
-func (loader *Loader) unsent(address string, err error) {
+func (loader *Loader) logUnsent(address string, err error) {
 	loader.config.Logger.Debug("loader: datagram not sent", zap.String("address", address), telem.Error(err))
 }
 
-// state returns what the entry instances are told, or nil if there is nothing
-// to tell yet.
-func (loader *Loader) state(full bool, entries []string) *wirepb.EngineState {
-	backlog, late := loader.gate.Backlog()
-	free := loader.planner.FreeSlots()
-	pace, intake := loader.gate.Speed(), loader.gate.AdmissionRate()
-	reach := loader.planner.CacheCapacity()
+// newState returns a brief state with the next serial, or nil if there is
+// nothing to report yet. With full set it counts as a full state.
+func (loader *Loader) newState(full bool, entries []string) *wirepb.EngineState {
+	backlog, late := loader.admission.Backlog()
+	freeSlots := loader.planner.FreeSlots()
+	speed, admissionRate := loader.admission.Speed(), loader.admission.AdmissionRate()
+	cacheCapacity := loader.planner.CacheCapacity()
 	loader.mutex.Lock()
 	defer loader.mutex.Unlock()
 	report := loader.report
-	if loader.listed == "" || report.StartedAt == 0 && loader.misses == 0 {
+	if loader.upstream == "" || report.StartedAt == 0 && loader.missedReports == 0 {
 		return nil
 	}
 	loader.serial++
 	state := &wirepb.EngineState{
-		Upstream: loader.listed, Born: report.StartedAt, Serial: loader.serial,
+		Upstream: loader.upstream, Born: report.StartedAt, Serial: loader.serial,
 		Running: uint32(report.Running), Queued: uint32(report.Queued),
 		UsedTokens: report.UsedTokens, TotalTokens: report.TotalTokens,
 		ModelLoaded: len(report.Models) > 0, Draining: report.Draining,
-		Unreachable:   loader.misses >= lostReports,
-		Silent:        loader.misses >= lostReports && loader.silent,
-		BacklogTokens: backlog, LateTokens: late, FreePlaces: uint32(free), LoadsQueued: uint32(loader.planner.QueuedLoads()),
-		Brief: true, Pace: codec.EncodePace(pace), Intake: codec.EncodeRate(intake),
-		RecallReach: uint32(reach),
+		Unreachable:   loader.missedReports >= unreachableAfter,
+		Silent:        loader.missedReports >= unreachableAfter && loader.unresponsive,
+		BacklogTokens: backlog, LateTokens: late, FreePlaces: uint32(freeSlots), LoadsQueued: uint32(loader.planner.QueuedLoads()),
+		Brief: true, Pace: codec.EncodePace(speed), Intake: codec.EncodeRate(admissionRate),
+		RecallReach: uint32(cacheCapacity),
 	}
-	loader.toldAny = time.Now()
+	loader.lastStateAt = time.Now()
 	if full {
-		loader.told, loader.sent, loader.full = time.Now(), report, loader.serial
-		loader.greet = false
-		maps.DeleteFunc(loader.starts, func(entry string, _ int64) bool { return !slices.Contains(entries, entry) })
-		maps.DeleteFunc(loader.tellings, func(entry string, _ telling) bool { return !slices.Contains(entries, entry) })
+		loader.fullStateAt, loader.sentReport, loader.fullSerial = time.Now(), report, loader.serial
+		loader.newEntry = false
+		maps.DeleteFunc(loader.entryStarts, func(entry string, _ int64) bool { return !slices.Contains(entries, entry) })
+		maps.DeleteFunc(loader.entryStates, func(entry string, _ entryState) bool { return !slices.Contains(entries, entry) })
 	}
-	state.FullSerial = loader.full
+	state.FullSerial = loader.fullSerial
 	return state
 }
 
-// whole returns the state with the adapters that the last full one named.
-func (loader *Loader) whole(brief *wirepb.EngineState, entries []string) *wirepb.EngineState {
+// fullState returns the state with the adapters of the last full state.
+func (loader *Loader) fullState(brief *wirepb.EngineState, entries []string) *wirepb.EngineState {
 	loader.mutex.Lock()
 	defer loader.mutex.Unlock()
-	whole := proto.CloneOf(brief)
-	whole.Brief, whole.Entries = false, loader.some(entries)
-	whole.Resident, whole.Pending = codec.EncodeAdapters(loader.sent.Resident), codec.EncodeAdapters(loader.sent.Pending)
-	return whole
+	state := proto.CloneOf(brief)
+	state.Brief, state.Entries = false, loader.nameEntries(entries)
+	state.Resident, state.Pending = codec.EncodeAdapters(loader.sentReport.Resident), codec.EncodeAdapters(loader.sentReport.Pending)
+	return state
 }
--- a/internal/daemon/loader/loader.go
+++ b/internal/daemon/loader/loader.go
@@ -1,6 +1,6 @@
-// Package loader is the process beside an engine that brings it the adapters
-// which the entry instances need. It is the only one that gives orders to its
-// engine, and it tells the entry instances how the engine fares.
+// Package loader is the process beside an engine that loads and unloads its
+// adapters and admits requests to it. It is the only process that sends orders
+// to its engine, and it sends the engine's state to the entry instances.
 package loader
 
 import (
@@ -23,116 +23,123 @@
 )
 
 const (
-	// tellPeriod is how often the entry instances are told of a changed load.
-	tellPeriod = 100 * time.Millisecond
-	// idlePeriod is how often they are told although nothing changed.
+	// loadPeriod is how long after the last state one is sent that reports only
+	// a changed load.
+	loadPeriod = 100 * time.Millisecond
+	// idlePeriod is how long after the last state one is sent although nothing
+	// has changed.
 	idlePeriod = 500 * time.Millisecond
-	// promptEntries is the number of entry instances up to which all are told
-	// each change. For each one more, those that wait for nothing are told
-	// pausePerEntry later, up to longestPause.
+	// promptEntries is the number of entry instances up to which each is sent
+	// every state. With each further one, the shortest interval between two
+	// states to an instance without waiting requests grows by delayPerEntry, up
+	// to maxDelay.
 	promptEntries = 8
-	pausePerEntry = 20 * time.Millisecond
-	// fullPeriod is how often all is told although nothing changed.
-	fullPeriod = 2 * time.Second
-	// acknowledgeTime is how long after a full state an entry instance has said
-	// that it has it.
-	acknowledgeTime = 1200 * time.Millisecond
-	// mostNamed is the number of entry instances that one state names.
-	mostNamed = 16
-	// longestPause and idlePeriod together are shorter than entry instances
-	// believe a state.
-	longestPause = 700 * time.Millisecond
+	delayPerEntry = 20 * time.Millisecond
+	// fullStatePeriod is how long after the last full state the next one is due
+	// although nothing has changed.
+	fullStatePeriod = 2 * time.Second
+	// acknowledgeTimeout is how long after a full state was sent to an entry
+	// instance the instance counts as having it without an acknowledgement.
+	acknowledgeTimeout = 1200 * time.Millisecond
+	// maxNamedEntries is the number of entry instances that one state names.
+	maxNamedEntries = 16
+	// maxDelay and idlePeriod together are shorter than the time for which
+	// entry instances rely on a state.
+	maxDelay = 700 * time.Millisecond
 )
 
 // Config configures a Loader.
 type Config struct {
 	Engine Engine
-	// Address is the engine's, as IP:port.
+	// Address is the engine's address as IP:port.
 	Address   string
 	Datagrams *gossip.Conn
-	// Metrics is where metrics are read.
+	// Metrics is the listener on which metrics are served.
 	Metrics net.Listener
 	Logger  *zap.Logger
 }
 
-// Messages of the lines for an order and for an adapter that has come.
+// Messages of the log lines for an order and for a completed load.
 const (
-	MessageOrder  = "loader: order given"
-	MessageLoaded = "loader: adapter came"
+	MessageOrder  = "loader: order sent"
+	MessageLoaded = "loader: adapter loaded"
 )
 
 var counters = telem.Map("loader")
 
-// Loader keeps one engine's adapters.
+// Loader manages the adapters of one engine and admits requests to it.
 type Loader struct {
-	config  Config
-	planner *lora.Planner
-	gate    *admit.Controller
-	// orders and turns wake the loops that give orders and grants.
-	orders chan struct{}
-	turns  chan struct{}
+	config    Config
+	planner   *lora.Planner
+	admission *admit.Controller
+	// wakeOrders and wakeGrants wake the loops that send orders and grants.
+	wakeOrders chan struct{}
+	wakeGrants chan struct{}
 
 	mutex  sync.Mutex
 	report Report
-	// misses counts the reports that failed in a row.
-	misses int
-	// silent means that the last report failed without any answer, although the
-	// engine was not leaving.
-	silent bool
-	// listed is the engine's id as the entry instances know it.
-	listed string
-	serial uint64
-	// full is the serial of the last state that named the adapters.
-	full uint64
-	told time.Time
-	// toldAny is when a state was made last, and name counts the entry instances
-	// that were named.
-	toldAny time.Time
-	name    int
-	// sent is the report that the entry instances were told last.
-	sent Report
-	// starts holds the entry instances' starts; greet means that a new one has
-	// not been told anything yet.
-	starts map[string]int64
-	greet  bool
-	// tellings holds what the entry instances were told last.
-	tellings map[string]telling
-
-	// listedBorn is the latest start of the engine that the entry instances know.
-	listedBorn int64
-	// restUntil is until when the start restBorn of the engine wants no calls.
-	restUntil time.Time
-	restBorn  int64
-
-	// fence is used by the loop that gives orders only.
-	fence int64
+	// missedReports counts the failed reports since the last successful one.
+	missedReports int
+	// unresponsive means that the last report failed otherwise than by a refused
+	// connection, and that the engine was not draining.
+	unresponsive bool
+	// upstream is the engine's id as the entry instances know it.
+	upstream string
+	serial   uint64
+	// fullSerial is the serial of the last full state, which was made at
+	// fullStateAt.
+	fullSerial  uint64
+	fullStateAt time.Time
+	// lastStateAt is when the last state was made, and named counts the entry
+	// instances that full states have named.
+	lastStateAt time.Time
+	named       int
+	// sentReport is the report that the last full state was made from.
+	sentReport Report
+	// entryStarts holds the start of each entry instance. newEntry means that
+	// one has started since the last full state was made.
+	entryStarts map[string]int64
+	newEntry    bool
+	// entryStates holds what each entry instance was last sent.
+	entryStates map[string]entryState
+
+	// listedStartedAt is the latest start of the engine that the entry
+	// instances know, in Unix milliseconds.
+	listedStartedAt int64
+	// backoffUntil is the end of the backoff that the engine asked for in its
+	// incarnation with the start backoffStartedAt.
+	backoffUntil     time.Time
+	backoffStartedAt int64
+
+	// fencingToken is used only by the loop that sends orders.
+	fencingToken int64
 }
 
-// New returns a Loader that does not run yet.
+// New returns a Loader that is not running yet.
 func New(config Config) *Loader {
 	now := time.Now()
 	return &Loader{
-		config:   config,
-		planner:  lora.New(lora.Config{}),
-		gate:     admit.New(admit.Config{}),
-		orders:   make(chan struct{}, 1),
-		turns:    make(chan struct{}, 1),
-		misses:   lostReports,
-		starts:   make(map[string]int64),
-		tellings: make(map[string]telling),
-		fence:    now.UnixMilli(),
-		serial:   uint64(now.UnixMicro()),
+		config:        config,
+		planner:       lora.New(lora.Config{}),
+		admission:     admit.New(admit.Config{}),
+		wakeOrders:    make(chan struct{}, 1),
+		wakeGrants:    make(chan struct{}, 1),
+		missedReports: unreachableAfter,
+		entryStarts:   make(map[string]int64),
+		entryStates:   make(map[string]entryState),
+		fencingToken:  now.UnixMilli(),
+		serial:        uint64(now.UnixMicro()),
 	}
 }
 
-// Run works until ctx ends.
+// Run runs the loader until ctx ends or a part of it fails.
 func (loader *Loader) Run(ctx context.Context) error {
 	loader.config.Logger.Info("loader: started", zap.String("engine", loader.config.Address))
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return loader.config.Datagrams.Serve(ctx, loader.heard) })
-	group.Go(func() error { loader.keep(ctx); return nil })
+	group.Go(func() error { return loader.config.Datagrams.Serve(ctx, loader.handleDemand) })
+	group.Go(func() error { loader.runOrders(ctx); return nil })
 	group.Go(func() error { return loader.serveMetrics(ctx) })
-	group.Go(func() error { loader.grant(ctx); return nil })
+	group.Go(func() error { loader.runGrants(ctx); return nil })
 	err := group.Wait()
 	loader.config.Logger.Info("loader: stopped", telem.Error(err))
 	return err
@@ -149,7 +156,7 @@
 	return nil
 }
 
-// setGauges brings the values that change without an event to the present.
+// setGauges updates the metrics that are read on demand.
 func (loader *Loader) setGauges() {
 	loader.mutex.Lock()
 	defer loader.mutex.Unlock()
@@ -157,35 +164,36 @@
 	telem.Gauge("loader", "queued", int64(loader.report.Queued))
 	telem.Gauge("loader", "adapters", int64(len(loader.report.Resident)))
 	telem.Gauge("loader", "adapters-pending", int64(len(loader.report.Pending)))
-	backlog, late := loader.gate.Backlog()
+	backlog, late := loader.admission.Backlog()
 	telem.Gauge("loader", "backlog-tokens", backlog)
 	telem.Gauge("loader", "late-tokens", late)
 	telem.Gauge("loader", "free-places", int64(loader.planner.FreeSlots()))
-	telem.Gauge("loader", "reports-missed", int64(loader.misses))
-	telem.Gauge("loader", "intake-tokens", int64(codec.EncodeRate(loader.gate.AdmissionRate())))
+	telem.Gauge("loader", "reports-missed", int64(loader.missedReports))
+	telem.Gauge("loader", "intake-tokens", int64(codec.EncodeRate(loader.admission.AdmissionRate())))
 }
 
-// grant lets requests in when their turn comes.
-func (loader *Loader) grant(ctx context.Context) {
+// runGrants admits waiting requests when their turn comes, until ctx ends.
+func (loader *Loader) runGrants(ctx context.Context) {
 	timer := time.NewTimer(idlePeriod)
 	defer timer.Stop()
-	var told int64
+	var sentBacklog int64
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-loader.turns:
+		case <-loader.wakeGrants:
 		case <-timer.C:
 		}
-		granted, changed := loader.gate.Grant()
-		if backlog, _ := loader.gate.Backlog(); len(changed) > 0 || backlog != told {
-			told = backlog
-			loader.tell(granted, false)
+		granted, changed := loader.admission.Grant()
+		if backlog, _ := loader.admission.Backlog(); len(changed) > 0 || backlog != sentBacklog {
+			sentBacklog = backlog
+			loader.sendState(granted, false)
 		}
-		timer.Reset(cmp.Or(loader.gate.NextTurn(), idlePeriod))
+		timer.Reset(cmp.Or(loader.admission.NextTurn(), idlePeriod))
 	}
 }
 
+// wake signals a channel unless a signal is pending.
 func wake(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
--- a/internal/daemon/loader/loader_test.go
+++ b/internal/daemon/loader/loader_test.go
@@ -27,7 +27,7 @@
 	orders []lora.Order
 	fences []int64
 	answer error
-	// calls counts all calls.
+	// calls counts the calls of both methods.
 	calls atomic.Int64
 }
 
@@ -48,106 +48,107 @@
 
 func newLoader(engine *engine) *Loader {
 	loader := New(Config{Engine: engine, Logger: zap.NewNop()})
-	loader.heard("", &wirepb.Datagram{Body: &wirepb.Datagram_Demand{Demand: &wirepb.Demand{
+	loader.handleDemand("", &wirepb.Datagram{Body: &wirepb.Datagram_Demand{Demand: &wirepb.Demand{
 		Entry: "10.0.0.1:7600", Model: "m", AdapterSlots: 4, Upstream: "i-1", Born: 1000,
 		Uses: []*wirepb.AdapterUse{{Adapter: "a1", Waiting: 1}},
 	}}})
 	return loader
 }
 
-func sound() Report {
+func healthyReport() Report {
 	return Report{EngineState: lora.EngineState{StartedAt: 1000, Models: []string{"m"}}}
 }
 
-// TestSilent guards against streams that are moved away from an engine that is
-// leaving, and against ones that stay at an engine that went dark.
-func TestSilent(t *testing.T) {
+// TestUnresponsive guards against moving streams away from an engine that is
+// draining, and against leaving them on one that has become unresponsive.
+func TestUnresponsive(t *testing.T) {
 	refused := fmt.Errorf("dial: %w", syscall.ECONNREFUSED)
-	leaving := sound()
-	leaving.Draining = true
+	draining := healthyReport()
+	draining.Draining = true
 	tests := []struct {
-		name        string
-		report      Report
-		err         error
-		unreachable bool
-		silent      bool
+		name         string
+		report       Report
+		err          error
+		unreachable  bool
+		unresponsive bool
 	}{
-		{name: "sound", report: sound()},
-		{name: "refuses connections", report: sound(), err: refused, unreachable: true},
-		{name: "dark", report: sound(), err: context.DeadlineExceeded, unreachable: true, silent: true},
-		{name: "silent while leaving", report: leaving, err: context.DeadlineExceeded, unreachable: true},
+		{name: "healthy", report: healthyReport()},
+		{name: "refuses connections", report: healthyReport(), err: refused, unreachable: true},
+		{name: "unresponsive", report: healthyReport(), err: context.DeadlineExceeded, unreachable: true, unresponsive: true},
+		{name: "unresponsive while draining", report: draining, err: context.DeadlineExceeded, unreachable: true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			engine := &engine{report: test.report}
 			loader := newLoader(engine)
-			loader.refresh(t.Context())
+			loader.fetchReport(t.Context())
 			engine.err = test.err
-			for range lostReports {
-				loader.refresh(t.Context())
+			for range unreachableAfter {
+				loader.fetchReport(t.Context())
 			}
-			state := loader.state(true, nil)
-			if state.GetUnreachable() != test.unreachable || state.GetSilent() != test.silent {
-				t.Errorf("unreachable %v, silent %v; want %v, %v", state.GetUnreachable(), state.GetSilent(), test.unreachable, test.silent)
+			state := loader.newState(true, nil)
+			if state.GetUnreachable() != test.unreachable || state.GetSilent() != test.unresponsive {
+				t.Errorf("unreachable %v, unresponsive %v; want %v, %v", state.GetUnreachable(), state.GetSilent(), test.unreachable, test.unresponsive)
 			}
 		})
 	}
 }
 
-// TestMeet guards against an entry instance that has started anew at the same
-// address waiting for the next regular report, and against the others learning
+// TestNewEntry guards against an entry instance that has restarted at the same
+// address waiting for the next regular state, and against the others learning
 // of it late.
-func TestMeet(t *testing.T) {
-	engine := &engine{report: sound()}
+func TestNewEntry(t *testing.T) {
+	engine := &engine{report: healthyReport()}
 	datagrams, err := gossip.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	loader := New(Config{Engine: engine, Datagrams: datagrams, Logger: zap.NewNop()})
-	heard := make(chan *wirepb.EngineState, 10)
+	states := make(chan *wirepb.EngineState, 10)
 	entry, err := gossip.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	go func() {
-		_ = entry.Serve(t.Context(), func(_ string, datagram *wirepb.Datagram) { heard <- datagram.GetEngineState() })
+		_ = entry.Serve(t.Context(), func(_ string, datagram *wirepb.Datagram) { states <- datagram.GetEngineState() })
 	}()
 	for start := range int64(2) {
-		loader.heard("", &wirepb.Datagram{Body: &wirepb.Datagram_Demand{Demand: &wirepb.Demand{
+		loader.handleDemand("", &wirepb.Datagram{Body: &wirepb.Datagram_Demand{Demand: &wirepb.Demand{
 			Entry: entry.Address(), Start: 1 + start, Model: "m", Upstream: "i-1", Born: 1000,
 		}}})
-		loader.refresh(t.Context())
-		loader.tellChanges()
+		loader.fetchReport(t.Context())
+		loader.sendChanges()
 		select {
-		case state := <-heard:
+		case state := <-states:
 			if state.GetBrief() || !slices.Equal(state.GetEntries(), []string{entry.Address()}) {
-				t.Errorf("start %d: told brief %v, entries %v", start, state.GetBrief(), state.GetEntries())
+				t.Errorf("start %d: received brief %v, entries %v", start, state.GetBrief(), state.GetEntries())
 			}
 		case <-time.After(idlePeriod / 2):
-			t.Errorf("start %d: told nothing", start)
+			t.Errorf("start %d: received nothing", start)
 		}
 	}
 }
 
-// TestManyEntries plays a deployment of 300 instances (sweep-300), where each
-// engine's load changes 20 times a second: telling every entry instance of each
-// change took most of the bytes between failure domains. The one that waits for
-// its turn is told each; what the others are told must not be too old for them.
+// TestManyEntries plays a deployment of 300 instances (scenario sweep-300) in
+// which each engine's load changes 20 times a second. Sending each change to
+// every entry instance took most of the bytes between failure domains. Only the
+// instance with a waiting request is sent each change, but what the others have
+// been sent must not grow too old.
 func TestManyEntries(t *testing.T) {
 	const entries = 80
-	engine := &engine{report: sound()}
+	engine := &engine{report: healthyReport()}
 	datagrams, err := gossip.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	loader := New(Config{Engine: engine, Datagrams: datagrams, Logger: zap.NewNop()})
 	demand := func(entry string, asks ...*wirepb.Ask) {
-		loader.heard("", &wirepb.Datagram{Body: &wirepb.Datagram_Demand{Demand: &wirepb.Demand{
+		loader.handleDemand("", &wirepb.Datagram{Body: &wirepb.Datagram_Demand{Demand: &wirepb.Demand{
 			Entry: entry, Start: 1, Model: "m", Upstream: "i-1", Born: 1000, Slots: 64, EventTokens: 3, GapMs: 300, Asks: asks,
 		}}})
 	}
 	var addresses []string
-	told := make([]atomic.Int64, entries)
+	received := make([]atomic.Int64, entries)
 	brief := make([]atomic.Int64, entries)
 	for i := range entries {
 		entry, err := gossip.Listen("127.0.0.1:0")
@@ -157,7 +158,7 @@
 		addresses = append(addresses, entry.Address())
 		go func() {
 			_ = entry.Serve(t.Context(), func(_ string, datagram *wirepb.Datagram) {
-				told[i].Add(1)
+				received[i].Add(1)
 				if datagram.GetEngineState().GetBrief() {
 					brief[i].Add(1)
 				}
@@ -174,91 +175,92 @@
 				demand(address)
 			}
 		}
-		loader.refresh(t.Context())
-		loader.tell(nil, change%10 == 0)
+		loader.fetchReport(t.Context())
+		loader.sendState(nil, change%10 == 0)
 		time.Sleep(period)
 	}
-	if got := told[0].Load(); got < changes*9/10 || brief[0].Load() < got/2 {
-		t.Errorf("the entry instance that waits was told %d of %d changes, %d in brief", got, changes, brief[0].Load())
+	if got := received[0].Load(); got < changes*9/10 || brief[0].Load() < got/2 {
+		t.Errorf("the entry instance with a waiting request was sent %d of %d changes, %d of them brief", got, changes, brief[0].Load())
 	}
 	for i := 1; i < entries; i++ {
 		// Two seconds, one state each 700 ms or little later.
-		if got := told[i].Load(); got < 2 || got > 4 {
-			t.Errorf("entry instance %d was told %d times within two seconds, want 2 to 4", i, got)
+		if got := received[i].Load(); got < 2 || got > 4 {
+			t.Errorf("entry instance %d was sent %d states within two seconds, want 2 to 4", i, got)
 		}
-		if brief[i].Load() > 0 && told[i].Load() == brief[i].Load() {
-			t.Errorf("entry instance %d was never told which adapters there are", i)
+		if brief[i].Load() > 0 && received[i].Load() == brief[i].Load() {
+			t.Errorf("entry instance %d was never sent a full state", i)
 		}
 	}
 }
 
-// TestFence guards against a loader that gives the same fencing token again
-// after the engine refused it, as when the clock stepped back before a restart.
+// TestFence guards against a loader that sends the same fencing token again
+// after the engine refused it, as when the clock stepped back before a restart
+// of the loader.
 func TestFence(t *testing.T) {
-	engine := &engine{report: sound(), answer: ErrFenced}
+	engine := &engine{report: healthyReport(), answer: ErrFenced}
 	loader := newLoader(engine)
 	for range 2 {
-		loader.refresh(t.Context())
-		loader.order(t.Context())
+		loader.fetchReport(t.Context())
+		loader.sendOrder(t.Context())
 	}
 	if len(engine.fences) != 2 || engine.fences[1] <= engine.fences[0] {
-		t.Errorf("fencing tokens are %v, want a higher one the second time", engine.fences)
+		t.Errorf("fencing tokens %v, want a higher one the second time", engine.fences)
 	}
 }
 
-// TestStaleDemand guards against the demands for an ended start, still listed
-// at the engine's address, replacing those for the present one.
+// TestStaleDemand guards against demands for an ended incarnation, which is
+// still listed at the engine's address, replacing those for the present one.
 func TestStaleDemand(t *testing.T) {
-	engine := &engine{report: sound()}
+	engine := &engine{report: healthyReport()}
 	engine.report.StartedAt = 2000
 	loader := newLoader(engine)
-	loader.refresh(t.Context())
-	loader.heard("", &wirepb.Datagram{Body: &wirepb.Datagram_Demand{Demand: &wirepb.Demand{Entry: "10.0.0.1:7600", Upstream: "i-2", Born: 2000}}})
-	loader.heard("", &wirepb.Datagram{Body: &wirepb.Datagram_Demand{Demand: &wirepb.Demand{Entry: "10.0.0.1:7600", Upstream: "i-1", Born: 1000}}})
-	if got := loader.state(true, nil).GetUpstream(); got != "i-2" {
-		t.Errorf("the loader speaks for %s, want i-2", got)
+	loader.fetchReport(t.Context())
+	loader.handleDemand("", &wirepb.Datagram{Body: &wirepb.Datagram_Demand{Demand: &wirepb.Demand{Entry: "10.0.0.1:7600", Upstream: "i-2", Born: 2000}}})
+	loader.handleDemand("", &wirepb.Datagram{Body: &wirepb.Datagram_Demand{Demand: &wirepb.Demand{Entry: "10.0.0.1:7600", Upstream: "i-1", Born: 1000}}})
+	if got := loader.newState(true, nil).GetUpstream(); got != "i-2" {
+		t.Errorf("state for upstream %s, want i-2", got)
 	}
 }
 
-// TestUnknownOrder guards against an order whose outcome is unknown counting
-// as carried out.
+// TestUnknownOrder guards against counting an order with unknown outcome as
+// carried out.
 func TestUnknownOrder(t *testing.T) {
-	engine := &engine{report: sound(), answer: errors.New("no answer")}
+	engine := &engine{report: healthyReport(), answer: errors.New("no answer")}
 	loader := newLoader(engine)
 	for range 3 {
-		loader.refresh(t.Context())
-		if loader.order(t.Context()) {
-			t.Error("an order without an answer counts as taken")
+		loader.fetchReport(t.Context())
+		if loader.sendOrder(t.Context()) {
+			t.Error("an order without an answer counts as accepted")
 		}
 	}
 	if len(engine.orders) != 3 || engine.orders[2] != engine.orders[0] {
-		t.Errorf("orders are %v, want the same one three times", engine.orders)
+		t.Errorf("orders %v, want the same one three times", engine.orders)
 	}
 }
 
-// TestRestsAnew guards against an engine that gets no adapters after a new start,
-// because an earlier start wanted no calls for long.
-func TestRestsAnew(t *testing.T) {
-	engine := &engine{report: sound()}
+// TestBackoffRestart guards against an engine that gets no adapters after a
+// restart because its earlier incarnation asked for a long backoff.
+func TestBackoffRestart(t *testing.T) {
+	engine := &engine{report: healthyReport()}
 	loader := newLoader(engine)
 	engine.err = BackoffError{Delay: time.Hour}
-	loader.attend(t.Context())
+	loader.poll(t.Context())
 	engine.err, engine.report.StartedAt = nil, 2000
 	engine.calls.Store(0)
-	loader.attend(t.Context())
+	loader.poll(t.Context())
 	if engine.calls.Load() != 0 {
-		t.Error("the engine was called although it wants no calls")
+		t.Error("the engine was called during its backoff")
 	}
-	loader.heard("", &wirepb.Datagram{Body: &wirepb.Datagram_Demand{Demand: &wirepb.Demand{Entry: "10.0.0.1:7600", Model: "m", Upstream: "i-1", Born: 2000}}})
-	loader.attend(t.Context())
+	loader.handleDemand("", &wirepb.Datagram{Body: &wirepb.Datagram_Demand{Demand: &wirepb.Demand{Entry: "10.0.0.1:7600", Model: "m", Upstream: "i-1", Born: 2000}}})
+	loader.poll(t.Context())
 	if engine.calls.Load() == 0 {
-		t.Error("the engine was not called after its new start")
+		t.Error("the engine was not called after its restart")
 	}
 }
 
-// TestRests guards against calls to an engine that wants none for a time, and
-// against one that counts as dark meanwhile.
-func TestRests(t *testing.T) {
+// TestBackoff guards against calls to an engine during the backoff that it
+// asked for, and against counting it as unreachable meanwhile.
+func TestBackoff(t *testing.T) {
 	tests := []struct {
 		name   string
 		report error
@@ -270,26 +272,26 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				engine := &engine{report: sound()}
+				engine := &engine{report: healthyReport()}
 				loader := newLoader(engine)
-				loader.refresh(t.Context())
+				loader.fetchReport(t.Context())
 				engine.err, engine.answer = test.report, test.order
-				loader.attend(t.Context())
+				loader.poll(t.Context())
 				engine.calls.Store(0)
 				for range 10 {
 					time.Sleep(290 * time.Millisecond)
-					loader.attend(t.Context())
+					loader.poll(t.Context())
 				}
 				if calls := engine.calls.Load(); calls != 0 {
-					t.Errorf("%d calls to an engine that wants none", calls)
+					t.Errorf("%d calls during the backoff", calls)
 				}
-				if loader.state(true, nil).GetUnreachable() {
+				if loader.newState(true, nil).GetUnreachable() {
 					t.Error("the engine counts as unreachable")
 				}
 				time.Sleep(100 * time.Millisecond)
-				loader.attend(t.Context())
+				loader.poll(t.Context())
 				if engine.calls.Load() == 0 {
-					t.Error("no call after the time was over")
+					t.Error("no call after the backoff")
 				}
 			})
 		})
--- a/internal/daemon/loader/orders.go
+++ b/internal/daemon/loader/orders.go
@@ -17,15 +17,17 @@
 const (
 	// reportPeriod is how often the engine is asked for its report.
 	reportPeriod = 40 * time.Millisecond
-	// lostReports is the number of reports that fail in a row before the engine
-	// counts as unreachable.
-	lostReports = 3
-	// fenceStep raises the fencing token above one that the engine has seen.
+	// unreachableAfter is the number of consecutive failed reports after which
+	// the engine counts as unreachable.
+	unreachableAfter = 3
+	// fenceStep raises the fencing token, after the engine has rejected it as
+	// too low.
 	fenceStep = 10_000
 )
 
-// keep asks for reports and gives orders.
-func (loader *Loader) keep(ctx context.Context) {
+// runOrders polls the engine, sends orders to it and states to the entry
+// instances, until ctx ends.
+func (loader *Loader) runOrders(ctx context.Context) {
 	ticker := time.NewTicker(reportPeriod)
 	defer ticker.Stop()
 	for {
@@ -33,100 +35,102 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-loader.orders:
+		case <-loader.wakeOrders:
 		}
-		loader.attend(ctx)
-		loader.tellChanges()
+		loader.poll(ctx)
+		loader.sendChanges()
 	}
 }
 
-// attend asks for a report and gives the orders that are due.
-func (loader *Loader) attend(ctx context.Context) {
-	for loader.rested() && loader.refresh(ctx) && loader.order(ctx) {
+// poll fetches a report and sends the next order, until no order is due or a
+// call fails.
+func (loader *Loader) poll(ctx context.Context) {
+	for loader.mayCall() && loader.fetchReport(ctx) && loader.sendOrder(ctx) {
 	}
 }
 
-// rested reports whether the engine may be called. A new start of it is not
-// bound by what an earlier one said.
-func (loader *Loader) rested() bool {
+// mayCall reports whether the engine is out of its backoff. A backoff asked for
+// by one incarnation does not bind a later one.
+func (loader *Loader) mayCall() bool {
 	loader.mutex.Lock()
 	defer loader.mutex.Unlock()
-	return !time.Now().Before(loader.restUntil) || loader.listedBorn > loader.restBorn
+	return !time.Now().Before(loader.backoffUntil) || loader.listedStartedAt > loader.backoffStartedAt
 }
 
-// rests records that the engine wants no calls, if err says so.
-func (loader *Loader) rests(err error) bool {
-	var rest BackoffError
-	if !errors.As(err, &rest) {
+// backOff records the backoff that the engine asks for and returns true, if err
+// is a BackoffError.
+func (loader *Loader) backOff(err error) bool {
+	var backoff BackoffError
+	if !errors.As(err, &backoff) {
 		return false
 	}
 	loader.mutex.Lock()
 	defer loader.mutex.Unlock()
-	loader.restUntil = time.Now().Add(min(rest.Delay, cordon.MaxBackoff))
-	loader.restBorn = max(loader.report.StartedAt, loader.listedBorn)
+	loader.backoffUntil = time.Now().Add(min(backoff.Delay, cordon.MaxBackoff))
+	loader.backoffStartedAt = max(loader.report.StartedAt, loader.listedStartedAt)
 	counters.Add("engine-rests", 1)
-	loader.config.Logger.Warn("loader: engine wants no calls", zap.Duration("rest", rest.Delay))
+	loader.config.Logger.Warn("loader: engine asked for backoff", zap.Duration("rest", backoff.Delay))
 	return true
 }
 
-// refresh takes over the engine's report. While the engine wants no calls, its
-// last report stands.
-func (loader *Loader) refresh(ctx context.Context) bool {
+// fetchReport fetches and records the engine's report, and reports whether it
+// succeeded. During a backoff the last report stays in effect.
+func (loader *Loader) fetchReport(ctx context.Context) bool {
 	report, err := loader.config.Engine.Report(ctx)
-	if ctx.Err() != nil || loader.rests(err) {
+	if ctx.Err() != nil || loader.backOff(err) {
 		return false
 	}
 	loader.mutex.Lock()
 	defer loader.mutex.Unlock()
 	if err != nil {
-		loader.misses++
-		loader.silent = !errors.Is(err, syscall.ECONNREFUSED) && !loader.report.Draining
-		if loader.misses == lostReports {
-			loader.config.Logger.Warn("loader: engine does not report", telem.Error(err))
-			loader.gate.Observe(admit.EngineState{})
+		loader.missedReports++
+		loader.unresponsive = !errors.Is(err, syscall.ECONNREFUSED) && !loader.report.Draining
+		if loader.missedReports == unreachableAfter {
+			loader.config.Logger.Warn("loader: engine report failed repeatedly", telem.Error(err))
+			loader.admission.Observe(admit.EngineState{})
 		}
 		return false
 	}
-	if loader.misses >= lostReports || report.StartedAt != loader.report.StartedAt {
-		loader.config.Logger.Info("loader: engine reports", zap.Int64("born", report.StartedAt),
+	if loader.missedReports >= unreachableAfter || report.StartedAt != loader.report.StartedAt {
+		loader.config.Logger.Info("loader: engine report received", zap.Int64("born", report.StartedAt),
 			zap.Strings("models", report.Models), zap.Int("adapters", len(report.Resident)))
 	}
 	if report.StartedAt != loader.report.StartedAt {
-		loader.gate.ResetSpeed()
+		loader.admission.ResetSpeed()
 	}
-	loader.misses = 0
+	loader.missedReports = 0
 	loader.report = report
-	for _, arrival := range loader.planner.Observe(report.EngineState) {
-		loader.logArrival(arrival)
+	for _, load := range loader.planner.Observe(report.EngineState) {
+		loader.logLoad(load)
 	}
-	loader.gate.Observe(admit.EngineState{
+	loader.admission.Observe(admit.EngineState{
 		Running: report.Running + report.Queued, Queued: report.Queued, UsedTokens: report.UsedTokens, TotalTokens: report.TotalTokens,
 		Holds: report.holds,
 	})
-	wake(loader.turns)
+	wake(loader.wakeGrants)
 	return true
 }
 
-// order gives the next order and reports whether there was one that the engine
-// took.
-func (loader *Loader) order(ctx context.Context) bool {
+// sendOrder sends the next order and reports whether there was one that the
+// engine accepted.
+func (loader *Loader) sendOrder(ctx context.Context) bool {
 	order, ok := loader.planner.Next()
 	if !ok {
 		return false
 	}
 	loader.mutex.Lock()
-	upstream := loader.listed
+	upstream := loader.upstream
 	loader.mutex.Unlock()
 	began := time.Now()
-	err := loader.config.Engine.Order(ctx, upstream, order, loader.fence)
+	err := loader.config.Engine.Order(ctx, upstream, order, loader.fencingToken)
 	if errors.Is(err, ErrFenced) {
-		loader.fence = max(loader.fence, time.Now().UnixMilli()) + fenceStep
+		loader.fencingToken = max(loader.fencingToken, time.Now().UnixMilli()) + fenceStep
 	}
 	counters.Add("orders-"+order.Operation.String(), 1)
 	if err != nil {
 		counters.Add("orders-failed", 1)
 	}
-	if !errors.Is(err, ErrConflict) && !errors.Is(err, ErrFenced) && !loader.rests(err) {
+	if !errors.Is(err, ErrConflict) && !errors.Is(err, ErrFenced) && !loader.backOff(err) {
 		loader.planner.RecordOrder(order)
 	}
 	loader.config.Logger.Info(MessageOrder,
@@ -136,12 +140,12 @@
 	return err == nil
 }
 
-// logArrival writes how an adapter came.
-func (loader *Loader) logArrival(arrival lora.CompletedLoad) {
+// logLoad logs and counts a completed load.
+func (loader *Loader) logLoad(load lora.CompletedLoad) {
 	counters.Add("adapters-arrived", 1)
-	if arrival.FromCache {
+	if load.FromCache {
 		counters.Add("adapters-recalled", 1)
 	}
-	loader.config.Logger.Info(MessageLoaded, zap.String("adapter", arrival.Adapter.Name), zap.Uint32("version", arrival.Adapter.Version),
-		zap.Duration("took", arrival.Took), zap.Int("depth", arrival.Depth), zap.Bool("quick", arrival.FromCache))
+	loader.config.Logger.Info(MessageLoaded, zap.String("adapter", load.Adapter.Name), zap.Uint32("version", load.Adapter.Version),
+		zap.Duration("took", load.Took), zap.Int("depth", load.Depth), zap.Bool("quick", load.FromCache))
 }
--- a/internal/daemon/watch/watch.go
+++ b/internal/daemon/watch/watch.go
@@ -1,6 +1,6 @@
 // Package watch keeps a process current with a keyed topic of the platform's
-// store: it reads all newest records once, then what comes after them, and
-// starts over when records were dropped before they were read.
+// store. A Watcher reads the newest record of each key once, then the records
+// that follow, and starts over when records were trimmed before it read them.
 package watch
 
 import (
@@ -16,264 +16,279 @@
 	"jacinthfront.dev/jacinthfront/internal/base/telem"
 )
 
-// ErrTrimmed means that records were dropped before they were read.
-var ErrTrimmed = errors.New("records were dropped; read the newest of each key")
+// ErrTrimmed means that the store removed records before they were read.
+var ErrTrimmed = errors.New("records were trimmed before they were read")
 
 // Defaults of Config.
 const (
-	DefaultCallTime = 800 * time.Millisecond
-	DefaultFirst    = 50 * time.Millisecond
-	DefaultLongest  = 400 * time.Millisecond
+	DefaultCallTimeout = 800 * time.Millisecond
+	DefaultMinBackoff  = 50 * time.Millisecond
+	DefaultMaxBackoff  = 400 * time.Millisecond
 )
 
-// hintPause is how often hints are looked at.
-const hintPause = 100 * time.Millisecond
+// peerPollPeriod is how often the update of another process is looked up.
+const peerPollPeriod = 100 * time.Millisecond
 
 // Source reads a topic as decoded records.
 type Source[Record any] interface {
-	// Snapshot returns the newest record of each key and where to read on.
+	// Snapshot returns the newest record of each key and the offset to read on
+	// from.
 	Snapshot(ctx context.Context) (records []Record, next uint64, err error)
-	// Read returns the records from an offset on. It waits for the first one,
-	// and returns nothing if none comes.
+	// Read returns the records from an offset on, and the offset to read on
+	// from. It waits up to wait for the first record and returns none if there
+	// is none by then. It fails with ErrTrimmed if records after the offset
+	// were removed.
 	Read(ctx context.Context, from uint64, wait time.Duration) (records []Record, next uint64, err error)
 }
 
-// Config configures a Follower. Zero values mean the defaults.
+// Config configures a Watcher. Zero durations mean the defaults, except that
+// LongPoll and Interval default to none. PeerUpdate and the On callbacks may be
+// nil.
 type Config[Record any] struct {
 	Name   string
 	Source Source[Record]
 	Logger *zap.Logger
-	// LongPoll is how long a call waits for a record.
+	// LongPoll is how long a read waits for a record.
 	LongPoll time.Duration
 	// Interval is the time between two calls.
 	Interval time.Duration
-	// CallTime is the longest time for a call, beside Wait.
-	CallTime time.Duration
-	// First is the pause after a failed call. It doubles up to Longest.
-	First   time.Duration
-	Longest time.Duration
-	// Apply takes over records and returns those that changed anything. complete
-	// means that keys not among them were removed.
+	// CallTimeout bounds the time of a call, in addition to LongPoll.
+	CallTimeout time.Duration
+	// MinBackoff is the mean pause after a failed call. It doubles with each
+	// further failure up to MaxBackoff.
+	MinBackoff time.Duration
+	MaxBackoff time.Duration
+	// Apply applies records and returns those that changed the local state.
+	// With complete set, keys that are not among the records no longer exist.
 	Apply func(records []Record, complete bool) []Record
-	// PeerUpdate may be nil. It says what another process read lately, if that is
-	// known; a call that would return nothing more is left out then.
+	// PeerUpdate returns what another process has read lately, if that is
+	// known. A call that would return nothing more is skipped.
 	PeerUpdate func() (Update[Record], bool)
-	// OnConfirmed is called after Apply with the time at which the call was made.
+	// OnConfirmed is called after Apply with a time at which the local state
+	// was current: the start of the call, or the ConfirmedAt of the peer
+	// update.
 	OnConfirmed func(called time.Time)
-	// OnChange may be nil. It is called after a call that changed something.
+	// OnChange is called after a call that changed the local state.
 	OnChange func()
 	// OnFailure is called when calls begin to fail.
 	OnFailure func()
-	// OnCall is called after each call with its error.
+	// OnCall is called after each call, with its error.
 	OnCall func(err error)
 }
 
-// Watcher follows one topic.
+// Watcher keeps a process current with one topic.
 type Watcher[Record any] struct {
 	config Config[Record]
 	wake   chan struct{}
 
-	placed bool
-	down   bool
-	// hinted means that a hint took the place of the last call.
-	hinted bool
-	// news means that the last call changed something.
-	news bool
+	// synced means that a snapshot was read and no records were trimmed since,
+	// and failing that the last call failed.
+	synced  bool
+	failing bool
+	// skippedCall means that a peer update has replaced calls since the last
+	// one.
+	skippedCall bool
+	// changed means that the last call changed the local state.
+	changed bool
 
 	mutex    sync.Mutex
 	position Position
-	kept     news[Record]
+	recent   recentChanges[Record]
 }
 
-// Position returns how far the topic was read. Its time is zero if it was not.
-func (follower *Watcher[Record]) Position() Position {
-	follower.mutex.Lock()
-	defer follower.mutex.Unlock()
-	return follower.position
+// Position returns how far the topic was read. Its ConfirmedAt is zero before
+// the first successful call.
+func (watcher *Watcher[Record]) Position() Position {
+	watcher.mutex.Lock()
+	defer watcher.mutex.Unlock()
+	return watcher.position
 }
 
-// advance records that everything before next is known, and what of it changed
-// anything.
-func (follower *Watcher[Record]) advance(next uint64, changes []Record) {
-	follower.mutex.Lock()
-	defer follower.mutex.Unlock()
+// advance records that the topic was read up to next, and which of the records
+// changed the local state.
+func (watcher *Watcher[Record]) advance(next uint64, changes []Record) {
+	watcher.mutex.Lock()
+	defer watcher.mutex.Unlock()
 	if len(changes) > 0 {
-		follower.kept.add(follower.position.Next, next, changes)
-		follower.position.ChangedNext = next
+		watcher.recent.add(watcher.position.Next, next, changes)
+		watcher.position.ChangedNext = next
 	}
-	follower.position.Next = next
+	watcher.position.Next = next
 }
 
-// place records that all was read anew.
-func (follower *Watcher[Record]) place(next uint64) {
-	follower.mutex.Lock()
-	defer follower.mutex.Unlock()
-	follower.kept.reset(next)
-	follower.position.Next, follower.position.ChangedNext = next, next
+// reset records that a snapshot was read.
+func (watcher *Watcher[Record]) reset(next uint64) {
+	watcher.mutex.Lock()
+	defer watcher.mutex.Unlock()
+	watcher.recent.reset(next)
+	watcher.position.Next, watcher.position.ChangedNext = next, next
 }
 
-// confirm records when it was known that there was nothing more to read.
-func (follower *Watcher[Record]) confirm(at time.Time) {
-	follower.mutex.Lock()
-	defer follower.mutex.Unlock()
-	follower.position.ConfirmedAt = at
+// setConfirmedAt records a time at which there was nothing more to read.
+func (watcher *Watcher[Record]) setConfirmedAt(at time.Time) {
+	watcher.mutex.Lock()
+	defer watcher.mutex.Unlock()
+	watcher.position.ConfirmedAt = at
 }
 
-// New returns a Follower that has read nothing.
+// New returns a Watcher that has read nothing.
 func New[Record any](config Config[Record]) *Watcher[Record] {
-	config.CallTime = cmp.Or(config.CallTime, DefaultCallTime)
-	config.First = cmp.Or(config.First, DefaultFirst)
-	config.Longest = cmp.Or(config.Longest, DefaultLongest)
+	config.CallTimeout = cmp.Or(config.CallTimeout, DefaultCallTimeout)
+	config.MinBackoff = cmp.Or(config.MinBackoff, DefaultMinBackoff)
+	config.MaxBackoff = cmp.Or(config.MaxBackoff, DefaultMaxBackoff)
 	return &Watcher[Record]{config: config, wake: make(chan struct{}, 1)}
 }
 
-// Run follows the topic until ctx ends.
-func (follower *Watcher[Record]) Run(ctx context.Context) {
-	backoff := follower.config.First
+// Run reads the topic until ctx ends.
+func (watcher *Watcher[Record]) Run(ctx context.Context) {
+	backoff := watcher.config.MinBackoff
 	for ctx.Err() == nil {
 		called := time.Now()
-		err := follower.step(ctx)
+		err := watcher.call(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if follower.config.OnCall != nil {
-			follower.config.OnCall(err)
+		if watcher.config.OnCall != nil {
+			watcher.config.OnCall(err)
 		}
 		switch {
 		case err == nil:
-			backoff = follower.config.First
-			follower.reached(called)
-			if follower.config.OnChange != nil && follower.news {
-				follower.config.OnChange()
+			backoff = watcher.config.MinBackoff
+			watcher.markConfirmed(called)
+			if watcher.config.OnChange != nil && watcher.changed {
+				watcher.config.OnChange()
 			}
-			follower.rest(ctx)
-			follower.restOnHints(ctx)
+			watcher.waitInterval(ctx)
+			watcher.waitOnPeer(ctx)
 		case errors.Is(err, ErrTrimmed):
-			follower.config.Logger.Info("follow: records were dropped, reading all", zap.String("topic", follower.config.Name))
-			follower.placed = false
+			watcher.config.Logger.Info("follow: records trimmed, reading a snapshot", zap.String("topic", watcher.config.Name))
+			watcher.synced = false
 		default:
-			follower.lost(err)
-			pause(ctx, backoff/2+rand.N(backoff))
-			backoff = min(2*backoff, follower.config.Longest)
+			watcher.markFailing(err)
+			sleep(ctx, backoff/2+rand.N(backoff))
+			backoff = min(2*backoff, watcher.config.MaxBackoff)
 		}
 	}
 }
 
-// Wake ends the present pause between two calls.
-func (follower *Watcher[Record]) Wake() {
+// Wake ends the present wait between two calls, or else the next one.
+func (watcher *Watcher[Record]) Wake() {
 	select {
-	case follower.wake <- struct{}{}:
+	case watcher.wake <- struct{}{}:
 	default:
 	}
 }
 
-// rest waits between two calls, unless it is woken.
-func (follower *Watcher[Record]) rest(ctx context.Context) {
-	if follower.config.Interval <= 0 {
+// waitInterval waits for Interval or until it is woken.
+func (watcher *Watcher[Record]) waitInterval(ctx context.Context) {
+	if watcher.config.Interval <= 0 {
 		return
 	}
-	timer := time.NewTimer(follower.config.Interval)
+	timer := time.NewTimer(watcher.config.Interval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-follower.wake:
+	case <-watcher.wake:
 	}
 }
 
-// restOnHints waits for as long as another process says that there is nothing
-// new.
-func (follower *Watcher[Record]) restOnHints(ctx context.Context) {
-	for ctx.Err() == nil && follower.takeHint() {
-		follower.hinted = true
+// waitOnPeer waits for as long as the updates of another process replace calls.
+func (watcher *Watcher[Record]) waitOnPeer(ctx context.Context) {
+	for ctx.Err() == nil && watcher.applyPeerUpdate() {
+		watcher.skippedCall = true
 		select {
 		case <-ctx.Done():
-		case <-time.After(hintPause):
-		case <-follower.wake:
+		case <-time.After(peerPollPeriod):
+		case <-watcher.wake:
 		}
 	}
 }
 
-// takeHint takes over what another process read. It reports whether there is
-// nothing more to read.
-func (follower *Watcher[Record]) takeHint() bool {
-	if follower.config.PeerUpdate == nil {
+// applyPeerUpdate applies what another process has read. It returns false if a
+// call is needed: there is no update, or it lacks changes that this process has
+// not read.
+func (watcher *Watcher[Record]) applyPeerUpdate() bool {
+	if watcher.config.PeerUpdate == nil {
 		return false
 	}
-	hint, ok := follower.config.PeerUpdate()
-	own := follower.Position()
-	if !ok || hint.ChangedNext > own.Next && (!hint.Complete || hint.From > own.Next) {
+	update, ok := watcher.config.PeerUpdate()
+	own := watcher.Position()
+	if !ok || update.ChangedNext > own.Next && (!update.Complete || update.From > own.Next) {
 		return false
 	}
-	if hint.Next > own.Next {
+	if update.Next > own.Next {
 		var changes []Record
-		if hint.ChangedNext > own.Next {
-			changes = follower.config.Apply(hint.Changes, false)
+		if update.ChangedNext > own.Next {
+			changes = watcher.config.Apply(update.Changes, false)
 		}
-		follower.advance(hint.Next, changes)
+		watcher.advance(update.Next, changes)
 	}
-	if hint.ConfirmedAt.After(own.ConfirmedAt) {
-		follower.reached(hint.ConfirmedAt)
+	if update.ConfirmedAt.After(own.ConfirmedAt) {
+		watcher.markConfirmed(update.ConfirmedAt)
 	}
 	return true
 }
 
-// step makes one call.
-func (follower *Watcher[Record]) step(ctx context.Context) error {
-	if !follower.placed {
-		ctx, cancel := context.WithTimeout(ctx, follower.config.CallTime)
+// call reads the snapshot, or the records after it.
+func (watcher *Watcher[Record]) call(ctx context.Context) error {
+	if !watcher.synced {
+		ctx, cancel := context.WithTimeout(ctx, watcher.config.CallTimeout)
 		defer cancel()
-		records, next, err := follower.config.Source.Snapshot(ctx)
+		records, next, err := watcher.config.Source.Snapshot(ctx)
 		if err != nil {
 			return err
 		}
-		follower.config.Apply(records, true)
-		follower.place(next)
-		follower.placed, follower.news = true, true
+		watcher.config.Apply(records, true)
+		watcher.reset(next)
+		watcher.synced, watcher.changed = true, true
 		return nil
 	}
-	wait := follower.config.LongPoll
-	if follower.down || follower.hinted {
-		// After an outage, or when no hint comes any more, what is known must be
-		// confirmed at once.
+	wait := watcher.config.LongPoll
+	if watcher.failing || watcher.skippedCall {
+		// After an outage, or when peer updates have ended, the local state must
+		// be confirmed at once.
 		wait = 0
-		follower.hinted = false
+		watcher.skippedCall = false
 	}
-	ctx, cancel := context.WithTimeout(ctx, follower.config.CallTime+wait)
+	ctx, cancel := context.WithTimeout(ctx, watcher.config.CallTimeout+wait)
 	defer cancel()
-	records, next, err := follower.config.Source.Read(ctx, follower.Position().Next, wait)
+	records, next, err := watcher.config.Source.Read(ctx, watcher.Position().Next, wait)
 	if err != nil {
 		return err
 	}
-	changes := follower.config.Apply(records, false)
-	follower.advance(next, changes)
-	follower.news = len(changes) > 0
+	changes := watcher.config.Apply(records, false)
+	watcher.advance(next, changes)
+	watcher.changed = len(changes) > 0
 	return nil
 }
 
-func (follower *Watcher[Record]) reached(called time.Time) {
-	if follower.down {
-		follower.down = false
-		follower.config.Logger.Info("follow: topic is read again", zap.String("topic", follower.config.Name))
+// markConfirmed records a time at which the local state was current.
+func (watcher *Watcher[Record]) markConfirmed(called time.Time) {
+	if watcher.failing {
+		watcher.failing = false
+		watcher.config.Logger.Info("follow: topic is read again", zap.String("topic", watcher.config.Name))
 	}
-	follower.confirm(called)
-	if follower.config.OnConfirmed != nil {
-		follower.config.OnConfirmed(called)
+	watcher.setConfirmedAt(called)
+	if watcher.config.OnConfirmed != nil {
+		watcher.config.OnConfirmed(called)
 	}
 }
 
-func (follower *Watcher[Record]) lost(err error) {
-	if follower.down {
+// markFailing records that calls fail.
+func (watcher *Watcher[Record]) markFailing(err error) {
+	if watcher.failing {
 		return
 	}
-	follower.down = true
-	follower.config.Logger.Warn("follow: topic cannot be read", zap.String("topic", follower.config.Name), telem.Error(err))
-	if follower.config.OnFailure != nil {
-		follower.config.OnFailure()
+	watcher.failing = true
+	watcher.config.Logger.Warn("follow: topic cannot be read", zap.String("topic", watcher.config.Name), telem.Error(err))
+	if watcher.config.OnFailure != nil {
+		watcher.config.OnFailure()
 	}
 }
 
-func pause(ctx context.Context, duration time.Duration) {
+// sleep waits for duration or until ctx ends.
+func sleep(ctx context.Context, duration time.Duration) {
 	if duration <= 0 {
 		return
 	}
--- a/internal/daemon/watch/watch_test.go
+++ b/internal/daemon/watch/watch_test.go
@@ -45,7 +45,7 @@
 	case trimmed:
 		return nil, 0, ErrTrimmed
 	case int(from) == end:
-		pause(ctx, wait)
+		sleep(ctx, wait)
 	}
 	topic.mutex.Lock()
 	defer topic.mutex.Unlock()
@@ -58,14 +58,14 @@
 	change()
 }
 
-// run runs a follower until stop is called.
-func run(t *testing.T, follower *Watcher[string]) (stop func()) {
+// run runs a watcher until stop is called.
+func run(t *testing.T, watcher *Watcher[string]) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		follower.Run(ctx)
+		watcher.Run(ctx)
 	}()
 	return func() {
 		cancel()
@@ -73,17 +73,17 @@
 	}
 }
 
-// TestFollow plays a store that drops records before they are read and is down
-// for a while. The follower must end with the newest record, must not confirm
-// what it could not read, and must not storm the store.
-func TestFollow(t *testing.T) {
+// TestWatch plays a store that trims records before they are read and is down
+// for a while. The watcher must end with the newest record, must not confirm
+// what it could not read, and must not flood the store with calls.
+func TestWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &topic{records: []string{"1"}}
-		// The mutex of the store guards what the follower reports, too.
+		// The mutex of the store also guards what the watcher reports.
 		var last string
-		var reached time.Time
-		lost, failed := 0, 0
-		follower := New(Config[string]{
+		var confirmedAt time.Time
+		failures, failedCalls := 0, 0
+		watcher := New(Config[string]{
 			Name: "config", Source: store, Logger: zap.NewNop(), LongPoll: time.Second,
 			Apply: func(records []string, _ bool) []string {
 				if len(records) > 0 {
@@ -91,15 +91,15 @@
 				}
 				return records
 			},
-			OnConfirmed: func(called time.Time) { store.change(func() { reached = called }) },
-			OnFailure:   func() { store.change(func() { lost++ }) },
+			OnConfirmed: func(called time.Time) { store.change(func() { confirmedAt = called }) },
+			OnFailure:   func() { store.change(func() { failures++ }) },
 			OnCall: func(err error) {
 				if err != nil {
-					store.change(func() { failed++ })
+					store.change(func() { failedCalls++ })
 				}
 			},
 		})
-		stop := run(t, follower)
+		stop := run(t, watcher)
 		time.Sleep(100 * time.Millisecond)
 		check := func(moment, want string) {
 			t.Helper()
@@ -119,8 +119,8 @@
 		store.change(func() { store.down, before = true, store.calls })
 		time.Sleep(5 * time.Second)
 		store.change(func() {
-			if reached.After(downAt) {
-				t.Error("the configuration was confirmed while the store was down")
+			if confirmedAt.After(downAt) {
+				t.Error("the state was confirmed while the store was down")
 			}
 			if calls := store.calls - before; calls > 40 {
 				t.Errorf("%d calls in 5 s to a store that is down", calls)
@@ -131,52 +131,53 @@
 			store.first, store.down = 4, false
 		})
 		time.Sleep(2 * time.Second)
-		check("records dropped", "5")
+		check("records trimmed", "5")
 		stop()
-		if diff := cmp.Diff(1, lost); diff != "" {
-			t.Errorf("losses reported (-want +got):\n%s", diff)
+		if diff := cmp.Diff(1, failures); diff != "" {
+			t.Errorf("failures reported (-want +got):\n%s", diff)
 		}
-		if failed < 2 {
-			t.Errorf("%d failed calls reported in an outage of 5 s", failed)
+		if failedCalls < 2 {
+			t.Errorf("%d failed calls reported in an outage of 5 s", failedCalls)
 		}
 	})
 }
 
-// hints is what another process says it has read.
-type hints struct {
+// peer is another process that has read the topic.
+type peer struct {
 	mutex  sync.Mutex
 	given  Update[string]
 	silent bool
 }
 
-func (hints *hints) hint() (Update[string], bool) {
-	hints.mutex.Lock()
-	defer hints.mutex.Unlock()
-	given := hints.given
+func (peer *peer) update() (Update[string], bool) {
+	peer.mutex.Lock()
+	defer peer.mutex.Unlock()
+	given := peer.given
 	given.ConfirmedAt = time.Now()
-	return given, !hints.silent
+	return given, !peer.silent
 }
 
-func (hints *hints) set(given Update[string], silent bool) {
-	hints.mutex.Lock()
-	defer hints.mutex.Unlock()
-	hints.given, hints.silent = given, silent
+func (peer *peer) set(given Update[string], silent bool) {
+	peer.mutex.Lock()
+	defer peer.mutex.Unlock()
+	peer.given, peer.silent = given, silent
 }
 
-func at(next, changed uint64) Update[string] {
+func update(next, changed uint64) Update[string] {
 	return Update[string]{Position: Position{Next: next, ChangedNext: changed}}
 }
 
-// TestHint plays a process whose failure domain has a reader: it must not call
-// the store while the reader knows of nothing new, must call for what is new,
-// and must confirm by itself at once when the reader falls silent.
-func TestHint(t *testing.T) {
+// TestPeerUpdate plays a process whose failure domain has a store reader. It
+// must not call the store while the reader reports nothing new, must read what
+// is new, and must confirm its state by a call of its own at once when the
+// reader falls silent.
+func TestPeerUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &topic{records: []string{"1"}}
-		reader := &hints{given: at(1, 1)}
+		reader := &peer{given: update(1, 1)}
 		var last string
-		var reached time.Time
-		follower := New(Config[string]{
+		var confirmedAt time.Time
+		watcher := New(Config[string]{
 			Name: "config", Source: store, Logger: zap.NewNop(), LongPoll: time.Second,
 			Apply: func(records []string, _ bool) []string {
 				if len(records) > 0 {
@@ -184,79 +185,79 @@
 				}
 				return records
 			},
-			PeerUpdate:  reader.hint,
-			OnConfirmed: func(called time.Time) { store.change(func() { reached = called }) },
+			PeerUpdate:  reader.update,
+			OnConfirmed: func(called time.Time) { store.change(func() { confirmedAt = called }) },
 		})
-		stop := run(t, follower)
+		stop := run(t, watcher)
 		expect := func(moment, newest string, calls int, age time.Duration) {
 			t.Helper()
 			synctest.Wait()
 			store.change(func() {
-				if last != newest || store.calls > calls || time.Since(reached) > age {
+				if last != newest || store.calls > calls || time.Since(confirmedAt) > age {
 					t.Errorf("%s: read %q in %d calls, confirmed %v ago; want %q in at most %d, at most %v ago",
-						moment, last, store.calls, time.Since(reached), newest, calls, age)
+						moment, last, store.calls, time.Since(confirmedAt), newest, calls, age)
 				}
 			})
 		}
 		time.Sleep(10 * time.Second)
-		expect("nothing new", "1", 1, hintPause)
+		expect("nothing new", "1", 1, peerPollPeriod)
 		store.change(func() { store.records = append(store.records, "-", "-", "2") })
-		reader.set(at(3, 1), false)
+		reader.set(update(3, 1), false)
 		time.Sleep(time.Second)
-		expect("records that change nothing", "1", 1, hintPause)
-		reader.set(at(4, 4), false)
-		time.Sleep(2 * hintPause)
-		expect("a record", "2", 2, 2*hintPause)
+		expect("records that change nothing", "1", 1, peerPollPeriod)
+		reader.set(update(4, 4), false)
+		time.Sleep(2 * peerPollPeriod)
+		expect("a record", "2", 2, 2*peerPollPeriod)
 		store.change(func() { store.records = append(store.records, "3") })
 		reader.set(Update[string]{Position: Position{Next: 5, ChangedNext: 5}, Changes: []string{"3"}, From: 4, Complete: true}, false)
-		time.Sleep(2 * hintPause)
-		expect("news with the word", "3", 2, 2*hintPause)
+		time.Sleep(2 * peerPollPeriod)
+		expect("update with changes", "3", 2, 2*peerPollPeriod)
 		store.change(func() { store.records = append(store.records, "4", "5") })
 		reader.set(Update[string]{Position: Position{Next: 7, ChangedNext: 7}, Changes: []string{"5"}, From: 6, Complete: true}, false)
-		time.Sleep(2 * hintPause)
-		expect("news with a gap", "5", 3, 2*hintPause)
+		time.Sleep(2 * peerPollPeriod)
+		expect("update with missing changes", "5", 3, 2*peerPollPeriod)
 		reader.set(Update[string]{}, true)
-		time.Sleep(hintPause)
-		expect("reader silent", "5", 5, hintPause)
+		time.Sleep(peerPollPeriod)
+		expect("reader silent", "5", 5, peerPollPeriod)
 		time.Sleep(3 * time.Second)
 		expect("reader silent for long", "5", 9, 2*time.Second)
 		stop()
 	})
 }
 
-// TestSince guards against news with a gap that pass for complete, and against
-// a reader that keeps news without a bound.
+// TestSince guards against incomplete changes that pass for complete, and
+// against keeping changes without a bound.
 func TestSince(t *testing.T) {
-	follower := New(Config[string]{})
-	follower.place(10)
-	follower.advance(14, []string{"a", "b"})
-	follower.advance(18, nil)
-	follower.advance(20, []string{"c"})
+	watcher := New(Config[string]{})
+	watcher.reset(10)
+	watcher.advance(14, []string{"a", "b"})
+	watcher.advance(18, nil)
+	watcher.advance(20, []string{"c"})
 	tests := []struct {
 		name     string
 		next     uint64
-		news     []string
+		changes  []string
 		complete bool
 	}{
-		{"before all", 9, []string{"a", "b", "c"}, false},
-		{"at the start", 10, []string{"a", "b", "c"}, true},
+		{"before the snapshot", 9, []string{"a", "b", "c"}, false},
+		{"at the snapshot", 10, []string{"a", "b", "c"}, true},
 		{"within a batch", 12, []string{"a", "b", "c"}, true},
-		{"between", 16, []string{"c"}, true},
+		{"between two batches", 16, []string{"c"}, true},
 		{"all read", 20, nil, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			got := follower.Since(test.next)
-			want := Update[string]{Position: Position{Next: 20, ChangedNext: 20}, Changes: test.news, From: test.next, Complete: test.complete}
+			got := watcher.Since(test.next)
+			want := Update[string]{Position: Position{Next: 20, ChangedNext: 20}, Changes: test.changes, From: test.next, Complete: test.complete}
 			if diff := cmp.Diff(want, got); diff != "" {
-				t.Errorf("hint (-want +got):\n%s", diff)
+				t.Errorf("update (-want +got):\n%s", diff)
 			}
 		})
 	}
 	for next := uint64(21); next < 200; next++ {
-		follower.advance(next, []string{"d"})
+		watcher.advance(next, []string{"d"})
 	}
-	if kept := follower.Since(0); len(kept.Changes) > mostNews || kept.Complete {
+	if kept := watcher.Since(0); len(kept.Changes) > maxRecent || kept.Complete {
 		t.Errorf("%d records kept, complete %v", len(kept.Changes), kept.Complete)
 	}
 }
