--- a/internal/flow/bucket/bucket_test.go
+++ b/internal/flow/bucket/bucket_test.go
@@ -12,8 +12,8 @@
 
 var limit = Limit{Rate: 60_000, Burst: 60_000}
 
-// maxAdmitted is what may run within eight seconds: a tenth over rate and
-// burst, and 11,000 tokens.
+// maxAdmitted is what the users allow to run within eight seconds: a tenth over
+// rate and burst, and 11,000 tokens.
 const maxAdmitted = (60_000*8+60_000)*1.1 + 11_000
 
 type admitted struct {
