--- /dev/null
+++ b/internal/daemon/relay/notices.go
@@ -0,0 +1,57 @@
+package relay
+
+import (
+	"go.uber.org/zap"
+
+	"jacinthfront.dev/jacinthfront/internal/flow/cordon"
+	"jacinthfront.dev/jacinthfront/internal/state/fleet"
+	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
+)
+
+// applyNotices records that an upstream announces in its response headers that it is
+// draining or wants a backoff, before the response is forwarded. The announcement
+// counts even if the response belongs to another request.
+func (proxyRequest *proxyRequest) applyNotices(upstream fleet.Upstream, info ResponseInfo) {
+	incarnation := cordon.Incarnation{ID: upstream.ID, StartedAt: upstream.StartedAt}
+	if info.RetryAfter > 0 {
+		proxyRequest.relay.cordon.SetBackoff(incarnation, info.RetryAfter)
+		proxyRequest.relay.metrics.increment("upstreams-resting")
+		proxyRequest.log("fleet: upstream asked for a backoff", zap.String("resting", upstream.ID), zap.Duration("rest", info.RetryAfter))
+		proxyRequest.relay.stateChanged.notify()
+	}
+	if info.Leaving {
+		proxyRequest.relay.recordDraining(incarnation, "")
+	}
+}
+
+// recordDraining records that an upstream announced that it is draining, to this
+// instance or to the entry instance with the address peer. Requests that wait at
+// the upstream choose another one.
+func (relay *Relay) recordDraining(incarnation cordon.Incarnation, peer string) {
+	if !relay.cordon.MarkDraining(incarnation) {
+		return
+	}
+	relay.metrics.increment("upstreams-leaving")
+	relay.config.Logger.Info("fleet: upstream announced that it is draining",
+		zap.String("upstream", incarnation.ID), zap.Int64("born", incarnation.StartedAt), zap.String("told", peer))
+	relay.stateChanged.notify()
+	relay.readInstancesSoon()
+	relay.reportSoon()
+}
+
+// recordPeerDraining records the upstreams that announced to another entry instance
+// that they are draining.
+func (relay *Relay) recordPeerDraining(report *wirepb.Usage) {
+	for _, upstream := range report.GetLeaving() {
+		relay.recordDraining(cordon.Incarnation{ID: upstream.GetId(), StartedAt: upstream.GetBorn()}, report.GetEntry())
+	}
+}
+
+// encodeDraining encodes upstreams that announced recently that they are draining.
+func encodeDraining(incarnations []cordon.Incarnation) []*wirepb.Leaving {
+	var encoded []*wirepb.Leaving
+	for _, incarnation := range incarnations {
+		encoded = append(encoded, &wirepb.Leaving{Id: incarnation.ID, Born: incarnation.StartedAt})
+	}
+	return encoded
+}
--- a/internal/daemon/relay/peers.go
+++ b/internal/daemon/relay/peers.go
@@ -11,125 +11,129 @@
 )
 
 const (
-	// wholeUsages is how many times an entry instance that has just started is
-	// told all that was spent.
-	wholeUsages = 3
-	// wholePeriod is how often the others are told all, so that what they missed
-	// is made up for.
-	wholePeriod = time.Second
-	// livePeriod is how long after it was last heard an entry instance may be
-	// the one that reads the store.
-	livePeriod = time.Second
+	// initialFullReports is how many full usage reports are sent to an entry instance
+	// that has just started.
+	initialFullReports = 3
+	// fullReportInterval is the time between two full usage reports, which make up for
+	// lost datagrams.
+	fullReportInterval = time.Second
+	// readerTimeout is how long after its last usage report an entry instance may be
+	// the store reader.
+	readerTimeout = time.Second
 )
 
-// peers holds the other entry instances by their datagram addresses.
+// peers tracks the other entry instances by their datagram addresses.
 type peers struct {
 	own    string
 	domain string
 
-	mutex sync.Mutex
-	known map[string]*peer
+	mutex     sync.Mutex
+	byAddress map[string]*peer
 }
 
+// peer is what is known of another entry instance.
 type peer struct {
-	// noted is when it was last heard, or named by a loader.
-	noted time.Time
-	// heard is when it last spoke, and start and domain what it said.
-	heard  time.Time
-	start  int64
-	domain string
-	// wholes counts down the usages that must tell all, and wholeAt is when the
-	// last one did.
-	wholes  int
-	wholeAt time.Time
+	// lastSeen is when it last sent a usage report or was listed by a loader.
+	lastSeen time.Time
+	// lastHeard is when it last sent a usage report. start and domain are from that
+	// report.
+	lastHeard time.Time
+	start     int64
+	domain    string
+	// fullReportsDue counts down the full usage reports that are to be sent in a row,
+	// and fullReportAt is when the last one was sent.
+	fullReportsDue int
+	fullReportAt   time.Time
 }
 
 func newPeers(own, domain string) *peers {
-	return &peers{own: own, domain: domain, known: make(map[string]*peer)}
+	return &peers{own: own, domain: domain, byAddress: make(map[string]*peer)}
 }
 
-// spoke records what an entry instance said of itself.
-func (peers *peers) spoke(address, domain string, start int64) {
+// recordReport records the sender of a usage report.
+func (peers *peers) recordReport(address, domain string, start int64) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
-	known := peers.note(address)
-	if known == nil {
+	sender := peers.markSeen(address)
+	if sender == nil {
 		return
 	}
-	if known.start != start {
-		known.start, known.wholes = start, wholeUsages
+	if sender.start != start {
+		sender.start, sender.fullReportsDue = start, initialFullReports
 	}
-	known.heard, known.domain = time.Now(), domain
+	sender.lastHeard, sender.domain = time.Now(), domain
 }
 
-// named records the entry instances that a loader hears.
-func (peers *peers) named(addresses []string) {
+// recordListed records the entry instances that a loader lists.
+func (peers *peers) recordListed(addresses []string) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
 	for _, address := range addresses {
-		peers.note(address)
+		peers.markSeen(address)
 	}
 }
 
-// note returns an entry instance that is there, or nil if the address is none.
-func (peers *peers) note(address string) *peer {
+// markSeen records that an entry instance is present. It returns nil for this
+// instance's own address and for an invalid one.
+func (peers *peers) markSeen(address string) *peer {
 	if address == peers.own {
 		return nil
 	}
-	known, ok := peers.known[address]
+	found, ok := peers.byAddress[address]
 	if !ok {
 		if _, err := netip.ParseAddrPort(address); err != nil {
 			return nil
 		}
-		known = &peer{wholes: wholeUsages}
-		peers.known[address] = known
+		found = &peer{fullReportsDue: initialFullReports}
+		peers.byAddress[address] = found
 	}
-	known.noted = time.Now()
-	return known
+	found.lastSeen = time.Now()
+	return found
 }
 
-// addresses returns the entry instances that are there, and those that are
-// gone: neither heard nor named by a loader for long. reached tells that this
-// instance hears most loaders; if not, it may be the one that is cut off.
-func (peers *peers) addresses(reached bool) (present, gone []string) {
+// expire returns the entry instances that are present, and removes and returns
+// those that were not seen for peerTimeout. loadersHeard means that this instance
+// hears most loaders. If not, none is removed, as this instance may be the one
+// that is cut off.
+func (peers *peers) expire(loadersHeard bool) (present, removed []string) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
-	for address, known := range peers.known {
-		if reached && time.Since(known.noted) > peerTime {
-			delete(peers.known, address)
-			gone = append(gone, address)
+	for address, peer := range peers.byAddress {
+		if loadersHeard && time.Since(peer.lastSeen) > peerTimeout {
+			delete(peers.byAddress, address)
+			removed = append(removed, address)
 		}
 	}
-	return slices.Sorted(maps.Keys(peers.known)), gone
+	return slices.Sorted(maps.Keys(peers.byAddress)), removed
 }
 
-// takeWhole reports whether an entry instance is to be told all that was spent,
-// and counts it as told.
-func (peers *peers) takeWhole(address string) bool {
+// takeFullReport reports whether the next usage report to an entry instance must
+// be full, and counts it as sent.
+func (peers *peers) takeFullReport(address string) bool {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
-	known, ok := peers.known[address]
-	if !ok || known.wholes <= 0 && time.Since(known.wholeAt) < wholePeriod {
+	peer, ok := peers.byAddress[address]
+	if !ok || peer.fullReportsDue <= 0 && time.Since(peer.fullReportAt) < fullReportInterval {
 		return false
 	}
-	known.wholes, known.wholeAt = max(known.wholes-1, 0), time.Now()
+	peer.fullReportsDue, peer.fullReportAt = max(peer.fullReportsDue-1, 0), time.Now()
 	return true
 }
 
-// count returns the number of entry instances, this one included.
+// count returns the number of entry instances, including this one.
 func (peers *peers) count() int {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
-	return 1 + len(peers.known)
+	return 1 + len(peers.byAddress)
 }
 
-// reader returns the entry instance that reads the store for this one's failure
-// domain, and the others there that live.
-func (peers *peers) reader() (first string, others []string) {
+// storeReader returns the entry instance that reads the store for this instance's
+// failure domain, and the other live entry instances there.
+func (peers *peers) storeReader() (first string, others []string) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
-	for address, known := range peers.known {
-		if known.domain == peers.domain && !known.heard.IsZero() && time.Since(known.heard) < livePeriod {
+	for address, peer := range peers.byAddress {
+		if peer.domain == peers.domain && !peer.lastHeard.IsZero() && time.Since(peer.lastHeard) < readerTimeout {
 			others = append(others, address)
 		}
 	}
--- a/internal/daemon/relay/ports.go
+++ b/internal/daemon/relay/ports.go
@@ -9,7 +9,7 @@
 	"jacinthfront.dev/jacinthfront/internal/state/table"
 )
 
-// ConfigChange is one change by the operators: a configuration, or a new version of
+// ConfigChange is a change by the operators: a configuration, or a new version of
 // an adapter.
 type ConfigChange struct {
 	// Table is nil for a new version of an adapter.
@@ -18,68 +18,70 @@
 	Adapter lora.Adapter
 }
 
-// Listing is one entry of the instance list. Upstream is nil if the entry was
-// removed or names no upstream.
+// Listing is an entry of the instance list. Upstream is nil if the entry was
+// removed or describes no upstream.
 type Listing struct {
 	ID       string
 	Upstream *fleet.Upstream
 }
 
-// RequestInfo is what the headers of a caller's request say.
+// RequestInfo holds the values of a caller's request headers.
 type RequestInfo struct {
 	ID  string
 	Key string
 	// Timeout is how long the caller waits, or 0 if it does not say.
 	Timeout time.Duration
-	// Model is empty for requests to plain services.
+	// Model is empty for requests to services without engines.
 	Model   string
 	Adapter string
-	// PromptTokens and Output count tokens: of the prompt, and at most of the answer.
+	// PromptTokens is the length of the prompt, and MaxOutputTokens limits that of the
+	// response.
 	PromptTokens    int64
 	MaxOutputTokens int64
-	// HasTokenCounts tells that the request names its tokens.
+	// HasTokenCounts means that the request names both token counts.
 	HasTokenCounts bool
-	// LastEventID is the id of the last event that the caller has, or empty.
+	// LastEventID is the id of the last event that the caller received, or empty.
 	LastEventID string
 }
 
-// ForwardInfo is what a request carries on its way to an upstream.
+// ForwardInfo holds the values that are added to a request to an upstream.
 type ForwardInfo struct {
 	Upstream     string
 	Organisation string
-	// Remaining is the time that the caller still waits.
+	// Remaining is the time until the caller's deadline.
 	Remaining time.Duration
 	Priority  int
-	// LastEventID replaces the caller's last event after a break.
+	// LastEventID replaces that of the caller when an interrupted stream is resumed.
 	LastEventID string
 }
 
-// ResponseInfo is what the headers of an upstream's answer say.
+// ResponseInfo holds the values of an upstream's response headers.
 type ResponseInfo struct {
-	// ID is the id of the request that the answer belongs to.
+	// ID is the id of the request that the response belongs to.
 	ID string
 	// NotRun means that the upstream did not run the request.
 	NotRun bool
-	// Sealed means that the answer bears the mark of an upstream.
+	// Sealed means that the response bears the seal of an upstream.
 	Sealed bool
-	// Load is the number of running and waiting requests, or -1.
+	// Load is the number of running and queued requests, or -1 if it is unknown.
 	Load int
-	// Leaving means that the upstream is about to end.
+	// Leaving means that the upstream announces that it is draining.
 	Leaving bool
-	// RetryAfter is for how long the upstream wants nothing from this instance.
+	// RetryAfter is how long the upstream asks this instance to send no requests.
 	RetryAfter time.Duration
 }
 
-// Protocol translates between headers and typed values.
+// Protocol converts between HTTP headers and typed values.
 type Protocol interface {
-	// ParseRequest reads a caller's request.
+	// ParseRequest reads the headers of a caller's request.
 	ParseRequest(request *http.Request) RequestInfo
-	// UpstreamHeader returns the headers to send to an upstream.
+	// UpstreamHeader returns the headers of a request to an upstream.
 	UpstreamHeader(request *http.Request, send ForwardInfo) http.Header
-	// ParseResponse reads the headers of an upstream's answer.
+	// ParseResponse reads the status and headers of an upstream's response.
 	ParseResponse(status int, header http.Header) ResponseInfo
-	// CallerHeader returns the headers of an upstream's answer that are for the caller.
+	// CallerHeader returns the headers of an upstream's response that are meant for
+	// the caller.
 	CallerHeader(header http.Header) http.Header
-	// AddRequestID adds to a refusal what names the request that it belongs to.
+	// AddRequestID adds the id of the refused request to the headers of a refusal.
 	AddRequestID(header http.Header, call RequestInfo)
 }
--- /dev/null
+++ b/internal/daemon/relay/proxyrequest.go
@@ -0,0 +1,306 @@
+package relay
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"os"
+	"strconv"
+	"strings"
+	"time"
+
+	"go.uber.org/zap"
+
+	"jacinthfront.dev/jacinthfront/internal/base/telem"
+	"jacinthfront.dev/jacinthfront/internal/flow/lora"
+	"jacinthfront.dev/jacinthfront/internal/link/hop"
+	"jacinthfront.dev/jacinthfront/internal/state/table"
+)
+
+const (
+	// maxBodyBytes limits the body of a request, and of a response that is not a stream.
+	maxBodyBytes = 8 << 20
+	// defaultTimeout applies to requests whose callers do not say how long they wait.
+	defaultTimeout = 60 * time.Second
+	// retryAfterUnready is sent with refusals of an instance that cannot serve yet.
+	retryAfterUnready = 300 * time.Millisecond
+	// startupWait is how long after its start an instance lets requests wait for the
+	// configuration and the token buckets.
+	startupWait = 600 * time.Millisecond
+	// retryAfterFull is sent with refusals when all upstreams are full.
+	retryAfterFull = 500 * time.Millisecond
+	// retryAfterStarting is sent with refusals while engines load their model.
+	retryAfterStarting = time.Second
+	// maxRetryAfter limits the time after which a caller is told to retry.
+	maxRetryAfter = 5 * time.Second
+)
+
+// MessageAnswered is the log message for an answered request.
+const MessageAnswered = "relay: request answered"
+
+// refusal is a response of this instance itself.
+type refusal struct {
+	status int
+	reason string
+	// retryAfter is when the caller may retry, or 0 if the request may have run or
+	// a retry cannot help.
+	retryAfter time.Duration
+}
+
+// proxyRequest is one request of a caller while this instance handles it.
+type proxyRequest struct {
+	relay    *Relay
+	writer   http.ResponseWriter
+	request  *http.Request
+	info     RequestInfo
+	started  time.Time
+	deadline time.Time
+
+	route        *table.Route
+	organisation *table.Organisation
+	service      *table.Service
+	body         []byte
+	adapter      lora.Adapter
+
+	// tried holds the upstreams that must not be tried again.
+	tried []string
+	// runs counts the sends after which the request may have run.
+	runs int
+	// sends counts the sends that may have reached an upstream.
+	sends int
+	// upstream is the last upstream chosen.
+	upstream string
+	waited   time.Duration
+	// waitedAdapter is the part of waited during which the adapter was not loaded.
+	waitedAdapter time.Duration
+	checkedAt     time.Time
+	// typicalFirstEvent and typicalTotal are the route's typical latencies at an
+	// upstream, up to the first event and to the end.
+	typicalFirstEvent time.Duration
+	typicalTotal      time.Duration
+	// moves counts the upstreams at which the request waited.
+	moves   int
+	load    int
+	backlog int64
+
+	// failure is the response of an upstream that ran the request and failed. It is
+	// kept with its body, as another upstream may succeed.
+	failure     *hop.Response
+	failureBody []byte
+
+	// lastEventID is the id of the last event forwarded.
+	lastEventID string
+	// firstEvent is the time to the first event, longestGap the longest time between
+	// two events, and lastEventAt when the last event was forwarded.
+	firstEvent  time.Duration
+	longestGap  time.Duration
+	lastEventAt time.Time
+	// grant is the number of the grant for the last send, 0 if there was none.
+	grant uint64
+	// sentAt is when the request was last sent, and eventIntervals holds the first
+	// intervals between its events.
+	sentAt         time.Time
+	eventIntervals []time.Duration
+	// headersSent means that the response headers were forwarded.
+	headersSent bool
+}
+
+// serve handles a caller's request.
+func (relay *Relay) serve(writer http.ResponseWriter, request *http.Request) {
+	proxyRequest := &proxyRequest{relay: relay, writer: writer, request: request, info: relay.config.Protocol.ParseRequest(request), started: time.Now()}
+	relay.metrics.running.Add(1)
+	defer relay.metrics.running.Add(-1)
+	if relay.stopping.Load() {
+		writer.Header().Set("Connection", "close")
+	}
+	if refused := proxyRequest.admit(); refused != nil {
+		proxyRequest.refuse(*refused)
+		return
+	}
+	ctx, cancel := context.WithDeadline(request.Context(), proxyRequest.deadline)
+	defer cancel()
+	proxyRequest.run(ctx)
+}
+
+// admit checks, reads and charges the request. It returns a refusal if the request
+// may not be served.
+func (proxyRequest *proxyRequest) admit() *refusal {
+	relay := proxyRequest.relay
+	proxyRequest.deadline = proxyRequest.started.Add(startupWait)
+	proxyRequest.awaitStartup(func() bool { return relay.store.config() != nil })
+	config := relay.store.config()
+	if config == nil {
+		return &refusal{http.StatusServiceUnavailable, "no configuration is known yet", retryAfterUnready}
+	}
+	confirmed := relay.configConfirmed()
+	path, _, _ := strings.Cut(proxyRequest.request.RequestURI, "?")
+	route, ok := config.Match(hostOnly(proxyRequest.request.Host), path)
+	if !ok {
+		if !confirmed {
+			return &refusal{http.StatusServiceUnavailable, "the configuration may be out of date", retryAfterUnready}
+		}
+		return &refusal{http.StatusNotFound, "no route matches", 0}
+	}
+	proxyRequest.route = route
+	proxyRequest.deadline = proxyRequest.started.Add(proxyRequest.timeout())
+	if !route.Open {
+		if refused := proxyRequest.authenticate(config, confirmed); refused != nil {
+			return refused
+		}
+	}
+	proxyRequest.service, ok = config.Service(route.Pick(rand.Float64()))
+	if !ok {
+		return &refusal{http.StatusServiceUnavailable, "the route names no known service", retryAfterFull}
+	}
+	if refused := proxyRequest.readBody(); refused != nil {
+		return refused
+	}
+	return proxyRequest.charge()
+}
+
+// authenticate finds the organisation. It trusts no key if the configuration was not
+// confirmed recently, as the configuration may lack a withdrawal of the key.
+func (proxyRequest *proxyRequest) authenticate(config *table.Table, confirmed bool) *refusal {
+	if !confirmed {
+		return &refusal{http.StatusServiceUnavailable, "keys cannot be checked while the configuration is not confirmed", retryAfterUnready}
+	}
+	organisation, ok := config.Authenticate(proxyRequest.info.Key)
+	if !ok {
+		return &refusal{http.StatusUnauthorized, "the key is not known", 0}
+	}
+	proxyRequest.organisation = organisation
+	return nil
+}
+
+// timeout returns how long the caller may be kept waiting.
+func (proxyRequest *proxyRequest) timeout() time.Duration {
+	timeout := proxyRequest.info.Timeout
+	if timeout <= 0 {
+		timeout = defaultTimeout
+	}
+	if proxyRequest.route.Timeout > 0 {
+		timeout = min(timeout, proxyRequest.route.Timeout)
+	}
+	return timeout
+}
+
+// readBody reads the body of the request.
+func (proxyRequest *proxyRequest) readBody() *refusal {
+	if proxyRequest.request.Body == nil || proxyRequest.request.ContentLength == 0 {
+		return nil
+	}
+	// The body may arrive too slowly to end before the caller's deadline.
+	control := http.NewResponseController(proxyRequest.writer)
+	if err := control.SetReadDeadline(proxyRequest.deadline); err != nil {
+		proxyRequest.relay.config.Logger.Debug("relay: failed to set the read deadline", telem.Error(err))
+	}
+	body, err := io.ReadAll(http.MaxBytesReader(proxyRequest.writer, proxyRequest.request.Body, maxBodyBytes))
+	var large *http.MaxBytesError
+	switch {
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return &refusal{http.StatusRequestTimeout, "the body did not come in time", retryAfterUnready}
+	case errors.As(err, &large):
+		return &refusal{http.StatusRequestEntityTooLarge, "the body is too large", 0}
+	case err != nil:
+		return &refusal{http.StatusBadRequest, "the body cannot be read", 0}
+	}
+	if err := control.SetReadDeadline(time.Time{}); err != nil {
+		proxyRequest.relay.config.Logger.Debug("relay: failed to clear the read deadline", telem.Error(err))
+	}
+	proxyRequest.body = body
+	return nil
+}
+
+// awaitStartup waits until ready returns true, at most for startupWait after the
+// start of the instance.
+func (proxyRequest *proxyRequest) awaitStartup(ready func() bool) {
+	until := proxyRequest.relay.start.Add(startupWait)
+	if proxyRequest.deadline.Before(until) {
+		until = proxyRequest.deadline
+	}
+	for !ready() && time.Now().Before(until) && proxyRequest.request.Context().Err() == nil {
+		proxyRequest.sleep(recheckInterval)
+	}
+}
+
+// sleep waits for a time, at most until the deadline or until the caller leaves.
+func (proxyRequest *proxyRequest) sleep(wait time.Duration) {
+	if wait = min(wait, time.Until(proxyRequest.deadline)); wait <= 0 {
+		return
+	}
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-proxyRequest.request.Context().Done():
+	}
+}
+
+// priority returns the request's priority at an engine.
+func (proxyRequest *proxyRequest) priority() int {
+	if proxyRequest.organisation != nil && proxyRequest.organisation.Priority != nil {
+		return *proxyRequest.organisation.Priority
+	}
+	return proxyRequest.route.Priority
+}
+
+// refuse sends the caller a refusal.
+func (proxyRequest *proxyRequest) refuse(refused refusal) {
+	proxyRequest.relay.metrics.increment("refused-" + strconv.Itoa(refused.status))
+	fields := []zap.Field{zap.Int("status", refused.status), zap.String("reason", refused.reason), zap.Duration("retry-after", refused.retryAfter)}
+	if config := proxyRequest.relay.store.config(); config != nil {
+		fields = append(fields, zap.Uint64("config-version", config.Version()), zap.Duration("config-age", proxyRequest.relay.configAge()))
+	}
+	proxyRequest.log("relay: request refused", fields...)
+	if proxyRequest.headersSent {
+		panic(http.ErrAbortHandler)
+	}
+	header := proxyRequest.writer.Header()
+	proxyRequest.relay.config.Protocol.AddRequestID(header, proxyRequest.info)
+	if refused.retryAfter > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(refused.retryAfter.Seconds(), 'f', 3, 64))
+	}
+	header.Set("Content-Type", "text/plain")
+	proxyRequest.writer.WriteHeader(refused.status)
+	_, _ = fmt.Fprintln(proxyRequest.writer, refused.reason)
+}
+
+// log logs a decision about the request, with the state of the request.
+func (proxyRequest *proxyRequest) log(message string, fields ...zap.Field) {
+	fields = append(fields,
+		zap.String("request", proxyRequest.info.ID),
+		zap.String("upstream", proxyRequest.upstream),
+		zap.Int("sends", proxyRequest.sends),
+		zap.Duration("waited", proxyRequest.waited),
+		zap.Duration("waited-adapter", proxyRequest.waitedAdapter),
+		zap.Int("load", proxyRequest.load),
+		zap.Int("moves", proxyRequest.moves),
+		zap.Int64("backlog", proxyRequest.backlog),
+		zap.Duration("took", time.Since(proxyRequest.started)),
+	)
+	if proxyRequest.adapter.Name != "" {
+		fields = append(fields, zap.String("adapter", proxyRequest.adapter.Name), zap.Uint32("adapter-version", proxyRequest.adapter.Version))
+	}
+	if proxyRequest.headersSent {
+		fields = append(fields, zap.Duration("first-event", proxyRequest.firstEvent), zap.Duration("longest-gap", proxyRequest.longestGap))
+	}
+	if proxyRequest.route != nil {
+		fields = append(fields, zap.String("route", proxyRequest.route.Name))
+	}
+	if proxyRequest.organisation != nil {
+		fields = append(fields, zap.String("organisation", proxyRequest.organisation.Name), zap.Float64("cost", proxyRequest.cost()))
+	}
+	proxyRequest.relay.config.Logger.Info(message, fields...)
+}
+
+// hostOnly returns a host without its port.
+func hostOnly(host string) string {
+	if name, _, err := net.SplitHostPort(host); err == nil {
+		return name
+	}
+	return host
+}
--- a/internal/daemon/relay/relay.go
+++ b/internal/daemon/relay/relay.go
@@ -1,7 +1,7 @@
-// Package relay is an entry instance for upstreams that are reached directly:
-// it takes callers' requests without looking into their bodies, chooses an
-// upstream for each, and passes the answer on unchanged. Loaders beside the
-// engines bring the adapters that it asks for.
+// Package relay implements an entry instance for upstreams that are reached
+// directly. It chooses an upstream for each caller's request without parsing the
+// request body, and returns the response unchanged. Loaders, which run beside the
+// engines, load the adapters that the entry instance requests.
 package relay
 
 import (
@@ -32,19 +32,20 @@
 // Config configures a Relay.
 type Config struct {
 	FailureDomain string
-	// CallerListener is where requests come in, Probes where readiness is asked, and
-	// Metrics where metrics are read.
+	// CallerListener accepts callers' requests, ProbeListener readiness probes, and
+	// MetricsListener reads of the metrics.
 	CallerListener  net.Listener
 	ProbeListener   net.Listener
 	MetricsListener net.Listener
 	// ReadyPath is the path of the readiness probe.
 	ReadyPath string
 	Protocol  Protocol
-	// ConfigSource and Listings are followed on the platform's store.
+	// ConfigSource and InstanceSource read the configuration and the instance list
+	// from the platform's store.
 	ConfigSource   watch.Source[ConfigChange]
 	InstanceSource watch.Source[Listing]
-	// Datagrams reaches the loaders and the other entry instances; Port is the
-	// port of all of them.
+	// Datagrams is the connection to the loaders and the other entry instances, which
+	// all use DatagramPort.
 	Datagrams *gossip.Conn
 	// DatagramAddress is this instance's own datagram address.
 	DatagramAddress string
@@ -52,134 +53,138 @@
 	Pool            *hop.Pool
 	Logger          *zap.Logger
 	Bounds          Bounds
-	// BoundsUpdates delivers bounds that were changed while the instance runs. It may
-	// be nil.
+	// BoundsUpdates delivers bounds that change at run time. It may be nil.
 	BoundsUpdates <-chan Bounds
 }
 
-// Bounds holds what the users promise their callers.
+// Bounds holds the limits that the service promises its callers: how soon a
+// withdrawn key stops working, how long a shutdown takes, and the retry budget.
 type Bounds = setup.RelayBounds
 
 const (
-	// confirmMargin is how long before Bounds.Revoke an instance stops trusting
-	// its configuration.
-	confirmMargin = 200 * time.Millisecond
-	// configWait is how long a call for changes of the configuration waits.
-	configWait = 1500 * time.Millisecond
-	// listPause is the time between two readings of the instance list.
-	listPause = 900 * time.Millisecond
-	// wakePause is the least time between two readings out of turn.
-	wakePause = 300 * time.Millisecond
-	// headerTime is how long a caller may take for a request's headers.
-	headerTime = 3 * time.Second
-	// idleTime is how long a caller's connection may be unused. It is longer
-	// than callers keep theirs.
-	idleTime = 60 * time.Second
-	// headerBytes is the size of the largest header.
-	headerBytes = 32 << 10
-	// expirePeriod is how often what is kept for a time is looked through.
-	expirePeriod = 100 * time.Millisecond
-	// probeTimeout is the time for a readiness probe's headers.
+	// configTrustMargin is how long before the end of Bounds.Revoke an instance stops
+	// trusting an unconfirmed configuration.
+	configTrustMargin = 200 * time.Millisecond
+	// configPollTime is how long a read of the configuration waits for a change.
+	configPollTime = 1500 * time.Millisecond
+	// listReadInterval is the time between two reads of the instance list.
+	listReadInterval = 900 * time.Millisecond
+	// minEarlyReadInterval is the least time between two early reads of the instance
+	// list.
+	minEarlyReadInterval = 300 * time.Millisecond
+	// headerTimeout is the time allowed for reading the headers of a caller's request.
+	headerTimeout = 3 * time.Second
+	// idleTimeout is how long a caller's connection may be idle. It exceeds the
+	// callers' own idle timeouts.
+	idleTimeout = 60 * time.Second
+	// maxHeaderBytes limits the size of a request's headers.
+	maxHeaderBytes = 32 << 10
+	// expireInterval is the time between two checks for expired connections and
+	// upstreams.
+	expireInterval = 100 * time.Millisecond
+	// probeTimeout is the time allowed for reading the headers of a readiness probe.
 	probeTimeout = 2 * time.Second
-	// acceptAfterStop is how long a stopping instance takes connections from
-	// callers that do not know yet.
+	// acceptAfterStop is how long a stopping instance accepts connections from callers
+	// that have not learned of the stop yet.
 	acceptAfterStop = 2500 * time.Millisecond
-	// stopMargin is how long before the end of Bounds.Grace a stop is done.
+	// stopMargin is how long before the end of Bounds.Grace a stop must be complete.
 	stopMargin = 500 * time.Millisecond
 )
 
 // Relay is an entry instance. Its methods may be called concurrently.
 type Relay struct {
-	config Config
-	belief *belief
-	board  *picker.Picker
-	health *healths
-	ledger *bucket.Limiter
-	budget *budget
-	peers  *peers
-	// spending is used by the loop that tells the others only.
-	spending *spending
-	// avoided holds what upstreams said of themselves in their answers.
-	avoided *cordon.Set
-	spans   *spans
-	start   time.Time
-	wake    chan struct{}
-	changed *signal
-	sends   *sends
-	// listings follows the instance list; wokenAt is when it was last read out
-	// of turn, in Unix milliseconds.
-	listings *watch.Watcher[Listing]
-	// changes follows what the operators write.
-	changes *watch.Watcher[ConfigChange]
-	words   words
-	wokenAt atomic.Int64
-	metrics metrics
-	bounds  atomic.Pointer[Bounds]
-	// asks numbers the requests that wait for their turn. It begins at random,
-	// so that a loader does not take them for those of an earlier start.
-	asks atomic.Uint64
+	config      Config
+	store       *storeView
+	picker      *picker.Picker
+	health      *healthTracker
+	limiter     *bucket.Limiter
+	retryBudget *retryBudget
+	peers       *peers
+	// usageChanges is used only by sendReports.
+	usageChanges *usageChanges
+	// cordon holds the upstreams that are draining or asked for a backoff.
+	cordon       *cordon.Set
+	latencies    *latencies
+	start        time.Time
+	wake         chan struct{}
+	stateChanged *broadcast
+	activeSends  *activeSends
+	// instanceWatcher follows the instance list. earlyReadAt is when it was last
+	// woken before its next read was due, in Unix milliseconds.
+	instanceWatcher *watch.Watcher[Listing]
+	// configWatcher follows the configuration and the adapter versions.
+	configWatcher *watch.Watcher[ConfigChange]
+	readerReport  readerReport
+	earlyReadAt   atomic.Int64
+	metrics       metrics
+	bounds        atomic.Pointer[Bounds]
+	// requestNumbers numbers the requests that wait for admission. It starts at a
+	// random value, so that a loader does not mistake them for those from before a
+	// restart.
+	requestNumbers atomic.Uint64
 
-	// named means that a loader has told which entry instances there are.
-	named    atomic.Bool
-	stopping atomic.Bool
-	callers  *connections
-	server   *http.Server
-	probes   *http.Server
-	reads    *http.Server
+	// peersKnown means that a loader has reported the entry instances it knows.
+	peersKnown      atomic.Bool
+	stopping        atomic.Bool
+	idleConnections *idleConnections
+	callerServer    *http.Server
+	probeServer     *http.Server
+	metricsServer   *http.Server
 }
 
 // New returns a Relay that does not serve yet.
 func New(config Config) *Relay {
 	relay := &Relay{
-		config:   config,
-		health:   &healths{services: make(map[string]*health.Tracker)},
-		ledger:   bucket.New(bucket.Config{}),
-		peers:    newPeers(config.DatagramAddress, config.FailureDomain),
-		start:    time.Now(),
-		wake:     make(chan struct{}, 1),
-		changed:  newSignal(),
-		spending: newSpending(),
-		avoided:  cordon.New(cordon.Config{}),
-		spans:    newSpans(),
-		callers:  newConnections(),
-		sends:    newSends(),
+		config:          config,
+		health:          &healthTracker{services: make(map[string]*health.Tracker)},
+		limiter:         bucket.New(bucket.Config{}),
+		peers:           newPeers(config.DatagramAddress, config.FailureDomain),
+		start:           time.Now(),
+		wake:            make(chan struct{}, 1),
+		stateChanged:    newBroadcast(),
+		usageChanges:    newUsageChanges(),
+		cordon:          cordon.New(cordon.Config{}),
+		latencies:       newLatencies(),
+		idleConnections: newIdleConnections(),
+		activeSends:     newActiveSends(),
 	}
-	relay.asks.Store(rand.Uint64())
-	relay.board = picker.New(picker.Config{FailureDomain: config.FailureDomain, Health: relay.health, Avoided: relay.avoided})
-	relay.belief = newBelief(fleet.New(fleet.Config{}), config.Logger)
+	relay.requestNumbers.Store(rand.Uint64())
+	relay.picker = picker.New(picker.Config{FailureDomain: config.FailureDomain, Health: relay.health, Avoided: relay.cordon})
+	relay.store = newStoreView(fleet.New(fleet.Config{}), config.Logger)
 	relay.bounds.Store(&config.Bounds)
-	relay.budget = newBudget(func() Bounds { return *relay.bounds.Load() }, relay.peers.count)
-	relay.listings = relay.newListings()
-	relay.changes = relay.newChanges()
-	relay.server = &http.Server{
+	relay.retryBudget = newRetryBudget(func() Bounds { return *relay.bounds.Load() }, relay.peers.count)
+	relay.instanceWatcher = relay.newInstanceWatcher()
+	relay.configWatcher = relay.newConfigWatcher()
+	relay.callerServer = &http.Server{
 		Handler:           http.HandlerFunc(relay.serve),
-		ReadHeaderTimeout: headerTime,
-		IdleTimeout:       idleTime,
-		MaxHeaderBytes:    headerBytes,
-		ConnState:         relay.callers.follow,
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ConnState:         relay.idleConnections.trackState,
 		ErrorLog:          zap.NewStdLog(config.Logger.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))),
 	}
 	probes := http.NewServeMux()
 	probes.HandleFunc(config.ReadyPath, relay.serveReady)
-	relay.reads = telem.NewServer("relay", relay.setGauges)
-	relay.probes = &http.Server{Handler: probes, ReadHeaderTimeout: probeTimeout}
+	relay.metricsServer = telem.NewServer("relay", relay.setGauges)
+	relay.probeServer = &http.Server{Handler: probes, ReadHeaderTimeout: probeTimeout}
 	return relay
 }
 
-// Run serves until ctx ends, then drains and returns.
+// Run serves until ctx ends, then drains and returns. Its error is that of a
+// server or of the datagram connection.
 func (relay *Relay) Run(ctx context.Context) error {
 	group, running := errgroup.WithContext(context.Background())
 	running, cancel := context.WithCancel(running)
 	defer cancel()
-	group.Go(func() error { return ended(relay.server.Serve(relay.config.CallerListener)) })
-	group.Go(func() error { return ended(relay.probes.Serve(relay.config.ProbeListener)) })
-	group.Go(func() error { return ended(relay.reads.Serve(relay.config.MetricsListener)) })
-	group.Go(func() error { return relay.config.Datagrams.Serve(running, relay.heard) })
-	group.Go(func() error { relay.changes.Run(running); return nil })
-	group.Go(func() error { relay.listings.Run(running); return nil })
-	group.Go(func() error { relay.exchange(running); return nil })
+	group.Go(func() error { return ignoreClosed(relay.callerServer.Serve(relay.config.CallerListener)) })
+	group.Go(func() error { return ignoreClosed(relay.probeServer.Serve(relay.config.ProbeListener)) })
+	group.Go(func() error { return ignoreClosed(relay.metricsServer.Serve(relay.config.MetricsListener)) })
+	group.Go(func() error { return relay.config.Datagrams.Serve(running, relay.handleDatagram) })
+	group.Go(func() error { relay.configWatcher.Run(running); return nil })
+	group.Go(func() error { relay.instanceWatcher.Run(running); return nil })
+	group.Go(func() error { relay.sendReports(running); return nil })
 	group.Go(func() error { relay.expire(running); return nil })
-	group.Go(func() error { relay.reload(running); return nil })
+	group.Go(func() error { relay.updateBounds(running); return nil })
 	relay.config.Logger.Info("relay: started", zap.String("address", relay.config.DatagramAddress))
 	select {
 	case <-ctx.Done():
@@ -187,25 +192,26 @@
 	case <-running.Done():
 	}
 	cancel()
-	_ = relay.server.Close()
-	_ = relay.probes.Close()
-	_ = relay.reads.Close()
+	_ = relay.callerServer.Close()
+	_ = relay.probeServer.Close()
+	_ = relay.metricsServer.Close()
 	err := group.Wait()
 	relay.config.Pool.Close()
 	relay.config.Logger.Info("relay: stopped", telem.Error(err))
 	return err
 }
 
-func ended(err error) error {
+// ignoreClosed returns nil for http.ErrServerClosed and err otherwise.
+func ignoreClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
 	return err
 }
 
-// drain tells the load balancer, serves callers that do not know yet, and waits
-// for what runs. Connections end after their next answer: ending those that are
-// unused at once would meet requests on their way.
+// drain fails the readiness probe, serves callers that have not noticed it yet,
+// and waits for running requests. Connections close after their next response:
+// closing idle connections at once would drop requests that are on their way.
 func (relay *Relay) drain() {
 	relay.stopping.Store(true)
 	relay.config.Logger.Info("relay: stopping", zap.Int64("running", relay.metrics.running.Load()))
@@ -213,14 +219,14 @@
 	time.Sleep(min(acceptAfterStop, relay.bounds.Load().Grace.Duration/3))
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	relay.callers.endIdle(ctx)
-	if err := relay.server.Shutdown(ctx); err != nil {
-		relay.config.Logger.Warn("relay: requests were cut at the end of the grace period", zap.Int64("running", relay.metrics.running.Load()))
+	relay.idleConnections.drain(ctx)
+	if err := relay.callerServer.Shutdown(ctx); err != nil {
+		relay.config.Logger.Warn("relay: requests aborted at the end of the grace period", zap.Int64("running", relay.metrics.running.Load()))
 	}
 }
 
-// reload takes over changed bounds.
-func (relay *Relay) reload(ctx context.Context) {
+// updateBounds applies bounds that change at run time.
+func (relay *Relay) updateBounds(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -232,13 +238,16 @@
 	}
 }
 
-// Ready reports whether the instance should get new connections.
+// Ready reports whether the instance should receive new connections.
 func (relay *Relay) Ready() bool {
-	return !relay.stopping.Load() && relay.belief.current() != nil && relay.confirmed()
+	return !relay.stopping.Load() && relay.store.config() != nil && relay.configConfirmed()
 }
 
-// trust returns how long a configuration counts after it was confirmed.
-func (relay *Relay) trust() time.Duration { return relay.bounds.Load().Revoke.Duration - confirmMargin }
+// configLifetime returns how long the configuration is trusted after it was last
+// confirmed.
+func (relay *Relay) configLifetime() time.Duration {
+	return relay.bounds.Load().Revoke.Duration - configTrustMargin
+}
 
 func (relay *Relay) serveReady(writer http.ResponseWriter, _ *http.Request) {
 	if !relay.Ready() {
@@ -248,9 +257,10 @@
 	writer.WriteHeader(http.StatusOK)
 }
 
-// expire looks through what is kept for a time.
+// expire closes expired connections to upstreams, and removes the upstreams that
+// were not listed again after an outage of the instance list.
 func (relay *Relay) expire(ctx context.Context) {
-	ticker := time.NewTicker(expirePeriod)
+	ticker := time.NewTicker(expireInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -258,32 +268,33 @@
 			return
 		case <-ticker.C:
 			relay.config.Pool.Trim()
-			if gone := relay.belief.list.Expire(); len(gone) > 0 {
-				relay.config.Logger.Info("relay: upstreams did not come back", zap.Strings("upstreams", gone))
-				relay.relist()
+			if removed := relay.store.instances.Expire(); len(removed) > 0 {
+				relay.config.Logger.Info("relay: upstreams removed, not listed again after an outage", zap.Strings("upstreams", removed))
+				relay.updateUpstreams()
 			}
 		}
 	}
 }
 
-// signal wakes all who wait for a change.
-type signal struct {
+// broadcast wakes all goroutines that wait for a change.
+type broadcast struct {
 	mutex   sync.Mutex
 	channel chan struct{}
 }
 
-func newSignal() *signal { return &signal{channel: make(chan struct{})} }
+func newBroadcast() *broadcast { return &broadcast{channel: make(chan struct{})} }
 
-// next returns a channel that is closed at the next change.
-func (signal *signal) next() <-chan struct{} {
-	signal.mutex.Lock()
-	defer signal.mutex.Unlock()
-	return signal.channel
+// next returns a channel that is closed by the next call of notify.
+func (broadcast *broadcast) next() <-chan struct{} {
+	broadcast.mutex.Lock()
+	defer broadcast.mutex.Unlock()
+	return broadcast.channel
 }
 
-func (signal *signal) fire() {
-	signal.mutex.Lock()
-	defer signal.mutex.Unlock()
-	close(signal.channel)
-	signal.channel = make(chan struct{})
+// notify wakes all waiting goroutines.
+func (broadcast *broadcast) notify() {
+	broadcast.mutex.Lock()
+	defer broadcast.mutex.Unlock()
+	close(broadcast.channel)
+	broadcast.channel = make(chan struct{})
 }
--- a/internal/daemon/relay/budget_test.go
+++ b/internal/daemon/relay/retrybudget_test.go
@@ -8,26 +8,26 @@
 	"jacinthfront.dev/jacinthfront/internal/base/setup"
 )
 
-// TestBudget plays five instances whose upstreams fail everything. In no window
-// of ten seconds may all of them together send more again than the users allow,
-// also when the requests come in a burst that then stops.
+// TestBudget simulates five instances whose upstreams fail every request. In no
+// window of ten seconds may all instances together send more retries than the
+// bounds allow, even if the requests arrive in bursts with pauses between them.
 func TestBudget(t *testing.T) {
 	const instances = 5
 	bounds := Bounds{RetryRatio: 0.2, RetryExtra: 58, RetryWindow: setup.Period{Duration: 10 * time.Second}}
 	synctest.Test(t, func(t *testing.T) {
-		var budgets []*budget
+		var budgets []*retryBudget
 		for range instances {
-			budgets = append(budgets, newBudget(func() Bounds { return bounds }, func() int { return instances }))
+			budgets = append(budgets, newRetryBudget(func() Bounds { return bounds }, func() int { return instances }))
 		}
 		var requests, retries []time.Time
 		began := time.Now()
 		for step := 0; time.Since(began) < 40*time.Second; step++ {
 			budget := budgets[step%instances]
 			if time.Since(began)%(15*time.Second) < 5*time.Second {
-				budget.request("advisor")
+				budget.recordRequest("advisor")
 				requests = append(requests, time.Now())
 			}
-			if budget.allow("advisor") {
+			if budget.takeRetry("advisor") {
 				retries = append(retries, time.Now())
 			}
 			time.Sleep(5 * time.Millisecond)
@@ -41,14 +41,14 @@
 			return count
 		}
 		for _, from := range retries {
-			// The rule takes the fullest of three windows.
+			// The bounds refer to the window with the most requests among three.
 			fullest := max(within(requests, from), within(requests, from.Add(-5*time.Second)), within(requests, from.Add(-10*time.Second)))
 			if got, allowed := within(retries, from), float64(bounds.RetryRatio)*float64(fullest)+float64(bounds.RetryExtra); float64(got) > allowed {
-				t.Fatalf("%d sent again within 10 s from %v, %.0f allowed", got, from.Sub(began), allowed)
+				t.Fatalf("%d retries within 10 s from %v, %.0f allowed", got, from.Sub(began), allowed)
 			}
 		}
 		if len(retries) < 100 {
-			t.Errorf("only %d were sent again", len(retries))
+			t.Errorf("only %d retries were allowed", len(retries))
 		}
 	})
 }
--- a/internal/daemon/relay/run.go
+++ b/internal/daemon/relay/run.go
@@ -12,141 +12,144 @@
 )
 
 const (
-	// lookAgain is how often a waiting request looks without a change.
-	lookAgain = 40 * time.Millisecond
-	// copyTime is how long a second copy of an adapter is asked for.
-	copyTime = 600 * time.Millisecond
+	// recheckInterval is how often a waiting request is checked again if nothing changes.
+	recheckInterval = 40 * time.Millisecond
+	// copyRequestTime is how long a second copy of an adapter is requested.
+	copyRequestTime = 600 * time.Millisecond
 )
 
-// outcome says how a send ended.
+// outcome is the result of a send.
 type outcome uint8
 
 const (
-	// answered means that the caller has its answer.
-	answered outcome = iota
-	// notRun means that the upstream said that it did not run the request.
-	notRun
-	// unreached means that nothing was sent.
-	unreached
-	// unknown means that the request may have run, without a usable answer.
-	unknown
-	// failed means that the upstream ran the request and failed.
-	failed
+	// outcomeAnswered means that the caller has its response.
+	outcomeAnswered outcome = iota
+	// outcomeNotRun means that the upstream said that it did not run the request.
+	outcomeNotRun
+	// outcomeNotSent means that nothing was sent.
+	outcomeNotSent
+	// outcomeUnknown means that the request may have run, without a usable response.
+	outcomeUnknown
+	// outcomeFailed means that the upstream ran the request and failed.
+	outcomeFailed
 )
 
-// run sends the request to upstreams until one answers or nothing may be tried
-// any more.
-func (flight *flight) run(ctx context.Context) {
-	flight.learn()
+// run sends the request to upstreams until one answers or no further attempt is
+// allowed.
+func (proxyRequest *proxyRequest) run(ctx context.Context) {
+	proxyRequest.setTypicalLatencies()
 	for {
-		choice, refused := flight.choose(ctx)
+		choice, refused := proxyRequest.awaitUpstream(ctx)
 		if refused != nil {
-			flight.giveUp(ctx, refused)
+			proxyRequest.giveUp(ctx, refused)
 			return
 		}
-		result := flight.send(ctx, choice.Upstream)
-		if result == answered {
+		result := proxyRequest.send(ctx, choice.Upstream)
+		if result == outcomeAnswered {
 			return
 		}
 		if ctx.Err() != nil {
-			flight.giveUp(ctx, nil)
+			proxyRequest.giveUp(ctx, nil)
 			return
 		}
-		flight.tried = append(flight.tried, choice.Upstream.ID)
-		if again, refused := flight.again(result); !again {
-			flight.giveUp(ctx, refused)
+		proxyRequest.tried = append(proxyRequest.tried, choice.Upstream.ID)
+		if retry, refused := proxyRequest.mayRetry(result); !retry {
+			proxyRequest.giveUp(ctx, refused)
 			return
 		}
 	}
 }
 
-// again decides whether the request may be sent to another upstream.
-func (flight *flight) again(result outcome) (bool, *refusal) {
-	refused := &refusal{http.StatusServiceUnavailable, "no upstream took the request", comeBackFull}
-	if result == unreached {
+// mayRetry decides whether the request may be sent to another upstream. If not, it
+// returns the refusal.
+func (proxyRequest *proxyRequest) mayRetry(result outcome) (bool, *refusal) {
+	refused := &refusal{http.StatusServiceUnavailable, "no upstream took the request", retryAfterFull}
+	if result == outcomeNotSent {
 		return true, nil
 	}
-	if result != notRun {
-		if flight.route.Repeat != table.Idempotent || flight.runs >= flight.route.Attempts {
+	if result != outcomeNotRun {
+		if proxyRequest.route.Repeat != table.Idempotent || proxyRequest.runs >= proxyRequest.route.Attempts {
 			return false, refused
 		}
 	}
-	if !flight.relay.budget.allow(flight.service.Name) {
-		flight.relay.metrics.count("retry-budget-empty")
+	if !proxyRequest.relay.retryBudget.takeRetry(proxyRequest.service.Name) {
+		proxyRequest.relay.metrics.increment("retry-budget-empty")
 		return false, refused
 	}
 	return true, nil
 }
 
-// giveUp ends a request that was not answered.
-func (flight *flight) giveUp(ctx context.Context, refused *refusal) {
-	flight.giveBack()
+// giveUp ends a request that was not answered: it forwards a failure kept by
+// keepFailure, refuses the request, or panics with http.ErrAbortHandler.
+func (proxyRequest *proxyRequest) giveUp(ctx context.Context, refused *refusal) {
+	proxyRequest.refund()
 	switch {
-	case flight.request.Context().Err() != nil:
-		flight.relay.metrics.count("caller-left")
-		flight.log("relay: caller left")
+	case proxyRequest.request.Context().Err() != nil:
+		proxyRequest.relay.metrics.increment("caller-left")
+		proxyRequest.log("relay: caller disconnected")
 		panic(http.ErrAbortHandler)
-	case flight.begun:
-		flight.relay.metrics.count("stream-cut")
-		flight.log("relay: answer cut", telem.Error(ctx.Err()))
+	case proxyRequest.headersSent:
+		proxyRequest.relay.metrics.increment("stream-cut")
+		proxyRequest.log("relay: response aborted", telem.Error(ctx.Err()))
 		panic(http.ErrAbortHandler)
-	case flight.failure != nil:
-		flight.deliver(flight.failure, flight.failureText)
+	case proxyRequest.failure != nil:
+		proxyRequest.writeResponse(proxyRequest.failure, proxyRequest.failureBody)
 		return
-	case ctx.Err() != nil && flight.runs == 0:
-		refused = &refusal{http.StatusServiceUnavailable, "the time ran out before an upstream took the request", comeBackFull}
+	case ctx.Err() != nil && proxyRequest.runs == 0:
+		refused = &refusal{http.StatusServiceUnavailable, "the time ran out before an upstream took the request", retryAfterFull}
 	case ctx.Err() != nil:
 		refused = &refusal{http.StatusGatewayTimeout, "the time ran out; the request may have run", 0}
-	case flight.runs > 0:
+	case proxyRequest.runs > 0:
 		refused = &refusal{http.StatusBadGateway, "the upstream broke off; the request may have run", 0}
 	}
-	flight.refuse(*refused)
+	proxyRequest.refuse(*refused)
 }
 
-// need returns what the request asks of an upstream now. The newest version of
-// the adapter counts, also if it was announced while the request waited.
-func (flight *flight) need() picker.Request {
-	need := picker.Request{
-		Service:  flight.service.Name,
-		Engine:   flight.service.Engine != nil,
-		KVTokens: flight.call.PromptTokens + flight.call.MaxOutputTokens,
-		Exclude:  flight.tried,
-		Urgent:   flight.begun || flight.priority() == 0,
-		Late:     flight.late(),
+// requirements returns what the request requires of an upstream at present. It takes the
+// newest version of the adapter, even if that was announced while the request
+// waited.
+func (proxyRequest *proxyRequest) requirements() picker.Request {
+	requirements := picker.Request{
+		Service:  proxyRequest.service.Name,
+		Engine:   proxyRequest.service.Engine != nil,
+		KVTokens: proxyRequest.info.PromptTokens + proxyRequest.info.MaxOutputTokens,
+		Exclude:  proxyRequest.tried,
+		Urgent:   proxyRequest.headersSent || proxyRequest.priority() == 0,
+		Late:     proxyRequest.late(),
 	}
-	if !flight.begun && !need.Late {
-		need.MaxWait = flight.route.Target
+	if !proxyRequest.headersSent && !requirements.Late {
+		requirements.MaxWait = proxyRequest.route.Target
 	}
-	if need.Engine && flight.call.Adapter != "" {
-		flight.adapter.Name = flight.call.Adapter
-		flight.adapter.Version = flight.relay.belief.version(flight.call.Model, flight.call.Adapter)
-		need.Adapter = flight.adapter
+	if requirements.Engine && proxyRequest.info.Adapter != "" {
+		proxyRequest.adapter.Name = proxyRequest.info.Adapter
+		proxyRequest.adapter.Version = proxyRequest.relay.store.adapterVersion(proxyRequest.info.Model, proxyRequest.info.Adapter)
+		requirements.Adapter = proxyRequest.adapter
 	}
-	return need
+	return requirements
 }
 
-// choose returns an upstream that can take the request now. At an engine it
-// waits for its turn, and for the adapter to be brought.
-func (flight *flight) choose(ctx context.Context) (picker.Choice, *refusal) {
+// awaitUpstream returns an upstream that can take the request now. At an engine, it
+// waits for admission and for the adapter to be loaded.
+func (proxyRequest *proxyRequest) awaitUpstream(ctx context.Context) (picker.Choice, *refusal) {
 	began := time.Now()
-	place := &place{flight: flight, number: flight.relay.asks.Add(1)}
+	waitingRequest := &waitingRequest{proxyRequest: proxyRequest, number: proxyRequest.relay.requestNumbers.Add(1)}
 	defer func() {
-		place.leave()
-		flight.waited += time.Since(began)
+		waitingRequest.withdraw()
+		proxyRequest.waited += time.Since(began)
 	}()
 	for {
-		changed := flight.relay.changed.next()
-		choice := place.choose()
-		flight.noteWait(choice)
-		if turn, ok := place.start(choice); ok {
-			flight.found(choice)
-			flight.ask = turn
+		changed := proxyRequest.relay.stateChanged.next()
+		choice := waitingRequest.choose()
+		proxyRequest.recordWait(choice)
+		if grant, ok := waitingRequest.admitted(choice); ok {
+			proxyRequest.recordChoice(choice)
+			proxyRequest.grant = grant
 			return choice, nil
 		}
-		if refused := flight.impatient(ctx, choice, time.Since(began)); refused != nil {
+		if refused := proxyRequest.waitRefusal(ctx, choice, time.Since(began)); refused != nil {
 			return choice, refused
 		}
-		timer := time.NewTimer(lookAgain)
+		timer := time.NewTimer(recheckInterval)
 		select {
 		case <-ctx.Done():
 		case <-changed:
@@ -156,19 +159,21 @@
 	}
 }
 
-func (flight *flight) found(choice picker.Choice) {
-	flight.upstream, flight.load, flight.backlog = choice.Upstream.ID, choice.Load, choice.Backlog
+// recordChoice records the chosen upstream, and requests a second copy of the
+// adapter if the choice names an upstream for it.
+func (proxyRequest *proxyRequest) recordChoice(choice picker.Choice) {
+	proxyRequest.upstream, proxyRequest.load, proxyRequest.backlog = choice.Upstream.ID, choice.Load, choice.Backlog
 	if choice.CopyTo.ID != "" {
-		flight.relay.bringCopy(choice.CopyTo, flight)
+		proxyRequest.relay.requestCopy(choice.CopyTo, proxyRequest)
 	}
 }
 
-// bringCopy asks for an adapter at one more upstream, without a request that
-// waits for it.
-func (relay *Relay) bringCopy(target fleet.Upstream, flight *flight) {
-	adapter := flight.adapter
-	relay.metrics.count("copies-asked")
-	relay.board.RequestCopy(target.ID, adapter)
-	relay.kick()
-	time.AfterFunc(copyTime, func() { relay.board.CancelCopy(target.ID, adapter) })
+// requestCopy requests an adapter at one more upstream, without a request that waits
+// for it there.
+func (relay *Relay) requestCopy(target fleet.Upstream, proxyRequest *proxyRequest) {
+	adapter := proxyRequest.adapter
+	relay.metrics.increment("copies-asked")
+	relay.picker.RequestCopy(target.ID, adapter)
+	relay.reportSoon()
+	time.AfterFunc(copyRequestTime, func() { relay.picker.CancelCopy(target.ID, adapter) })
 }
--- a/internal/daemon/relay/send.go
+++ b/internal/daemon/relay/send.go
@@ -17,193 +17,199 @@
 	"jacinthfront.dev/jacinthfront/internal/state/table"
 )
 
-var errLargeAnswer = errors.New("the answer is too large")
+var errLargeResponse = errors.New("the response is too large")
 
-// send passes the request to an upstream and its answer to the caller.
-func (flight *flight) send(ctx context.Context, upstream fleet.Upstream) outcome {
-	relay := flight.relay
-	if flight.sends == 0 {
-		relay.budget.request(flight.service.Name)
+// send sends the request to an upstream and forwards the response to the caller.
+func (proxyRequest *proxyRequest) send(ctx context.Context, upstream fleet.Upstream) outcome {
+	relay := proxyRequest.relay
+	if proxyRequest.sends == 0 {
+		relay.retryBudget.recordRequest(proxyRequest.service.Name)
 	}
-	if flight.mayRepeat() && flight.runs+1 < flight.route.Attempts {
-		watched, done := relay.sends.watch(ctx, upstream.ID, flight)
+	if proxyRequest.mayRunAgain() && proxyRequest.runs+1 < proxyRequest.route.Attempts {
+		watched, done := relay.activeSends.track(ctx, upstream.ID, proxyRequest)
 		defer done()
 		ctx = watched
 	}
-	relay.board.RecordSent(upstream.ID, flight.adapter)
-	flight.sentAt, flight.pauses = time.Now(), nil
-	defer relay.board.RecordEnded(upstream.ID, flight.adapter)
-	response, err := relay.config.Pool.Do(ctx, upstream.Address, flight.outgoing(upstream))
+	relay.picker.RecordSent(upstream.ID, proxyRequest.adapter)
+	proxyRequest.sentAt, proxyRequest.eventIntervals = time.Now(), nil
+	defer relay.picker.RecordEnded(upstream.ID, proxyRequest.adapter)
+	response, err := relay.config.Pool.Do(ctx, upstream.Address, proxyRequest.upstreamRequest(upstream))
 	if err != nil {
-		return flight.unanswered(ctx, upstream, err)
+		return proxyRequest.handleSendError(ctx, upstream, err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	flight.sends++
-	answer := relay.config.Protocol.ParseResponse(response.Status, response.Header)
-	flight.heed(upstream, answer)
-	if answer.Load >= 0 {
-		relay.board.RecordLoad(upstream.ID, answer.Load)
+	proxyRequest.sends++
+	info := relay.config.Protocol.ParseResponse(response.Status, response.Header)
+	proxyRequest.applyNotices(upstream, info)
+	if info.Load >= 0 {
+		relay.picker.RecordLoad(upstream.ID, info.Load)
 	}
 	switch {
-	case answer.ID != "" && answer.ID != flight.call.ID, answer.ID == "" && !answer.NotRun:
-		flight.log("relay: answer belongs to another request", zap.String("answer", answer.ID))
-		return flight.mayHaveRun(upstream)
-	case answer.NotRun:
-		return flight.turnedAway(upstream, response)
+	case info.ID != "" && info.ID != proxyRequest.info.ID, info.ID == "" && !info.NotRun:
+		proxyRequest.log("relay: response belongs to another request", zap.String("answer", info.ID))
+		return proxyRequest.recordUnknown(upstream)
+	case info.NotRun:
+		return proxyRequest.handleNotRun(upstream, response)
 	}
-	flight.runs++
-	if !answer.Sealed {
-		return flight.broken(upstream, errors.New("the answer bears no seal"))
+	proxyRequest.runs++
+	if !info.Sealed {
+		return proxyRequest.recordBroken(upstream, errors.New("the response bears no seal"))
 	}
-	if flight.begun && response.Status != http.StatusOK {
-		return flight.broken(upstream, fmt.Errorf("the stream cannot go on: the upstream answered %d", response.Status))
+	if proxyRequest.headersSent && response.Status != http.StatusOK {
+		return proxyRequest.recordBroken(upstream, fmt.Errorf("the stream cannot be resumed: the upstream answered %d", response.Status))
 	}
-	if response.Status >= http.StatusInternalServerError && flight.mayRepeat() {
-		return flight.keep(upstream, response)
+	if response.Status >= http.StatusInternalServerError && proxyRequest.mayRunAgain() {
+		return proxyRequest.keepFailure(upstream, response)
 	}
-	if flight.route.Stream && response.Status == http.StatusOK {
-		return flight.stream(upstream, response)
+	if proxyRequest.route.Stream && response.Status == http.StatusOK {
+		return proxyRequest.forwardStream(upstream, response)
 	}
-	return flight.whole(upstream, response)
+	return proxyRequest.forwardWhole(upstream, response)
 }
 
-func (flight *flight) outgoing(upstream fleet.Upstream) hop.Request {
-	send := ForwardInfo{
+// upstreamRequest returns the request to send to an upstream.
+func (proxyRequest *proxyRequest) upstreamRequest(upstream fleet.Upstream) hop.Request {
+	info := ForwardInfo{
 		Upstream:    upstream.ID,
-		Remaining:   time.Until(flight.until),
-		Priority:    flight.priority(),
-		LastEventID: flight.lastEvent,
+		Remaining:   time.Until(proxyRequest.deadline),
+		Priority:    proxyRequest.priority(),
+		LastEventID: proxyRequest.lastEventID,
 	}
-	if flight.organisation != nil {
-		send.Organisation = flight.organisation.Name
+	if proxyRequest.organisation != nil {
+		info.Organisation = proxyRequest.organisation.Name
 	}
 	return hop.Request{
-		Method:  flight.request.Method,
-		Target:  flight.request.RequestURI,
-		Host:    flight.request.Host,
-		Header:  flight.relay.config.Protocol.UpstreamHeader(flight.request, send),
-		Body:    flight.body,
-		HasBody: flight.request.ContentLength != 0 || flight.request.Method == http.MethodPost,
+		Method:  proxyRequest.request.Method,
+		Target:  proxyRequest.request.RequestURI,
+		Host:    proxyRequest.request.Host,
+		Header:  proxyRequest.relay.config.Protocol.UpstreamHeader(proxyRequest.request, info),
+		Body:    proxyRequest.body,
+		HasBody: proxyRequest.request.ContentLength != 0 || proxyRequest.request.Method == http.MethodPost,
 	}
 }
 
-// unanswered handles a send without an answer.
-func (flight *flight) unanswered(ctx context.Context, upstream fleet.Upstream, err error) outcome {
+// handleSendError handles a send without a response.
+func (proxyRequest *proxyRequest) handleSendError(ctx context.Context, upstream fleet.Upstream, err error) outcome {
 	lost := errors.Is(context.Cause(ctx), errUpstreamLost)
 	if hop.NotSent.Has(err) {
 		if ctx.Err() == nil {
-			flight.log("relay: upstream not reached", telem.Error(err))
-			flight.relay.readList()
-			flight.judge(upstream, false)
+			proxyRequest.log("relay: failed to reach upstream", telem.Error(err))
+			proxyRequest.relay.readInstancesSoon()
+			proxyRequest.recordHealth(upstream, false)
 		}
-		return unreached
+		return outcomeNotSent
 	}
-	flight.sends++
+	proxyRequest.sends++
 	if ctx.Err() == nil || lost {
-		flight.log("relay: no answer", telem.Error(err), zap.Bool("upstream-lost", lost))
+		proxyRequest.log("relay: no response", telem.Error(err), zap.Bool("upstream-lost", lost))
 	}
-	return flight.mayHaveRun(upstream)
+	return proxyRequest.recordUnknown(upstream)
 }
 
-func (flight *flight) mayHaveRun(upstream fleet.Upstream) outcome {
-	flight.runs++
-	if flight.request.Context().Err() == nil {
-		flight.judge(upstream, false)
+// recordUnknown records a send after which the request may have run, without a
+// response of its own.
+func (proxyRequest *proxyRequest) recordUnknown(upstream fleet.Upstream) outcome {
+	proxyRequest.runs++
+	if proxyRequest.request.Context().Err() == nil {
+		proxyRequest.recordHealth(upstream, false)
 	}
-	return unknown
+	return outcomeUnknown
 }
 
-func (flight *flight) broken(upstream fleet.Upstream, err error) outcome {
-	flight.log("relay: answer broken", telem.Error(err))
-	flight.judge(upstream, false)
-	return unknown
+// recordBroken records a response that is incomplete or invalid.
+func (proxyRequest *proxyRequest) recordBroken(upstream fleet.Upstream, err error) outcome {
+	proxyRequest.log("relay: response incomplete or invalid", telem.Error(err))
+	proxyRequest.recordHealth(upstream, false)
+	return outcomeUnknown
 }
 
-// turnedAway handles an answer that says that the request did not run.
-func (flight *flight) turnedAway(upstream fleet.Upstream, response *hop.Response) outcome {
+// handleNotRun handles a response saying that the request did not run.
+func (proxyRequest *proxyRequest) handleNotRun(upstream fleet.Upstream, response *hop.Response) outcome {
 	if response.Status == http.StatusMisdirectedRequest {
-		flight.relay.readList()
-		if flight.adapter.Name != "" {
-			flight.relay.board.RecordMissing(upstream.ID, flight.adapter)
+		proxyRequest.relay.readInstancesSoon()
+		if proxyRequest.adapter.Name != "" {
+			proxyRequest.relay.picker.RecordMissing(upstream.ID, proxyRequest.adapter)
 		}
 	}
-	flight.relay.metrics.count("turned-away-" + strconv.Itoa(response.Status))
-	flight.log("relay: upstream turned the request away", zap.Int("status", response.Status))
-	// The rest is short; reading it keeps the connection.
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, bodyBytes))
-	return notRun
+	proxyRequest.relay.metrics.increment("turned-away-" + strconv.Itoa(response.Status))
+	proxyRequest.log("relay: upstream did not run the request", zap.Int("status", response.Status))
+	// The rest of the body is short; reading it lets the connection be reused.
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxBodyBytes))
+	return outcomeNotRun
 }
 
-func (flight *flight) mayRepeat() bool {
-	return flight.runs < flight.route.Attempts && flight.route.Repeat == table.Idempotent
+// mayRunAgain reports whether the route allows the request to run again.
+func (proxyRequest *proxyRequest) mayRunAgain() bool {
+	return proxyRequest.runs < proxyRequest.route.Attempts && proxyRequest.route.Repeat == table.Idempotent
 }
 
-// judge records how an upstream behaved.
-func (flight *flight) judge(upstream fleet.Upstream, well bool) {
-	if flight.relay.health.answered(upstream.Service, upstream.ID, well) {
-		flight.relay.config.Logger.Info("fleet: upstream ejected", zap.String("upstream", upstream.ID))
+// recordHealth records whether a request to an upstream succeeded.
+func (proxyRequest *proxyRequest) recordHealth(upstream fleet.Upstream, succeeded bool) {
+	if proxyRequest.relay.health.record(upstream.Service, upstream.ID, succeeded) {
+		proxyRequest.relay.config.Logger.Info("fleet: upstream ejected", zap.String("upstream", upstream.ID))
 	}
 }
 
-// whole passes on an answer that is not a stream. It is read to its end first,
-// so that one that breaks off never reaches the caller as complete.
-func (flight *flight) whole(upstream fleet.Upstream, response *hop.Response) outcome {
-	text, err := readWhole(response)
+// forwardWhole forwards a response that is not a stream. It reads the response to
+// its end first, so that an incomplete one never reaches the caller as complete.
+func (proxyRequest *proxyRequest) forwardWhole(upstream fleet.Upstream, response *hop.Response) outcome {
+	body, err := readResponse(response)
 	if err != nil {
-		return flight.broken(upstream, err)
+		return proxyRequest.recordBroken(upstream, err)
 	}
-	flight.judge(upstream, true)
-	flight.deliver(response, text)
-	return answered
+	proxyRequest.recordHealth(upstream, true)
+	proxyRequest.writeResponse(response, body)
+	return outcomeAnswered
 }
 
-// readWhole reads an answer to its end.
-func readWhole(response *hop.Response) ([]byte, error) {
-	if response.Length > bodyBytes {
-		return nil, errLargeAnswer
+// readResponse reads the body of a response to its end.
+func readResponse(response *hop.Response) ([]byte, error) {
+	if response.Length > maxBodyBytes {
+		return nil, errLargeResponse
 	}
-	text, err := io.ReadAll(io.LimitReader(response.Body, bodyBytes+1))
-	if err == nil && len(text) > bodyBytes {
-		return nil, errLargeAnswer
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes+1))
+	if err == nil && len(body) > maxBodyBytes {
+		return nil, errLargeResponse
 	}
-	return text, err
+	return body, err
 }
 
-// deliver writes a whole answer to the caller.
-func (flight *flight) deliver(response *hop.Response, text []byte) {
-	flight.head(response)
-	if response.Length >= 0 || len(text) > 0 {
-		flight.writer.Header().Set("Content-Length", strconv.Itoa(len(text)))
+// writeResponse writes a complete response to the caller.
+func (proxyRequest *proxyRequest) writeResponse(response *hop.Response, body []byte) {
+	proxyRequest.copyHeaders(response)
+	if response.Length >= 0 || len(body) > 0 {
+		proxyRequest.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
-	flight.writer.WriteHeader(response.Status)
-	_, _ = flight.writer.Write(text)
-	flight.done(response.Status)
+	proxyRequest.writer.WriteHeader(response.Status)
+	_, _ = proxyRequest.writer.Write(body)
+	proxyRequest.recordDone(response.Status)
 }
 
-// keep sets a failure of the upstream aside, to be passed on if no other
-// upstream does better.
-func (flight *flight) keep(upstream fleet.Upstream, response *hop.Response) outcome {
-	flight.log("relay: upstream failed", zap.Int("status", response.Status))
-	text, err := readWhole(response)
+// keepFailure keeps a failure of an upstream, to be forwarded if no other upstream
+// does better.
+func (proxyRequest *proxyRequest) keepFailure(upstream fleet.Upstream, response *hop.Response) outcome {
+	proxyRequest.log("relay: upstream failed", zap.Int("status", response.Status))
+	body, err := readResponse(response)
 	if err != nil {
-		return flight.broken(upstream, err)
+		return proxyRequest.recordBroken(upstream, err)
 	}
-	flight.failure, flight.failureText = response, text
-	return failed
+	proxyRequest.failure, proxyRequest.failureBody = response, body
+	return outcomeFailed
 }
 
-// head passes on the headers of an answer.
-func (flight *flight) head(response *hop.Response) {
-	header := flight.writer.Header()
-	for name, values := range flight.relay.config.Protocol.CallerHeader(response.Header) {
+// copyHeaders copies the headers of a response for the caller.
+func (proxyRequest *proxyRequest) copyHeaders(response *hop.Response) {
+	header := proxyRequest.writer.Header()
+	for name, values := range proxyRequest.relay.config.Protocol.CallerHeader(response.Header) {
 		header[name] = values
 	}
 }
 
-func (flight *flight) done(status int) {
-	flight.relay.metrics.answered(flight.route.Name, status, time.Since(flight.started))
-	if flight.sends == 1 {
-		flight.relay.spans.ended(flight.route.Name, time.Since(flight.sentAt))
+// recordDone records the metrics of an answered request and logs it.
+func (proxyRequest *proxyRequest) recordDone(status int) {
+	proxyRequest.relay.metrics.recordAnswered(proxyRequest.route.Name, status, time.Since(proxyRequest.started))
+	if proxyRequest.sends == 1 {
+		proxyRequest.relay.latencies.recordTotal(proxyRequest.route.Name, time.Since(proxyRequest.sentAt))
 	}
-	flight.log(MessageAnswered, zap.Int("status", status))
+	proxyRequest.log(MessageAnswered, zap.Int("status", status))
 }
--- a/internal/daemon/relay/start_test.go
+++ b/internal/daemon/relay/start_test.go
@@ -8,39 +8,39 @@
 	"time"
 )
 
-// TestAwaitStart guards against a request that takes the processor while the
-// instance starts, because its caller has left or it has waited long enough.
+// TestAwaitStart guards against requests that use processor time during the startup
+// although their caller has left or their deadline has passed.
 func TestAwaitStart(t *testing.T) {
 	tests := []struct {
-		name  string
-		left  bool
-		until time.Duration
-		want  int
+		name       string
+		callerLeft bool
+		timeout    time.Duration
+		want       int
 	}{
-		{name: "waits", until: time.Second, want: int(startTime/lookAgain) + 1},
-		{name: "caller left", left: true, until: time.Second, want: 1},
-		{name: "out of time", until: 0, want: 1},
+		{name: "waits", timeout: time.Second, want: int(startupWait/recheckInterval) + 1},
+		{name: "caller left", callerLeft: true, timeout: time.Second, want: 1},
+		{name: "out of time", timeout: 0, want: 1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, leave := context.WithCancel(t.Context())
 				defer leave()
-				if test.left {
+				if test.callerLeft {
 					leave()
 				}
-				flight := &flight{
-					relay:   &Relay{start: time.Now()},
-					request: httptest.NewRequest("POST", "/x", nil).WithContext(ctx),
-					until:   time.Now().Add(test.until),
+				proxyRequest := &proxyRequest{
+					relay:    &Relay{start: time.Now()},
+					request:  httptest.NewRequest("POST", "/x", nil).WithContext(ctx),
+					deadline: time.Now().Add(test.timeout),
 				}
-				looks := 0
-				flight.awaitStart(func() bool {
-					looks++
-					return looks >= 1000
+				checks := 0
+				proxyRequest.awaitStartup(func() bool {
+					checks++
+					return checks >= 1000
 				})
-				if looks != test.want {
-					t.Errorf("looked %d times, want %d", looks, test.want)
+				if checks != test.want {
+					t.Errorf("checked %d times, want %d", checks, test.want)
 				}
 			})
 		})
--- /dev/null
+++ b/internal/daemon/relay/storereader.go
@@ -0,0 +1,209 @@
+package relay
+
+import (
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+
+	"jacinthfront.dev/jacinthfront/internal/daemon/watch"
+	"jacinthfront.dev/jacinthfront/internal/state/fleet"
+	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
+)
+
+// One entry instance of each failure domain, the store reader, reads the store. The
+// others query its position, and read the store themselves only if there is
+// something new or the reported position is too old. A position's age counts from
+// the query, so that a report that was delayed on the way does not seem newer than
+// it is.
+
+const (
+	// queryInterval is the time between two queries to the store reader.
+	queryInterval = 250 * time.Millisecond
+	// maxConfigUpdateAge and maxListUpdateAge limit the age of a reported position. They
+	// leave time for this instance's own reads before the configuration is too old to
+	// be trusted, and before an upstream that is draining must not be used.
+	maxConfigUpdateAge = 3300 * time.Millisecond
+	maxListUpdateAge   = 1600 * time.Millisecond
+)
+
+// Topics of position reports.
+const (
+	topicConfig    = "config"
+	topicInstances = "instances"
+)
+
+// readerReport is the last position report of the store reader.
+type readerReport struct {
+	mutex       sync.Mutex
+	queryNumber uint64
+	// queriedAt is when the query with queryNumber was sent to reader.
+	queriedAt    time.Time
+	reader       string
+	configUpdate watch.Update[ConfigChange]
+	listUpdate   watch.Update[Listing]
+}
+
+// setReader sets the store reader and reports whether it changed. If so, the report
+// of the earlier one is forgotten.
+func (readerReport *readerReport) setReader(reader string) (changed bool) {
+	readerReport.mutex.Lock()
+	defer readerReport.mutex.Unlock()
+	if readerReport.reader == reader {
+		return false
+	}
+	readerReport.reader, readerReport.configUpdate, readerReport.listUpdate = reader, watch.Update[ConfigChange]{}, watch.Update[Listing]{}
+	return true
+}
+
+// newQuery returns the number of a new query.
+func (readerReport *readerReport) newQuery() uint64 {
+	readerReport.mutex.Lock()
+	defer readerReport.mutex.Unlock()
+	readerReport.queryNumber++
+	readerReport.queriedAt = time.Now()
+	return readerReport.queryNumber
+}
+
+// record stores a position report of the store reader: the answer to the last
+// query, or an unsolicited report, whose number is 0. An unsolicited report tells of
+// changes, but does not confirm that there are no others.
+func (readerReport *readerReport) record(report *wirepb.StoreWord) {
+	readerReport.mutex.Lock()
+	defer readerReport.mutex.Unlock()
+	answer := report.GetNumber() == readerReport.queryNumber
+	if report.GetEntry() != readerReport.reader || !answer && report.GetNumber() != 0 {
+		return
+	}
+	for _, topic := range report.GetTopics() {
+		position := watch.Position{
+			Next: topic.GetNext(), ChangedNext: topic.GetChanged(),
+			ConfirmedAt: readerReport.queriedAt.Add(-time.Duration(topic.GetAgeMs()) * time.Millisecond),
+		}
+		switch topic.GetTopic() {
+		case topicConfig:
+			if !answer {
+				position.ConfirmedAt = readerReport.configUpdate.ConfirmedAt
+			}
+			readerReport.configUpdate = watch.Update[ConfigChange]{Position: position}
+		case topicInstances:
+			if !answer {
+				position.ConfirmedAt = readerReport.listUpdate.ConfirmedAt
+			}
+			readerReport.listUpdate = watch.Update[Listing]{
+				Position: position, Changes: decodeListings(topic.GetListings()), From: topic.GetFrom(), Complete: topic.GetComplete(),
+			}
+		}
+	}
+}
+
+// elapsed returns the time since at, by the monotonic or the wall clock, whichever
+// shows more: the first stands still while the process is suspended, the second may
+// be set.
+func elapsed(at time.Time) time.Duration {
+	now := time.Now()
+	return max(now.Sub(at), now.Round(0).Sub(at.Round(0)))
+}
+
+// configUpdate and listUpdate return the peer updates for the watchers, and whether
+// they are recent enough to be used.
+func (relay *Relay) configUpdate() (watch.Update[ConfigChange], bool) {
+	relay.readerReport.mutex.Lock()
+	defer relay.readerReport.mutex.Unlock()
+	return relay.readerReport.configUpdate, elapsed(relay.readerReport.configUpdate.ConfirmedAt) < maxConfigUpdateAge
+}
+
+func (relay *Relay) listUpdate() (watch.Update[Listing], bool) {
+	relay.readerReport.mutex.Lock()
+	defer relay.readerReport.mutex.Unlock()
+	return relay.readerReport.listUpdate, elapsed(relay.readerReport.listUpdate.ConfirmedAt) < maxListUpdateAge
+}
+
+// queryReader sends a query to the store reader, unless that is this instance.
+func (relay *Relay) queryReader() {
+	reader, others := relay.peers.storeReader()
+	if relay.readerReport.setReader(reader) {
+		relay.config.Logger.Info("relay: store reader elected", zap.String("reader", reader),
+			zap.Int("others", len(others)), zap.Duration("config-age", relay.configAge()))
+	}
+	if reader == relay.config.DatagramAddress {
+		return
+	}
+	relay.sendDatagram(&wirepb.Datagram{Body: &wirepb.Datagram_StoreAsk{StoreAsk: &wirepb.StoreAsk{
+		Entry: relay.config.DatagramAddress, Number: relay.readerReport.newQuery(), InstancesNext: relay.instanceWatcher.Position().Next,
+	}}}, reader)
+}
+
+// handleStoreAsk reports this instance's position to another entry instance, with
+// the entries of the instance list that the other one lacks.
+func (relay *Relay) handleStoreAsk(query *wirepb.StoreAsk) {
+	relay.sendDatagram(relay.positionReport(query.GetNumber(), relay.instanceWatcher.Since(query.GetInstancesNext())), query.GetEntry())
+}
+
+// announceChange sends the other entry instances of the failure domain an
+// unsolicited position report, if this instance is the store reader.
+func (relay *Relay) announceChange() {
+	reader, others := relay.peers.storeReader()
+	if reader == relay.config.DatagramAddress {
+		relay.sendDatagram(relay.positionReport(0, relay.instanceWatcher.Latest()), others...)
+	}
+}
+
+// positionReport returns the answer to the query with a number, or an unsolicited
+// report if the number is 0.
+func (relay *Relay) positionReport(number uint64, list watch.Update[Listing]) *wirepb.Datagram {
+	report := &wirepb.StoreWord{Entry: relay.config.DatagramAddress, Number: number}
+	if changes := relay.configWatcher.Position(); !changes.ConfirmedAt.IsZero() {
+		report.Topics = append(report.Topics, encodePosition(topicConfig, changes))
+	}
+	if !list.ConfirmedAt.IsZero() {
+		topic := encodePosition(topicInstances, list.Position)
+		topic.From, topic.Complete = list.From, list.Complete
+		for _, listing := range list.Changes {
+			topic.Listings = append(topic.Listings, encodeListing(listing))
+		}
+		report.Topics = append(report.Topics, topic)
+	}
+	return &wirepb.Datagram{Body: &wirepb.Datagram_StoreWord{StoreWord: report}}
+}
+
+func encodePosition(topic string, position watch.Position) *wirepb.TopicPosition {
+	return &wirepb.TopicPosition{
+		Topic: topic, Next: position.Next, Changed: position.ChangedNext, AgeMs: uint32(elapsed(position.ConfirmedAt).Milliseconds() + 1),
+	}
+}
+
+func encodeListing(listing Listing) *wirepb.Listing {
+	encoded := &wirepb.Listing{Id: listing.ID}
+	if upstream := listing.Upstream; upstream != nil {
+		encoded.Service, encoded.Address, encoded.FailureDomain = upstream.Service, upstream.Address, upstream.FailureDomain
+		encoded.Slots, encoded.Draining, encoded.Born = uint32(max(upstream.Slots, 0)), upstream.Draining, upstream.StartedAt
+		encoded.RemainingMs = uint32(max(upstream.Remaining, 0).Milliseconds())
+	}
+	return encoded
+}
+
+func decodeListings(encoded []*wirepb.Listing) []Listing {
+	listings := make([]Listing, 0, len(encoded))
+	for _, entry := range encoded {
+		listing := Listing{ID: entry.GetId()}
+		if entry.GetAddress() != "" {
+			listing.Upstream = &fleet.Upstream{
+				ID: entry.GetId(), Service: entry.GetService(), Address: entry.GetAddress(), FailureDomain: entry.GetFailureDomain(),
+				Slots: int(entry.GetSlots()), Draining: entry.GetDraining(), StartedAt: entry.GetBorn(),
+				Remaining: time.Duration(entry.GetRemainingMs()) * time.Millisecond,
+			}
+		}
+		listings = append(listings, listing)
+	}
+	return listings
+}
+
+// handleStoreWord processes a position report of the store reader.
+func (relay *Relay) handleStoreWord(report *wirepb.StoreWord) {
+	relay.readerReport.record(report)
+	if report.GetNumber() == 0 {
+		relay.configWatcher.Wake()
+		relay.instanceWatcher.Wake()
+	}
+}
--- /dev/null
+++ b/internal/daemon/relay/storereader_test.go
@@ -0,0 +1,230 @@
+package relay
+
+import (
+	"fmt"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"jacinthfront.dev/jacinthfront/internal/daemon/watch"
+	"jacinthfront.dev/jacinthfront/internal/flow/rank"
+	"jacinthfront.dev/jacinthfront/internal/state/fleet"
+	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
+)
+
+const (
+	ownAddress    = "10.0.0.1:7600"
+	readerAddress = "10.0.0.2:7600"
+)
+
+func newStoreWord(entry string, number uint64, age time.Duration) *wirepb.StoreWord {
+	return &wirepb.StoreWord{Entry: entry, Number: number, Topics: []*wirepb.TopicPosition{
+		{Topic: topicConfig, Next: 9, Changed: 7, AgeMs: uint32(age.Milliseconds())},
+	}}
+}
+
+// TestReaderReport guards against a configuration that counts as newer than it is,
+// because the position report was delayed, for example while this process was
+// paused, came from another instance, or answers an earlier query. A withdrawn key
+// would still be accepted.
+func TestReaderReport(t *testing.T) {
+	tests := []struct {
+		name   string
+		guards string
+		// delay is the time between the query and its answer.
+		delay  time.Duration
+		report func(number uint64) *wirepb.StoreWord
+		age    time.Duration
+		ok     bool
+	}{
+		{
+			name: "prompt", report: func(number uint64) *wirepb.StoreWord { return newStoreWord(readerAddress, number, time.Second) },
+			age: time.Second, ok: true,
+		},
+		{
+			name: "delayed", guards: "a delay that does not count", delay: 2 * time.Second,
+			report: func(number uint64) *wirepb.StoreWord { return newStoreWord(readerAddress, number, time.Second) },
+			age:    3 * time.Second, ok: true,
+		},
+		{
+			name: "too old", guards: "a store reader that cannot reach the store",
+			report: func(number uint64) *wirepb.StoreWord { return newStoreWord(readerAddress, number, maxConfigUpdateAge) },
+		},
+		{
+			name: "earlier query", guards: "a late answer to an earlier query",
+			report: func(number uint64) *wirepb.StoreWord { return newStoreWord(readerAddress, number-1, 0) },
+		},
+		{
+			name: "another instance", guards: "a report from an instance that is not the store reader",
+			report: func(number uint64) *wirepb.StoreWord { return newStoreWord("10.0.0.3:7600", number, 0) },
+		},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				readerReport := new(readerReport)
+				readerReport.setReader(readerAddress)
+				readerReport.newQuery()
+				number := readerReport.newQuery()
+				time.Sleep(test.delay)
+				readerReport.record(test.report(number))
+				position := readerReport.configUpdate.Position
+				ok := elapsed(position.ConfirmedAt) < maxConfigUpdateAge
+				if ok != test.ok {
+					t.Fatalf("%s: update given %v, want %v", test.guards, ok, test.ok)
+				}
+				want := watch.Position{Next: 9, ChangedNext: 7, ConfirmedAt: time.Now().Add(-test.age)}
+				if diff := cmp.Diff(want, position); ok && diff != "" {
+					t.Errorf("%s: position (-want +got):\n%s", test.guards, diff)
+				}
+			})
+		})
+	}
+}
+
+// TestUnsolicitedReport guards against a change that waits for the next query,
+// against an unsolicited report that confirms the position, and against a report of
+// an earlier store reader that still counts.
+func TestUnsolicitedReport(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		readerReport := new(readerReport)
+		readerReport.setReader(readerAddress)
+		readerReport.record(newStoreWord(readerAddress, readerReport.newQuery(), 0))
+		queriedAt := time.Now()
+		time.Sleep(time.Second)
+		upstream := &fleet.Upstream{
+			ID: "i-1", Service: "advisor", Address: "10.0.0.9:80", FailureDomain: "hall-a", Slots: 16,
+			Draining: true, Remaining: 2 * time.Second, StartedAt: 1700,
+		}
+		unsolicited := newStoreWord(readerAddress, 0, 0)
+		unsolicited.Topics[0].Changed = 12
+		unsolicited.Topics = append(unsolicited.Topics, &wirepb.TopicPosition{
+			Topic: topicInstances, Next: 20, Changed: 20, From: 18, Complete: true,
+			Listings: []*wirepb.Listing{encodeListing(Listing{ID: "i-1", Upstream: upstream}), encodeListing(Listing{ID: "i-2"})},
+		})
+		readerReport.record(unsolicited)
+		if diff := cmp.Diff(watch.Position{Next: 9, ChangedNext: 12, ConfirmedAt: queriedAt}, readerReport.configUpdate.Position); diff != "" {
+			t.Errorf("position (-want +got):\n%s", diff)
+		}
+		want := watch.Update[Listing]{
+			Position: watch.Position{Next: 20, ChangedNext: 20}, From: 18, Complete: true,
+			Changes: []Listing{{ID: "i-1", Upstream: upstream}, {ID: "i-2"}},
+		}
+		if diff := cmp.Diff(want, readerReport.listUpdate); diff != "" {
+			t.Errorf("list (-want +got):\n%s", diff)
+		}
+		readerReport.setReader("10.0.0.3:7600")
+		if !readerReport.configUpdate.ConfirmedAt.IsZero() || !readerReport.listUpdate.ConfirmedAt.IsZero() {
+			t.Error("the report of an earlier store reader still counts")
+		}
+	})
+}
+
+// TestReader guards against a failure domain without a store reader because the
+// elected instance was killed, is paused, or is in another failure domain.
+func TestReader(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		peers := newPeers(ownAddress, "hall-a")
+		expect := func(moment, want string) {
+			t.Helper()
+			first, _ := peers.storeReader()
+			if diff := cmp.Diff(want, first); diff != "" {
+				t.Errorf("%s: reader (-want +got):\n%s", moment, diff)
+			}
+		}
+		expect("alone", ownAddress)
+		peers.recordListed([]string{readerAddress})
+		expect("listed by a loader only", ownAddress)
+		peers.recordReport(readerAddress, "hall-b", 1)
+		expect("in another failure domain", ownAddress)
+		members := []string{ownAddress, readerAddress}
+		for rank.First("store", members) == ownAddress {
+			members = append(members, fmt.Sprintf("10.0.0.%d:7600", 2+len(members)))
+		}
+		for _, address := range members[1:] {
+			peers.recordReport(address, "hall-a", 1)
+		}
+		expect("another instance elected", rank.First("store", members))
+		time.Sleep(readerTimeout)
+		expect("all silent", ownAddress)
+	})
+}
+
+// TestFullUsageReports guards against an entry instance that receives only changes
+// after a restart, and against lost datagrams that are never made up for.
+func TestFullUsageReports(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		peers := newPeers(ownAddress, "hall-a")
+		fullReports := func(times int) (count int) {
+			for range times {
+				if peers.takeFullReport(readerAddress) {
+					count++
+				}
+			}
+			return count
+		}
+		steps := []struct {
+			name string
+			do   func()
+			want int
+		}{
+			{"met", func() { peers.recordListed([]string{readerAddress}) }, initialFullReports},
+			{"heard", func() { peers.recordReport(readerAddress, "hall-a", 1) }, initialFullReports},
+			{"nothing new", func() { peers.recordReport(readerAddress, "hall-a", 1) }, 0},
+			{"restarted", func() { peers.recordReport(readerAddress, "hall-a", 2) }, initialFullReports},
+			{"after a while", func() { time.Sleep(fullReportInterval) }, 1},
+		}
+		for _, step := range steps {
+			step.do()
+			if diff := cmp.Diff(step.want, fullReports(10)); diff != "" {
+				t.Errorf("%s: full usage reports (-want +got):\n%s", step.name, diff)
+			}
+		}
+	})
+}
+
+// TestUsageChanges guards against a change that is reported only once, and against
+// idle organisations that are reported again and again.
+func TestUsageChanges(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		usageChanges := newUsageChanges()
+		spent := map[string]float64{"one": 5, "two": 7}
+		usageChanges.update(spent)
+		time.Sleep(usageRepeatTime)
+		if diff := cmp.Diff(map[string]bool{}, usageChanges.recent()); diff != "" {
+			t.Errorf("recent when idle (-want +got):\n%s", diff)
+		}
+		if usageChanges.update(spent) {
+			t.Error("a change is reported although nothing was spent")
+		}
+		usageChanges.update(map[string]float64{"one": 6, "two": 7})
+		time.Sleep(usageRepeatTime / 2)
+		if diff := cmp.Diff(map[string]bool{"one": true}, usageChanges.recent()); diff != "" {
+			t.Errorf("recent (-want +got):\n%s", diff)
+		}
+	})
+}
+
+// TestPeriods guards against datagrams that grow with the square of the fleet, and
+// against longer intervals in small fleets.
+func TestPeriods(t *testing.T) {
+	tests := []struct {
+		instances, upstreams int
+		usage, idle          time.Duration
+	}{
+		{5, 16, reportInterval, idleReportInterval},
+		{26, 51, 78 * time.Millisecond, 510 * time.Millisecond},
+		{68, 123, maxUsageInterval, maxIdleInterval},
+		{420, 7200, maxUsageInterval, maxIdleInterval},
+	}
+	for _, test := range tests {
+		if diff := cmp.Diff(test.usage, usageInterval(test.instances)); diff != "" {
+			t.Errorf("%d instances: usage interval (-want +got):\n%s", test.instances, diff)
+		}
+		if diff := cmp.Diff(test.idle, idleInterval(test.upstreams)); diff != "" {
+			t.Errorf("%d upstreams: idle demand interval (-want +got):\n%s", test.upstreams, diff)
+		}
+	}
+}
--- /dev/null
+++ b/internal/daemon/relay/storeview.go
@@ -0,0 +1,233 @@
+package relay
+
+import (
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"go.uber.org/zap"
+
+	"jacinthfront.dev/jacinthfront/internal/daemon/watch"
+	"jacinthfront.dev/jacinthfront/internal/flow/health"
+	"jacinthfront.dev/jacinthfront/internal/state/fleet"
+	"jacinthfront.dev/jacinthfront/internal/state/table"
+)
+
+// storeView holds the configuration, the adapter versions and the instance list
+// as last read from the platform's store.
+type storeView struct {
+	table     atomic.Pointer[table.Table]
+	instances *fleet.List
+	logger    *zap.Logger
+
+	mutex    sync.Mutex
+	versions map[adapterName]uint32
+}
+
+type adapterName struct{ model, adapter string }
+
+func newStoreView(list *fleet.List, logger *zap.Logger) *storeView {
+	return &storeView{instances: list, logger: logger, versions: make(map[adapterName]uint32)}
+}
+
+// config returns the configuration in force, or nil if none is known.
+func (storeView *storeView) config() *table.Table { return storeView.table.Load() }
+
+// adapterVersion returns the newest announced version of an adapter, or 0 if none
+// is known.
+func (storeView *storeView) adapterVersion(model, adapter string) uint32 {
+	storeView.mutex.Lock()
+	defer storeView.mutex.Unlock()
+	return storeView.versions[adapterName{model, adapter}]
+}
+
+// apply stores new configurations and adapter versions. It ignores those that are
+// not newer than the known ones.
+func (storeView *storeView) apply(changes []ConfigChange) {
+	for _, change := range changes {
+		if change.Table == nil {
+			storeView.recordVersion(change)
+			continue
+		}
+		current := storeView.config()
+		if current != nil && current.Version() >= change.Table.Version() {
+			continue
+		}
+		storeView.table.Store(change.Table)
+		storeView.logger.Info("config: version in force", zap.Uint64("version", change.Table.Version()))
+	}
+}
+
+// recordVersion records an adapter version if it is newer than the known one.
+func (storeView *storeView) recordVersion(change ConfigChange) {
+	storeView.mutex.Lock()
+	defer storeView.mutex.Unlock()
+	name := adapterName{change.Model, change.Adapter.Name}
+	if storeView.versions[name] < change.Adapter.Version {
+		storeView.versions[name] = change.Adapter.Version
+		storeView.logger.Info("config: adapter has a new version",
+			zap.String("adapter", change.Adapter.Name), zap.Uint32("version", change.Adapter.Version))
+	}
+}
+
+// configConfirmed reports whether the configuration was confirmed as the newest
+// within configLifetime.
+func (relay *Relay) configConfirmed() bool {
+	at := relay.configWatcher.Position().ConfirmedAt
+	return !at.IsZero() && elapsed(at) < relay.configLifetime()
+}
+
+// configAge returns the time since the configuration was last confirmed as the
+// newest.
+func (relay *Relay) configAge() time.Duration {
+	return time.Since(relay.configWatcher.Position().ConfirmedAt)
+}
+
+// newConfigWatcher returns a watcher of the configuration and the adapter
+// versions.
+func (relay *Relay) newConfigWatcher() *watch.Watcher[ConfigChange] {
+	return watch.New(watch.Config[ConfigChange]{
+		Name: topicConfig, Source: relay.config.ConfigSource, Logger: relay.config.Logger, LongPoll: configPollTime,
+		Apply: func(changes []ConfigChange, _ bool) []ConfigChange {
+			relay.store.apply(changes)
+			if len(changes) > 0 {
+				relay.stateChanged.notify()
+			}
+			return changes
+		},
+		PeerUpdate: relay.configUpdate,
+		OnChange:   relay.announceChange,
+		OnCall:     func(err error) { relay.metrics.recordStoreCall(topicConfig, err) },
+	})
+}
+
+// newInstanceWatcher returns a watcher of the instance list.
+func (relay *Relay) newInstanceWatcher() *watch.Watcher[Listing] {
+	list := relay.store.instances
+	return watch.New(watch.Config[Listing]{
+		Name: topicInstances, Source: relay.config.InstanceSource, Logger: relay.config.Logger, Interval: listReadInterval,
+		Apply: func(listings []Listing, complete bool) []Listing {
+			stamp := list.Stamp()
+			changes := relay.applyListings(listings, complete)
+			if list.Stamp() != stamp {
+				relay.updateUpstreams()
+			}
+			return changes
+		},
+		PeerUpdate:  relay.listUpdate,
+		OnConfirmed: func(time.Time) { list.Up() },
+		OnChange:    relay.announceChange,
+		OnFailure:   list.Down,
+		OnCall:      func(err error) { relay.metrics.recordStoreCall(topicInstances, err) },
+	})
+}
+
+// readInstancesSoon reads the instance list early, since an upstream does not
+// match its entry. Early reads are at least minEarlyReadInterval apart.
+func (relay *Relay) readInstancesSoon() {
+	now := time.Now().UnixMilli()
+	last := relay.earlyReadAt.Load()
+	if now-last >= minEarlyReadInterval.Milliseconds() && relay.earlyReadAt.CompareAndSwap(last, now) {
+		relay.instanceWatcher.Wake()
+	}
+}
+
+// applyListings applies entries and returns those that changed anything. They
+// include entries that lapse around an outage of the list, or come back after
+// one, although the upstreams in use do not change yet.
+func (relay *Relay) applyListings(listings []Listing, complete bool) (changes []Listing) {
+	list := relay.store.instances
+	if complete {
+		present := make([]fleet.Upstream, 0, len(listings))
+		for _, listing := range listings {
+			if listing.Upstream != nil {
+				present = append(present, *listing.Upstream)
+			}
+		}
+		list.Replace(present)
+		return listings
+	}
+	for _, listing := range listings {
+		stamp := list.Stamp()
+		changed := list.Lapsed(listing.ID) || listing.Upstream == nil && list.Has(listing.ID)
+		switch {
+		case listing.Upstream == nil:
+			if list.Remove(listing.ID) {
+				relay.config.Logger.Info("fleet: upstream removed", zap.String("upstream", listing.ID))
+			}
+		case list.Set(*listing.Upstream):
+			relay.config.Logger.Info("fleet: upstream changed", zap.String("upstream", listing.ID),
+				zap.String("address", listing.Upstream.Address), zap.Bool("draining", listing.Upstream.Draining))
+		}
+		if changed || list.Stamp() != stamp {
+			changes = append(changes, listing)
+		}
+	}
+	return changes
+}
+
+// updateUpstreams passes the listed upstreams on to the picker and the health
+// tracker, and wakes the waiting requests.
+func (relay *Relay) updateUpstreams() {
+	upstreams := relay.store.instances.Upstreams()
+	relay.picker.SetUpstreams(upstreams)
+	relay.health.setUpstreams(upstreams)
+	relay.stateChanged.notify()
+	relay.reportSoon()
+}
+
+// healthTracker tracks the health of the upstreams of all services.
+type healthTracker struct {
+	mutex    sync.Mutex
+	services map[string]*health.Tracker
+}
+
+// Usable implements steer.Health.
+func (healthTracker *healthTracker) Usable(service, id string) bool {
+	tracked := healthTracker.service(service)
+	if tracked == nil {
+		return true
+	}
+	return tracked.State(id) != health.Ejected
+}
+
+// service returns the health of a service's upstreams, or nil if none is tracked.
+func (healthTracker *healthTracker) service(name string) *health.Tracker {
+	healthTracker.mutex.Lock()
+	defer healthTracker.mutex.Unlock()
+	return healthTracker.services[name]
+}
+
+// setUpstreams replaces the upstreams whose health is tracked.
+func (healthTracker *healthTracker) setUpstreams(upstreams []fleet.Upstream) {
+	ids := make(map[string][]string)
+	for _, upstream := range upstreams {
+		ids[upstream.Service] = append(ids[upstream.Service], upstream.ID)
+	}
+	healthTracker.mutex.Lock()
+	defer healthTracker.mutex.Unlock()
+	for service, members := range ids {
+		tracked, ok := healthTracker.services[service]
+		if !ok {
+			// New cannot fail, as the default configuration is valid.
+			tracked, _ = health.New(health.Config{})
+			healthTracker.services[service] = tracked
+		}
+		tracked.SetUpstreams(members)
+	}
+}
+
+// record records whether a request to an upstream succeeded, and reports whether
+// the upstream was ejected by a failure.
+func (healthTracker *healthTracker) record(service, id string, succeeded bool) (ejected bool) {
+	tracked := healthTracker.service(service)
+	switch {
+	case tracked == nil:
+		return false
+	case succeeded:
+		tracked.RecordSuccess(id)
+		return false
+	default:
+		return tracked.RecordFailure(id)
+	}
+}
--- a/internal/daemon/relay/stream.go
+++ b/internal/daemon/relay/stream.go
@@ -17,125 +17,127 @@
 )
 
 const (
-	streamBuffer = 4096
-	// eventBytes is the size of the largest event.
-	eventBytes = 1 << 20
-	// idleBytes is how much may come between two events that is none.
-	idleBytes = 64 << 10
-	// measuredPauses and leastPauses bound the pauses of a stream from which the
-	// usual one is taken.
-	measuredPauses = 10
-	leastPauses    = 5
+	streamBufferBytes = 4096
+	// maxEventBytes limits the size of an event.
+	maxEventBytes = 1 << 20
+	// maxNonEventBytes limits the data without an event id between two events with one.
+	maxNonEventBytes = 64 << 10
+	// maxMeasuredIntervals and minMeasuredIntervals limit the number of event intervals
+	// of a stream from which the reported median is taken.
+	maxMeasuredIntervals = 10
+	minMeasuredIntervals = 5
 )
 
 var (
-	errPartialEvent = errors.New("the stream ended within an event")
-	errLargeEvent   = errors.New("an event is too large")
-	errNoEvents     = errors.New("bytes come that are no events")
+	errPartialEvent    = errors.New("the stream ended within an event")
+	errLargeEvent      = errors.New("an event is too large")
+	errMissingEventIDs = errors.New("too much data without an event id")
 )
 
-// stream passes on the events of an answer as they come, each one whole.
-func (flight *flight) stream(upstream fleet.Upstream, response *hop.Response) outcome {
-	reader := bufio.NewReaderSize(response.Body, streamBuffer)
-	var eventAt time.Time
-	idle := 0
+// forwardStream forwards the events of a response, each one as soon as it is
+// complete.
+func (proxyRequest *proxyRequest) forwardStream(upstream fleet.Upstream, response *hop.Response) outcome {
+	reader := bufio.NewReaderSize(response.Body, streamBufferBytes)
+	var lastArrival time.Time
+	nonEventBytes := 0
 	for {
-		text, err := readEvent(reader)
+		event, err := readEvent(reader)
 		if errors.Is(err, io.EOF) {
-			flight.judge(upstream, true)
-			flight.begin(response)
-			flight.measureEnd(upstream)
-			flight.done(response.Status)
-			return answered
+			proxyRequest.recordHealth(upstream, true)
+			proxyRequest.sendHeaders(response)
+			proxyRequest.recordStreamEnd(upstream)
+			proxyRequest.recordDone(response.Status)
+			return outcomeAnswered
 		}
 		if err != nil {
-			if flight.request.Context().Err() != nil || time.Now().After(flight.until) {
-				return unknown
+			if proxyRequest.request.Context().Err() != nil || time.Now().After(proxyRequest.deadline) {
+				return outcomeUnknown
 			}
-			return flight.broken(upstream, err)
+			return proxyRequest.recordBroken(upstream, err)
 		}
-		if _, ok := eventID(text); ok {
-			idle = 0
-		} else if idle += len(text); idle > idleBytes {
-			return flight.broken(upstream, errNoEvents)
+		if _, ok := eventID(event); ok {
+			nonEventBytes = 0
+		} else if nonEventBytes += len(event); nonEventBytes > maxNonEventBytes {
+			return proxyRequest.recordBroken(upstream, errMissingEventIDs)
 		}
-		flight.measure(upstream, &eventAt)
-		if flight.repeats(text) {
+		proxyRequest.recordArrival(upstream, &lastArrival)
+		if proxyRequest.isDuplicate(event) {
 			continue
 		}
-		flight.begin(response)
-		if _, err := flight.writer.Write(text); err != nil {
-			return unknown
+		proxyRequest.sendHeaders(response)
+		if _, err := proxyRequest.writer.Write(event); err != nil {
+			return outcomeUnknown
 		}
-		flight.flush()
-		flight.passed()
+		proxyRequest.flush()
+		proxyRequest.recordForwarded()
 	}
 }
 
-// begin passes on the headers before the first event. After a break, the
-// headers of the first run stand.
-func (flight *flight) begin(response *hop.Response) {
-	if flight.begun {
+// sendHeaders forwards the headers before the first event. If an interrupted stream
+// is resumed, the headers of the first response stand.
+func (proxyRequest *proxyRequest) sendHeaders(response *hop.Response) {
+	if proxyRequest.headersSent {
 		return
 	}
-	flight.begun = true
-	flight.first = time.Since(flight.started)
-	flight.relay.metrics.firstEvent(flight.first)
-	flight.head(response)
-	flight.writer.WriteHeader(response.Status)
+	proxyRequest.headersSent = true
+	proxyRequest.firstEvent = time.Since(proxyRequest.started)
+	proxyRequest.relay.metrics.recordFirstEvent(proxyRequest.firstEvent)
+	proxyRequest.copyHeaders(response)
+	proxyRequest.writer.WriteHeader(response.Status)
 }
 
-// measure notes when an event came, for the engine's pace.
-func (flight *flight) measure(upstream fleet.Upstream, last *time.Time) {
+// recordArrival records when an event arrived, to measure the engine's speed.
+func (proxyRequest *proxyRequest) recordArrival(upstream fleet.Upstream, last *time.Time) {
 	now := time.Now()
 	if last.IsZero() {
-		flight.relay.spans.began(flight.route.Name, now.Sub(flight.sentAt))
+		proxyRequest.relay.latencies.recordFirstEvent(proxyRequest.route.Name, now.Sub(proxyRequest.sentAt))
 	}
 	switch {
-	case flight.ask == 0:
+	case proxyRequest.grant == 0:
 	case last.IsZero():
-		flight.relay.board.RecordMeasurement(upstream.ID, admit.Measurement{RequestID: flight.ask, FirstEvent: now.Sub(flight.sentAt)})
-	case len(flight.pauses) < measuredPauses:
-		flight.pauses = append(flight.pauses, now.Sub(*last))
-		if len(flight.pauses) == measuredPauses {
-			flight.measurePause(upstream)
+		proxyRequest.relay.picker.RecordMeasurement(upstream.ID, admit.Measurement{RequestID: proxyRequest.grant, FirstEvent: now.Sub(proxyRequest.sentAt)})
+	case len(proxyRequest.eventIntervals) < maxMeasuredIntervals:
+		proxyRequest.eventIntervals = append(proxyRequest.eventIntervals, now.Sub(*last))
+		if len(proxyRequest.eventIntervals) == maxMeasuredIntervals {
+			proxyRequest.reportMedianInterval(upstream)
 		}
 	}
 	*last = now
 }
 
-// measureEnd notes the usual pause between the events of a short stream that
-// ended.
-func (flight *flight) measureEnd(upstream fleet.Upstream) {
-	if len(flight.pauses) >= leastPauses && len(flight.pauses) < measuredPauses {
-		flight.measurePause(upstream)
+// recordStreamEnd reports the median event interval of a stream that ended before
+// maxMeasuredIntervals were measured.
+func (proxyRequest *proxyRequest) recordStreamEnd(upstream fleet.Upstream) {
+	if len(proxyRequest.eventIntervals) >= minMeasuredIntervals && len(proxyRequest.eventIntervals) < maxMeasuredIntervals {
+		proxyRequest.reportMedianInterval(upstream)
 	}
 }
 
-// measurePause notes the usual pause between a stream's events.
-func (flight *flight) measurePause(upstream fleet.Upstream) {
-	flight.relay.board.RecordMeasurement(upstream.ID, admit.Measurement{RequestID: flight.ask, EventInterval: speed.Median(flight.pauses)})
+// reportMedianInterval reports the median event interval of a stream.
+func (proxyRequest *proxyRequest) reportMedianInterval(upstream fleet.Upstream) {
+	proxyRequest.relay.picker.RecordMeasurement(upstream.ID, admit.Measurement{RequestID: proxyRequest.grant, EventInterval: speed.Median(proxyRequest.eventIntervals)})
 }
 
-// passed notes when an event was passed on.
-func (flight *flight) passed() {
+// recordForwarded records that an event was forwarded.
+func (proxyRequest *proxyRequest) recordForwarded() {
 	now := time.Now()
-	if !flight.eventAt.IsZero() {
-		flight.longestGap = max(flight.longestGap, now.Sub(flight.eventAt))
+	if !proxyRequest.lastEventAt.IsZero() {
+		proxyRequest.longestGap = max(proxyRequest.longestGap, now.Sub(proxyRequest.lastEventAt))
 	}
-	flight.eventAt = now
+	proxyRequest.lastEventAt = now
 }
 
-func (flight *flight) flush() {
-	if err := http.NewResponseController(flight.writer).Flush(); err != nil {
-		flight.relay.config.Logger.Debug("relay: flush failed", telem.Error(err))
+// flush sends buffered events to the caller.
+func (proxyRequest *proxyRequest) flush() {
+	if err := http.NewResponseController(proxyRequest.writer).Flush(); err != nil {
+		proxyRequest.relay.config.Logger.Debug("relay: flush failed", telem.Error(err))
 	}
 }
 
-// repeats reports whether the caller has an event already, and notes its id if
-// not.
-func (flight *flight) repeats(text []byte) bool {
-	id, ok := eventID(text)
+// isDuplicate reports whether the caller has an event already, and records the
+// event's id if not.
+func (proxyRequest *proxyRequest) isDuplicate(event []byte) bool {
+	id, ok := eventID(event)
 	if !ok {
 		return false
 	}
@@ -143,39 +145,40 @@
 	if err != nil {
 		return false
 	}
-	last, err := strconv.ParseUint(flight.lastEvent, 10, 64)
+	last, err := strconv.ParseUint(proxyRequest.lastEventID, 10, 64)
 	if err == nil && number <= last {
 		return true
 	}
-	flight.lastEvent = id
+	proxyRequest.lastEventID = id
 	return false
 }
 
-// readEvent returns the next event with the empty line that ends it. Its error
-// is io.EOF at a clean end.
+// readEvent returns the next event with the empty line that ends it. Its error is
+// io.EOF at a clean end, errPartialEvent within an event, and errLargeEvent for an
+// event above maxEventBytes.
 func readEvent(reader *bufio.Reader) ([]byte, error) {
-	var text []byte
+	var event []byte
 	for {
 		line, err := reader.ReadSlice('\n')
-		text = append(text, line...)
+		event = append(event, line...)
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
-		case errors.Is(err, io.EOF) && len(text) > 0:
+		case errors.Is(err, io.EOF) && len(event) > 0:
 			return nil, errPartialEvent
 		case err != nil:
 			return nil, err
 		case len(bytes.TrimRight(line, "\r\n")) == 0:
-			return text, nil
+			return event, nil
 		}
-		if len(text) > eventBytes {
+		if len(event) > maxEventBytes {
 			return nil, errLargeEvent
 		}
 	}
 }
 
-// eventID returns the id of an event.
-func eventID(text []byte) (string, bool) {
-	for line := range bytes.Lines(text) {
+// eventID returns the id of an event, if it has one.
+func eventID(event []byte) (string, bool) {
+	for line := range bytes.Lines(event) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
 			return string(bytes.TrimSpace(value)), true
 		}
--- /dev/null
+++ b/internal/daemon/relay/usage.go
@@ -0,0 +1,123 @@
+package relay
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"jacinthfront.dev/jacinthfront/internal/flow/bucket"
+	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
+)
+
+// usageRepeatTime is how long changed usage is repeated in reports, in case a
+// datagram is lost.
+const usageRepeatTime = 400 * time.Millisecond
+
+// usageChanges tracks which organisations' usage changed recently.
+type usageChanges struct {
+	lastSpent map[string]float64
+	changedAt map[string]time.Time
+}
+
+func newUsageChanges() *usageChanges {
+	return &usageChanges{lastSpent: make(map[string]float64), changedAt: make(map[string]time.Time)}
+}
+
+// update stores the usage of all organisations, and reports whether any changed
+// since the last call.
+func (usageChanges *usageChanges) update(spent map[string]float64) bool {
+	changed := false
+	now := time.Now()
+	for organisation, sum := range spent {
+		if before, ok := usageChanges.lastSpent[organisation]; ok && before == sum {
+			continue
+		}
+		usageChanges.lastSpent[organisation], usageChanges.changedAt[organisation] = sum, now
+		changed = true
+	}
+	return changed
+}
+
+// recent returns the organisations whose usage changed within usageRepeatTime.
+func (usageChanges *usageChanges) recent() map[string]bool {
+	recent := make(map[string]bool)
+	for organisation, at := range usageChanges.changedAt {
+		if time.Since(at) < usageRepeatTime {
+			recent[organisation] = true
+		}
+	}
+	return recent
+}
+
+// reportUsage reports this instance's usage to the other entry instances: partial
+// reports of what changed recently, and full ones from time to time.
+func (relay *Relay) reportUsage(usage bucket.Usage) {
+	heard, engines := relay.picker.CountReporting()
+	addresses, removed := relay.peers.expire(2*heard > engines)
+	for _, address := range removed {
+		relay.limiter.RemovePeer(address)
+		relay.config.Logger.Info("relay: entry instance is gone", zap.String("address", address))
+	}
+	var full, partial []string
+	for _, address := range addresses {
+		if relay.peers.takeFullReport(address) {
+			full = append(full, address)
+		} else {
+			partial = append(partial, address)
+		}
+	}
+	relay.sendUsage(usage, nil, full)
+	relay.sendUsage(usage, relay.usageChanges.recent(), partial)
+}
+
+// sendUsage sends a usage report to entry instances. It is full if only is nil,
+// and otherwise covers the organisations in only.
+func (relay *Relay) sendUsage(usage bucket.Usage, only map[string]bool, addresses []string) {
+	if len(addresses) > 0 {
+		relay.sendDatagram(&wirepb.Datagram{Body: &wirepb.Datagram_Usage{Usage: relay.encodeUsage(usage, only)}}, addresses...)
+	}
+}
+
+// encodeUsage encodes a usage report. It is full if only is nil, and otherwise
+// covers the organisations in only.
+func (relay *Relay) encodeUsage(usage bucket.Usage, only map[string]bool) *wirepb.Usage {
+	encoded := &wirepb.Usage{
+		Entry: relay.config.DatagramAddress, Start: relay.start.UnixNano(), FailureDomain: relay.config.FailureDomain,
+		UptimeMs: usage.Uptime.Milliseconds(), Settled: usage.Initialised, Partial: only != nil,
+		Leaving: encodeDraining(relay.cordon.RecentlyDraining()),
+	}
+	for organisation, spent := range usage.Spent {
+		if only != nil && !only[organisation] {
+			continue
+		}
+		encoded.Organisations = append(encoded.Organisations, &wirepb.OrganisationUse{
+			Organisation: organisation, Spent: spent, Level: usage.Levels[organisation],
+		})
+	}
+	return encoded
+}
+
+// handleUsage processes a usage report of another entry instance.
+func (relay *Relay) handleUsage(report *wirepb.Usage) {
+	usage := bucket.Usage{
+		Partial: report.GetPartial(),
+		Start:   report.GetStart(), Uptime: time.Duration(report.GetUptimeMs()) * time.Millisecond, Initialised: report.GetSettled(),
+		Spent: make(map[string]float64), Levels: make(map[string]float64),
+	}
+	for _, organisation := range report.GetOrganisations() {
+		usage.Spent[organisation.GetOrganisation()] = organisation.GetSpent()
+		if usage.Initialised {
+			usage.Levels[organisation.GetOrganisation()] = organisation.GetLevel()
+		}
+	}
+	relay.peers.recordReport(report.GetEntry(), report.GetFailureDomain(), report.GetStart())
+	relay.limiter.MergeUsage(report.GetEntry(), usage)
+	relay.recordPeerDraining(report)
+}
+
+// usageInterval returns the time between two usage reports to the other entry
+// instances. It is longer if there are many, as each of them spends little in that
+// time.
+func usageInterval(instances int) time.Duration {
+	return min(max(reportInterval, time.Duration(instances)*usageIntervalPerInstance), maxUsageInterval)
+}
--- /dev/null
+++ b/internal/daemon/relay/waitlimits.go
@@ -0,0 +1,115 @@
+package relay
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"jacinthfront.dev/jacinthfront/internal/flow/picker"
+)
+
+const (
+	// admissionWaitDivisor divides a route's response-time goal. The quotient is how
+	// long a request waits for a usable upstream, or for its organisation's token
+	// bucket, before it is refused.
+	admissionWaitDivisor = 8
+	// refusalMargin is how long before a caller gives up a refusal is sent.
+	refusalMargin = 100 * time.Millisecond
+)
+
+// setTypicalLatencies sets the route's typical latencies, each limited to half of
+// the caller's timeout. The limit lets requests be sent even after long latencies
+// were recorded, so that newer ones can replace these.
+func (proxyRequest *proxyRequest) setTypicalLatencies() {
+	firstEvent, total := proxyRequest.relay.latencies.typical(proxyRequest.route.Name)
+	timeout := proxyRequest.deadline.Sub(proxyRequest.started)
+	proxyRequest.typicalFirstEvent = min(firstEvent, timeout/2)
+	if proxyRequest.route.Silence > 0 {
+		proxyRequest.typicalFirstEvent = min(proxyRequest.typicalFirstEvent, proxyRequest.route.Silence/2)
+	}
+	proxyRequest.typicalTotal = min(total, timeout/2)
+}
+
+// latestSend returns when the request must be sent to meet its response-time
+// goal, or zero if it has none. An interrupted stream has none, since it is
+// resumed before other requests.
+func (proxyRequest *proxyRequest) latestSend() time.Time {
+	if proxyRequest.headersSent || proxyRequest.route.Target <= 0 {
+		return time.Time{}
+	}
+	return proxyRequest.started.Add(proxyRequest.route.Target - min(proxyRequest.typicalFirstEvent, proxyRequest.route.Target/2))
+}
+
+// late reports whether the request misses its response-time goal.
+func (proxyRequest *proxyRequest) late() bool {
+	latest := proxyRequest.latestSend()
+	return !latest.IsZero() && !time.Now().Before(latest)
+}
+
+// remainingWait returns how long the request may still wait and be answered before
+// its caller gives up.
+func (proxyRequest *proxyRequest) remainingWait() time.Duration {
+	remaining := time.Until(proxyRequest.deadline) - proxyRequest.typicalTotal
+	if proxyRequest.route.Stream && proxyRequest.route.Silence > 0 {
+		remaining = min(remaining, time.Until(proxyRequest.started.Add(proxyRequest.route.Silence))-proxyRequest.typicalFirstEvent-refusalMargin)
+	}
+	return remaining
+}
+
+// recordWait adds the time since the last check to the wait for the adapter, if
+// the adapter is missing.
+func (proxyRequest *proxyRequest) recordWait(choice picker.Choice) {
+	now := time.Now()
+	if !proxyRequest.checkedAt.IsZero() && choice.Result == picker.AdapterMissing {
+		proxyRequest.waitedAdapter += now.Sub(proxyRequest.checkedAt)
+	}
+	proxyRequest.checkedAt = now
+}
+
+// waitRefusal returns the refusal of a request that has waited too long, or nil if
+// it may go on waiting.
+func (proxyRequest *proxyRequest) waitRefusal(ctx context.Context, choice picker.Choice, waited time.Duration) *refusal {
+	if ctx.Err() != nil {
+		return &refusal{http.StatusServiceUnavailable, "the time ran out before an upstream took the request", retryAfterFull}
+	}
+	switch {
+	case choice.Result == picker.NoUpstream && choice.RetryAfter > proxyRequest.backoffLimit():
+		// Another instance may serve the request sooner.
+		return &refusal{http.StatusServiceUnavailable, "the upstreams take nothing for a time", min(choice.RetryAfter, maxRetryAfter)}
+	case proxyRequest.headersSent:
+		// The caller has a part of the response. A retry would not bring it the rest
+		// sooner.
+		return nil
+	case choice.Result == picker.NoUpstream && waited > proxyRequest.route.Target/admissionWaitDivisor:
+		return &refusal{http.StatusServiceUnavailable, "no upstream is ready", retryAfterFull}
+	case proxyRequest.service.Engine == nil && choice.Result == picker.Full && waited > proxyRequest.route.Target/admissionWaitDivisor:
+		return &refusal{http.StatusServiceUnavailable, "all upstreams are full", retryAfterFull}
+	case proxyRequest.service.Engine != nil && proxyRequest.remainingWait() <= 0:
+		return timeoutRefusal(choice)
+	}
+	return nil
+}
+
+// timeoutRefusal returns the refusal of a request that cannot be answered before
+// its caller gives up.
+func timeoutRefusal(choice picker.Choice) *refusal {
+	switch choice.Result {
+	case picker.Starting:
+		return &refusal{http.StatusServiceUnavailable, "the engines are still loading their model", retryAfterStarting}
+	case picker.AdapterMissing:
+		return &refusal{http.StatusServiceUnavailable, "the adapter could not be loaded in time", retryAfterFull}
+	case picker.Found:
+		return &refusal{http.StatusServiceUnavailable, "the turn could not come in time", retryAfterFull}
+	default:
+		return &refusal{http.StatusServiceUnavailable, "all upstreams are full", retryAfterFull}
+	}
+}
+
+// backoffLimit returns how long the request may wait for an upstream's backoff to
+// end.
+func (proxyRequest *proxyRequest) backoffLimit() time.Duration {
+	if proxyRequest.headersSent {
+		return time.Until(proxyRequest.deadline)
+	}
+	return proxyRequest.route.Target / admissionWaitDivisor
+}
--- /dev/null
+++ b/internal/daemon/relay/waitlimits_test.go
@@ -0,0 +1,50 @@
+package relay
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"jacinthfront.dev/jacinthfront/internal/flow/picker"
+	"jacinthfront.dev/jacinthfront/internal/state/table"
+)
+
+// TestWaitRefusal guards the limit for requests that wait after all engines were
+// lost. A request must not be refused while it can still be answered before its
+// caller's deadline, and must be refused before that deadline, so that the caller
+// can retry.
+func TestWaitRefusal(t *testing.T) {
+	stream := table.Route{Name: "r", Stream: true, Target: 600 * time.Millisecond, Silence: 2400 * time.Millisecond}
+	tests := []struct {
+		name    string
+		route   table.Route
+		timeout time.Duration
+		want    time.Duration
+	}{
+		{name: "until the caller abandons the stream", route: stream, timeout: 12 * time.Second, want: 2200 * time.Millisecond},
+		{name: "until it could not finish in time", route: stream, timeout: 3500 * time.Millisecond, want: 2 * time.Second},
+		{name: "half of a timeout below the typical latency", route: stream, timeout: 2 * time.Second, want: time.Second},
+		{name: "no stream", route: table.Route{Name: "r"}, timeout: 3 * time.Second, want: 1500 * time.Millisecond},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				relay := &Relay{latencies: newLatencies()}
+				relay.latencies.recordFirstEvent("r", 100*time.Millisecond)
+				relay.latencies.recordTotal("r", 1500*time.Millisecond)
+				proxyRequest := &proxyRequest{
+					relay: relay, route: &test.route, service: &table.Service{Engine: &table.Engine{}},
+					started: time.Now(), deadline: time.Now().Add(test.timeout),
+				}
+				proxyRequest.setTypicalLatencies()
+				began := time.Now()
+				for proxyRequest.waitRefusal(t.Context(), picker.Choice{Result: picker.AdapterMissing}, time.Since(began)) == nil {
+					time.Sleep(10 * time.Millisecond)
+				}
+				if got := time.Since(began); got != test.want {
+					t.Errorf("refused after %v, want %v", got, test.want)
+				}
+			})
+		})
+	}
+}
