--- a/internal/daemon/relay/activesends.go
+++ b/internal/daemon/relay/activesends.go
@@ -8,8 +8,8 @@
 	"go.uber.org/zap"
 )
 
-// errUpstreamLost is why the sends to an upstream are cancelled that became
-// unreachable or restarted.
+// errUpstreamLost is the cause with which the sends to an upstream are cancelled
+// when it becomes unreachable or restarts.
 var errUpstreamLost = errors.New("the upstream was lost")
 
 // activeSends holds the running sends that may be retried at another upstream.
--- a/internal/daemon/relay/idleconnections.go
+++ b/internal/daemon/relay/idleconnections.go
@@ -34,8 +34,8 @@
 	delete(idleConnections.idle, conn)
 }
 
-// drain interrupts the idle connections until there is none or ctx ends. From
-// before its call, responses must close their connections.
+// drain interrupts the idle connections until there is none or ctx ends. Responses
+// must already close their connections when it is called.
 func (idleConnections *idleConnections) drain(ctx context.Context) {
 	for ctx.Err() == nil && idleConnections.interruptReads() > 0 {
 		timer := time.NewTimer(idleCheckInterval)
--- a/internal/daemon/relay/peers.go
+++ b/internal/daemon/relay/peers.go
@@ -129,7 +129,7 @@
 
 // storeReader returns the entry instance that reads the store for this instance's
 // failure domain, and the other live entry instances there.
-func (peers *peers) storeReader() (first string, others []string) {
+func (peers *peers) storeReader() (reader string, others []string) {
 	peers.mutex.Lock()
 	defer peers.mutex.Unlock()
 	for address, peer := range peers.byAddress {
--- a/internal/daemon/relay/ports.go
+++ b/internal/daemon/relay/ports.go
@@ -76,12 +76,12 @@
 	// ParseRequest reads the headers of a caller's request.
 	ParseRequest(request *http.Request) RequestInfo
 	// UpstreamHeader returns the headers of a request to an upstream.
-	UpstreamHeader(request *http.Request, send ForwardInfo) http.Header
+	UpstreamHeader(request *http.Request, info ForwardInfo) http.Header
 	// ParseResponse reads the status and headers of an upstream's response.
 	ParseResponse(status int, header http.Header) ResponseInfo
 	// CallerHeader returns the headers of an upstream's response that are meant for
 	// the caller.
 	CallerHeader(header http.Header) http.Header
 	// AddRequestID adds the id of the refused request to the headers of a refusal.
-	AddRequestID(header http.Header, call RequestInfo)
+	AddRequestID(header http.Header, info RequestInfo)
 }
--- a/internal/daemon/relay/usage.go
+++ b/internal/daemon/relay/usage.go
@@ -53,13 +53,13 @@
 // reports of what changed recently, and full ones from time to time.
 func (relay *Relay) reportUsage(usage bucket.Usage) {
 	heard, engines := relay.picker.CountReporting()
-	addresses, removed := relay.peers.expire(2*heard > engines)
+	present, removed := relay.peers.expire(2*heard > engines)
 	for _, address := range removed {
 		relay.limiter.RemovePeer(address)
 		relay.config.Logger.Info("relay: entry instance is gone", zap.String("address", address))
 	}
 	var full, partial []string
-	for _, address := range addresses {
+	for _, address := range present {
 		if relay.peers.takeFullReport(address) {
 			full = append(full, address)
 		} else {
--- a/internal/daemon/relay/waitlimits.go
+++ b/internal/daemon/relay/waitlimits.go
@@ -18,8 +18,8 @@
 )
 
 // setTypicalLatencies sets the route's typical latencies, each limited to half of
-// the caller's timeout. The limit lets requests be sent even after long latencies
-// were recorded, so that newer ones can replace these.
+// the caller's timeout. Thanks to the limit, requests are sent even after long
+// latencies were recorded, and newer latencies can replace them.
 func (proxyRequest *proxyRequest) setTypicalLatencies() {
 	firstEvent, total := proxyRequest.relay.latencies.typical(proxyRequest.route.Name)
 	timeout := proxyRequest.deadline.Sub(proxyRequest.started)
