--- a/internal/flow/fairq/admission.go
+++ b/internal/flow/fairq/admission.go
@@ -31,11 +31,11 @@
 	wait := queue.EstimateWait(now, entry.Organisation, entry.Class, entry.Cost)
 	if queue.full(entry) {
 		return fault.New(fault.Overloaded, fault.NotRun,
-			"the queue of this upstream is full; retry after the time in retry-after").WithRetryAfter(withMinRetryAfter(wait))
+			"the queue of this upstream is full; come back after the time in retry-after").WithRetryAfter(withMinRetryAfter(wait))
 	}
 	if wait > entry.MaxWait && entry.MaxWait > 0 {
 		return fault.New(fault.Overloaded, fault.NotRun,
-			"the expected wait of %v exceeds the longest wait of %v; retry after the time in retry-after",
+			"the expected wait of %v exceeds the longest wait of %v; come back after the time in retry-after",
 			wait.Round(time.Millisecond), entry.MaxWait).WithRetryAfter(withMinRetryAfter(wait - entry.MaxWait))
 	}
 	return nil
@@ -89,7 +89,7 @@
 		return nil
 	}
 	return fault.New(fault.RateExceeded, fault.NotRun,
-		"the organisation's waiting requests use up its rate for the longest wait; retry after the time in retry-after").
+		"the organisation's waiting requests use up its rate for the longest wait; come back after the time in retry-after").
 		WithRetryAfter(withMinRetryAfter(overdue))
 }
 
--- a/internal/flow/quota/client.go
+++ b/internal/flow/quota/client.go
@@ -188,10 +188,10 @@
 		return errShuttingDown()
 	case errors.Is(err, context.DeadlineExceeded):
 		return fault.New(fault.WaitExceeded, fault.NotRun,
-			"the organisation's rate limit left too few tokens within the route's longest wait; retry later or raise the rate",
+			"the organisation's tokens did not suffice within the route's longest wait; retry later or raise the rate",
 		).WithRetryAfter(max(time.Second, client.EstimateWait(tokens)))
 	default:
-		return fault.New(fault.Cancelled, fault.NotRun, "the caller cancelled the request while it waited for tokens; send it again if it is still needed")
+		return fault.New(fault.Cancelled, fault.NotRun, "the caller gave the request up while it waited for tokens; send it again if it is still needed")
 	}
 }
 
