--- a/cmd/jacinthfront/main.go
+++ b/cmd/jacinthfront/main.go
@@ -85,7 +85,7 @@
 		return exitUsage
 	case reason.Kind() == fault.Conflict:
 		return exitConflict
-	case reason.Ran() == fault.Unknown:
+	case reason.Ran() == fault.RunUnknown:
 		return exitUnknown
 	default:
 		return exitFailed
--- a/cmd/jacinthfront/operators.go
+++ b/cmd/jacinthfront/operators.go
@@ -129,7 +129,7 @@
 	case patch.Invalid:
 		return fault.New(fault.Invalid, fault.NotRun, "the patch is void; correct %s", report.Field)
 	default:
-		return fault.New(fault.OutcomeUnknown, fault.Unknown, "ask again with: jacinthfront config result --id %s", report.ID)
+		return fault.New(fault.OutcomeUnknown, fault.RunUnknown, "ask again with: jacinthfront config result --id %s", report.ID)
 	}
 }
 
@@ -140,7 +140,7 @@
 
 // Execute implements flags.Commander.
 func (command *resultCommand) Execute([]string) error {
-	report, err := command.client().Result(context.Background(), command.ID)
+	report, err := command.client().PatchResult(context.Background(), command.ID)
 	if err != nil {
 		return err
 	}
--- a/cmd/jacinthfront/status.go
+++ b/cmd/jacinthfront/status.go
@@ -14,7 +14,7 @@
 
 // Execute implements flags.Commander.
 func (command *statusCommand) Execute([]string) error {
-	list, err := command.client().Fleet(context.Background())
+	list, err := command.client().FleetStatus(context.Background())
 	if err != nil {
 		return err
 	}
@@ -47,7 +47,7 @@
 		return fmt.Sprintf("%s\t%s\tunreadable: %v", status.Instance, status.Role, err)
 	}
 	columns := []string{
-		status.Instance, status.Role, detail.state(status.Leaving), fmt.Sprint(status.Version), status.ConfirmedAge + " ago",
+		status.Instance, status.Role, detail.state(status.Draining), fmt.Sprint(status.Version), status.ConfirmedAge + " ago",
 	}
 	return strings.Join(append(columns, detail.columns()...), "\t")
 }
--- a/cmd/jacinthfront/status_test.go
+++ b/cmd/jacinthfront/status_test.go
@@ -39,7 +39,7 @@
 		},
 		{
 			name:   "leaving",
-			status: admin.InstanceStatus{Instance: "side-1", Role: "side", Leaving: true, ConfirmedAge: "1s"},
+			status: admin.InstanceStatus{Instance: "side-1", Role: "side", Draining: true, ConfirmedAge: "1s"},
 			want:   "side-1\tside\tleaving\t0\t1s ago\t-\t-\t-\t-\t0",
 		},
 		{
--- a/cmd/testbed/bench.go
+++ b/cmd/testbed/bench.go
@@ -10,7 +10,7 @@
 	"text/tabwriter"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/base/telem"
+	"jacinthfront.dev/jacinthfront/internal/base/logs"
 	"jacinthfront.dev/jacinthfront/internal/bench/demo"
 	"jacinthfront.dev/jacinthfront/internal/bench/trial"
 )
@@ -72,7 +72,7 @@
 	if command.Skew != 0 {
 		deployment.Skew = command.Skew
 	}
-	logger, err := telem.NewLogger(telem.LogConfig{Level: command.LogLevel, Text: true, Instance: "bench"})
+	logger, err := logs.NewLogger(logs.Config{Level: command.LogLevel, Text: true, Instance: "bench"})
 	return trial.Config{
 		Deployment: deployment, Network: func() demo.Network { return demo.NewTCP() }, Seed: command.Seed,
 		Warmup: command.Warmup, Length: command.For, Entries: command.Entries, Logger: logger,
--- a/cmd/testbed/demo.go
+++ b/cmd/testbed/demo.go
@@ -14,7 +14,7 @@
 
 	"go.uber.org/zap"
 
-	"jacinthfront.dev/jacinthfront/internal/base/telem"
+	"jacinthfront.dev/jacinthfront/internal/base/logs"
 	"jacinthfront.dev/jacinthfront/internal/bench/demo"
 )
 
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	logger, err := telem.NewLogger(telem.LogConfig{Level: command.LogLevel, Text: true, Instance: "demo"})
+	logger, err := logs.NewLogger(logs.Config{Level: command.LogLevel, Text: true, Instance: "demo"})
 	if err != nil {
 		return err
 	}
--- a/internal/base/fault/fault.go
+++ b/internal/base/fault/fault.go
@@ -16,28 +16,28 @@
 // Kind names the cause of a refusal or failure.
 type Kind string
 
-// Ran says whether the work of a request ran at an upstream.
-type Ran string
+// Execution says whether the work of a request ran at an upstream.
+type Execution string
 
 const (
 	// NotRun means that the work did not run and will not run.
-	NotRun Ran = "not-run"
+	NotRun Execution = "not-run"
 	// DidRun means that the work ran, completely or in part.
-	DidRun Ran = "ran"
-	// Unknown means that nothing is known about the work.
-	Unknown Ran = "unknown"
+	DidRun Execution = "ran"
+	// RunUnknown means that nothing is known about the work.
+	RunUnknown Execution = "unknown"
 )
 
 // Fault is an error with its kind, remedy and effect.
 type Fault struct {
 	kind       Kind
 	message    string
-	ran        Ran
+	ran        Execution
 	retryAfter time.Duration
 }
 
 // New returns a Fault of the given kind. The message names the remedy.
-func New(kind Kind, ran Ran, format string, args ...any) *Fault {
+func New(kind Kind, ran Execution, format string, args ...any) *Fault {
 	return &Fault{kind: kind, ran: ran, message: fmt.Sprintf(format, args...)}
 }
 
@@ -49,7 +49,7 @@
 }
 
 // WithRan returns a copy with another effect.
-func (fault *Fault) WithRan(ran Ran) *Fault {
+func (fault *Fault) WithRan(ran Execution) *Fault {
 	clone := *fault
 	clone.ran = ran
 	return &clone
@@ -62,7 +62,7 @@
 func (fault *Fault) Message() string { return fault.message }
 
 // Ran returns whether the work ran.
-func (fault *Fault) Ran() Ran { return fault.ran }
+func (fault *Fault) Ran() Execution { return fault.ran }
 
 // RetryAfter returns when to come back, or 0 when coming back does not help.
 func (fault *Fault) RetryAfter() time.Duration { return fault.retryAfter }
@@ -84,7 +84,7 @@
 
 // Wrap returns err as a Fault; an error of another type becomes an Internal
 // fault with the given effect.
-func Wrap(err error, ran Ran) *Fault {
+func Wrap(err error, ran Execution) *Fault {
 	if fault, ok := As(err); ok {
 		return fault
 	}
--- a/internal/base/fault/kinds.go
+++ b/internal/base/fault/kinds.go
@@ -20,7 +20,7 @@
 	DeadlineExceeded     Kind = "deadline-exceeded"
 	Cancelled            Kind = "cancelled"
 	NoUpstream           Kind = "no-upstream"
-	Leaving              Kind = "leaving"
+	Draining             Kind = "leaving"
 	WrongHalf            Kind = "wrong-half"
 	LoadFailed           Kind = "load-failed"
 	UpstreamFailed       Kind = "upstream-failed"
@@ -53,7 +53,7 @@
 	DeadlineExceeded:     504,
 	Cancelled:            499,
 	NoUpstream:           503,
-	Leaving:              503,
+	Draining:             503,
 	WrongHalf:            503,
 	LoadFailed:           503,
 	UpstreamFailed:       502,
--- a/internal/base/telem/bounded.go
+++ b/internal/base/logs/bounded.go
@@ -1,4 +1,4 @@
-package telem
+package logs
 
 import (
 	"cmp"
@@ -26,9 +26,9 @@
 	summaryPeriod = time.Second
 )
 
-// BoundedConfig configures a Bounded logger. Zero values mean the defaults.
-type BoundedConfig struct {
-	LogConfig
+// AsyncLoggerConfig configures a Bounded logger. Zero values mean the defaults.
+type AsyncLoggerConfig struct {
+	Config
 	// Output is where lines are written.
 	Output io.Writer
 	// Lines and Routine are numbers of lines a second.
@@ -41,18 +41,18 @@
 	IsRoutine func(message string) bool
 }
 
-// Error returns the field of an error, without the stack that error classes
+// ErrorField returns the field of an error, without the stack that error classes
 // keep. It is left out if there is no error.
-func Error(err error) zap.Field {
+func ErrorField(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
 	}
 	return zap.String("error", err.Error())
 }
 
-// Bounded writes log lines without ever blocking its callers. It leaves lines
+// AsyncLogger writes log lines without ever blocking its callers. It leaves lines
 // out when there are too many, or when their reader is slow, and says how many.
-type Bounded struct {
+type AsyncLogger struct {
 	logger  *zap.Logger
 	lines   chan []byte
 	left    atomic.Int64
@@ -61,8 +61,8 @@
 	closing sync.Once
 }
 
-// NewBounded returns a Bounded that writes until it is closed.
-func NewBounded(config BoundedConfig) (*Bounded, error) {
+// NewAsyncLogger returns a Bounded that writes until it is closed.
+func NewAsyncLogger(config AsyncLoggerConfig) (*AsyncLogger, error) {
 	level := zapcore.InfoLevel
 	if config.Level != "" {
 		if err := level.UnmarshalText([]byte(config.Level)); err != nil {
@@ -75,7 +75,7 @@
 	if config.IsRoutine == nil {
 		config.IsRoutine = func(string) bool { return false }
 	}
-	bounded := &Bounded{lines: make(chan []byte, config.Pending), done: make(chan struct{}), ended: make(chan struct{})}
+	bounded := &AsyncLogger{lines: make(chan []byte, config.Pending), done: make(chan struct{}), ended: make(chan struct{})}
 	encoding := zap.NewProductionEncoderConfig()
 	encoding.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	encoder := zapcore.NewJSONEncoder(encoding)
@@ -95,11 +95,11 @@
 }
 
 // Logger returns the logger.
-func (bounded *Bounded) Logger() *zap.Logger { return bounded.logger }
+func (bounded *AsyncLogger) Logger() *zap.Logger { return bounded.logger }
 
 // Write implements zapcore.WriteSyncer. It keeps a copy of the line, or leaves
 // it out when too many wait.
-func (bounded *Bounded) Write(line []byte) (int, error) {
+func (bounded *AsyncLogger) Write(line []byte) (int, error) {
 	copied := append([]byte(nil), line...)
 	select {
 	case bounded.lines <- copied:
@@ -110,10 +110,10 @@
 }
 
 // Sync implements zapcore.WriteSyncer.
-func (*Bounded) Sync() error { return nil }
+func (*AsyncLogger) Sync() error { return nil }
 
 // Close writes what waits, for at most the given time.
-func (bounded *Bounded) Close(within time.Duration) {
+func (bounded *AsyncLogger) Close(within time.Duration) {
 	bounded.closing.Do(func() { close(bounded.done) })
 	timer := time.NewTimer(within)
 	defer timer.Stop()
@@ -123,7 +123,7 @@
 	}
 }
 
-func (bounded *Bounded) write(output io.Writer) {
+func (bounded *AsyncLogger) write(output io.Writer) {
 	defer close(bounded.ended)
 	for {
 		select {
@@ -143,7 +143,7 @@
 }
 
 // summarize says from time to time how many lines were left out.
-func (bounded *Bounded) summarize() {
+func (bounded *AsyncLogger) summarize() {
 	ticker := time.NewTicker(summaryPeriod)
 	defer ticker.Stop()
 	for {
@@ -161,7 +161,7 @@
 // boundedCore leaves lines out when there are too many in a second.
 type boundedCore struct {
 	zapcore.Core
-	bounded   *Bounded
+	bounded   *AsyncLogger
 	isRoutine func(string) bool
 	all       *rate.Limiter
 	routine   *rate.Limiter
--- a/internal/base/telem/bounded_test.go
+++ b/internal/base/logs/bounded_test.go
@@ -1,4 +1,4 @@
-package telem
+package logs
 
 import (
 	"bytes"
@@ -30,7 +30,7 @@
 func TestStalledReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		output := &stalled{release: make(chan struct{})}
-		bounded, err := NewBounded(BoundedConfig{Output: output, Pending: 10, LogConfig: LogConfig{Instance: "edge-1"}})
+		bounded, err := NewAsyncLogger(AsyncLoggerConfig{Output: output, Pending: 10, Config: Config{Instance: "edge-1"}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -58,7 +58,7 @@
 func TestRoutine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var output bytes.Buffer
-		bounded, err := NewBounded(BoundedConfig{
+		bounded, err := NewAsyncLogger(AsyncLoggerConfig{
 			Output: &output, Lines: 50, Routine: 10,
 			IsRoutine: func(message string) bool { return message == "relay: request answered" },
 		})
--- a/internal/base/telem/log.go
+++ b/internal/base/logs/log.go
@@ -1,5 +1,5 @@
-// Package telem builds loggers, metric maps and histograms.
-package telem
+// Package logs builds loggers.
+package logs
 
 import (
 	"go.uber.org/zap"
@@ -8,8 +8,8 @@
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 )
 
-// LogConfig configures a logger.
-type LogConfig struct {
+// Config configures a logger.
+type Config struct {
 	// Level is debug, info, warn or error; empty means info.
 	Level string
 	// Text writes console lines in place of JSON objects.
@@ -19,7 +19,7 @@
 }
 
 // NewLogger returns a logger that writes to standard error.
-func NewLogger(config LogConfig) (*zap.Logger, error) {
+func NewLogger(config Config) (*zap.Logger, error) {
 	level := zapcore.InfoLevel
 	if config.Level != "" {
 		if err := level.UnmarshalText([]byte(config.Level)); err != nil {
--- a/internal/base/telem/metric.go
+++ b/internal/base/metric/metric.go
@@ -1,4 +1,5 @@
-package telem
+// Package metric publishes counters, gauges and histograms with expvar.
+package metric
 
 import (
 	"encoding/json"
--- a/internal/base/telem/metric_test.go
+++ b/internal/base/metric/metric_test.go
@@ -1,4 +1,4 @@
-package telem
+package metric
 
 import (
 	"fmt"
--- a/internal/base/telem/server.go
+++ b/internal/base/metric/server.go
@@ -1,4 +1,4 @@
-package telem
+package metric
 
 import (
 	"expvar"
@@ -11,8 +11,8 @@
 // serverTimeout is the time for a request's headers.
 const serverTimeout = 2 * time.Second
 
-// Gauge sets a value of a part's map.
-func Gauge(part, name string, value int64) {
+// SetGauge sets a value of a part's map.
+func SetGauge(part, name string, value int64) {
 	set := new(expvar.Int)
 	set.Set(value)
 	Map(part).Set(name, set)
--- a/internal/base/setup/relay.go
+++ b/internal/base/setup/relay.go
@@ -20,11 +20,11 @@
 
 // RelayBounds holds what the users promise their callers.
 type RelayBounds struct {
-	// Revoke is how long a withdrawn key may still be used. A relay that has not
+	// RevocationDelay is how long a withdrawn key may still be used. A relay that has not
 	// confirmed its configuration for nearly as long refuses requests with a key.
-	Revoke Period `toml:"revoke"`
-	// Grace is how long a stop may take.
-	Grace Period `toml:"grace"`
+	RevocationDelay Period `toml:"revoke"`
+	// GracePeriod is how long a stop may take.
+	GracePeriod Period `toml:"grace"`
 	// RetryRatio and RetryExtra bound the requests that are sent again within
 	// RetryWindow, over all instances.
 	RetryRatio  Number `toml:"retry-ratio"`
@@ -66,7 +66,7 @@
 func DefaultRelay() Relay {
 	return Relay{
 		Bounds: RelayBounds{
-			Revoke: Period{defaultRevoke}, Grace: Period{defaultGrace},
+			RevocationDelay: Period{defaultRevoke}, GracePeriod: Period{defaultGrace},
 			RetryRatio: defaultRetryRatio, RetryWindow: Period{defaultRetryWindow},
 		},
 		Log: Log{Level: "info", Format: "json"},
@@ -91,8 +91,8 @@
 	checks.address("listen.probes", relay.Listen.Probes)
 	checks.address("listen.metrics", relay.Listen.Metrics)
 	checks.address("peers.listen", relay.Peers.Listen)
-	checks.positive("bounds.revoke", relay.Bounds.Revoke.Duration)
-	checks.positive("bounds.grace", relay.Bounds.Grace.Duration)
+	checks.positive("bounds.revoke", relay.Bounds.RevocationDelay.Duration)
+	checks.positive("bounds.grace", relay.Bounds.GracePeriod.Duration)
 	checks.positive("bounds.retry-window", relay.Bounds.RetryWindow.Duration)
 	checks.notNegative("bounds.retry-ratio", relay.Bounds.RetryRatio)
 	checks.notNegative("bounds.retry-extra", relay.Bounds.RetryExtra)
--- a/internal/base/setup/relay_test.go
+++ b/internal/base/setup/relay_test.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if relay.Bounds.Revoke.Duration != 5*time.Second || relay.Bounds.Grace.Duration != 8*time.Second {
+	if relay.Bounds.RevocationDelay.Duration != 5*time.Second || relay.Bounds.GracePeriod.Duration != 8*time.Second {
 		t.Errorf("bounds are %+v", relay.Bounds)
 	}
 }
--- a/internal/bench/certs/certs.go
+++ b/internal/bench/certs/certs.go
@@ -55,7 +55,7 @@
 		return conns.CertFiles{}, err
 	}
 	template := &x509.Certificate{
-		SerialNumber: big.NewInt(serial), DNSNames: []string{conns.FleetName},
+		SerialNumber: big.NewInt(serial), DNSNames: []string{conns.CertDNSName},
 		NotBefore: time.Now().Add(-lifetime), NotAfter: time.Now().Add(lifetime),
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
 	}
--- a/internal/bench/demo/config.go
+++ b/internal/bench/demo/config.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/bench/load"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/creds"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 )
 
@@ -41,7 +41,7 @@
 	ops = append(ops, deployment.routeOps()...)
 	for index := range plan.Organisations {
 		organisation := &plan.Organisations[index]
-		ops = append(ops, patch.PutOrganisation{Organisation: model.OrganisationSpec{
+		ops = append(ops, patch.PutOrganisation{Organisation: conf.OrganisationSpec{
 			Name: organisation.Name, Rate: organisation.Rate, Burst: organisation.Burst,
 		}})
 		key, spec := creds.Issue(organisation.Name)
@@ -55,28 +55,28 @@
 func (deployment Deployment) upstreamOps() []patch.Op {
 	var ops []patch.Op
 	for index := range deployment.Runners {
-		ops = append(ops, patch.PutUpstream{Upstream: model.UpstreamSpec{
+		ops = append(ops, patch.PutUpstream{Upstream: conf.UpstreamSpec{
 			ID: deployment.runnerID(index), Service: deployment.ModelService,
 			FailureDomain: deployment.domain(index), FencingChecked: true,
 		}})
 	}
 	for index := range deployment.Plains {
-		ops = append(ops, patch.PutUpstream{Upstream: model.UpstreamSpec{
+		ops = append(ops, patch.PutUpstream{Upstream: conf.UpstreamSpec{
 			ID: deployment.plainID(index), Service: deployment.PlainService, Plain: true, FailureDomain: deployment.domain(index),
 		}})
 	}
-	return append(ops, patch.PutFleet{Fleet: model.FleetSpec{
+	return append(ops, patch.PutFleet{Fleet: conf.FleetSpec{
 		LoadRateMilli: int64(deployment.LoadRate * 1000), LoadBurst: loadBurst,
 	}})
 }
 
 func (deployment Deployment) routeOps() []patch.Op {
-	routes := []model.RouteSpec{
-		{Name: "default", Service: deployment.ModelService, Class: model.Interactive, LongestWait: interactiveWait, Idempotent: true, DefaultMaxTokens: 64},
-		{Name: "chats", Service: deployment.ModelService, Class: model.Interactive, LongestWait: interactiveWait, Idempotent: true, DefaultMaxTokens: 64},
-		{Name: "letters", Service: deployment.ModelService, Class: model.Patient, LongestWait: patientWait, Idempotent: true, DefaultMaxTokens: 256},
-		{Name: "orders", Service: deployment.PlainService, Plain: true, PathPrefix: "/orders", Methods: []string{"POST"}, Class: model.Interactive, LongestWait: interactiveWait, Cost: plainCost},
-		{Name: "stock", Service: deployment.PlainService, Plain: true, PathPrefix: "/stock", Methods: []string{"GET"}, Class: model.Interactive, LongestWait: interactiveWait, Idempotent: true, Cost: plainCost},
+	routes := []conf.RouteSpec{
+		{Name: "default", Service: deployment.ModelService, Class: conf.Interactive, MaxWait: interactiveWait, Idempotent: true, DefaultMaxTokens: 64},
+		{Name: "chats", Service: deployment.ModelService, Class: conf.Interactive, MaxWait: interactiveWait, Idempotent: true, DefaultMaxTokens: 64},
+		{Name: "letters", Service: deployment.ModelService, Class: conf.Patient, MaxWait: patientWait, Idempotent: true, DefaultMaxTokens: 256},
+		{Name: "orders", Service: deployment.PlainService, Plain: true, PathPrefix: "/orders", Methods: []string{"POST"}, Class: conf.Interactive, MaxWait: interactiveWait, Cost: plainCost},
+		{Name: "stock", Service: deployment.PlainService, Plain: true, PathPrefix: "/stock", Methods: []string{"GET"}, Class: conf.Interactive, MaxWait: interactiveWait, Idempotent: true, Cost: plainCost},
 	}
 	ops := make([]patch.Op, 0, len(routes))
 	for _, route := range routes {
@@ -89,7 +89,7 @@
 	var ops []patch.Op
 	for _, organisation := range organisations {
 		for index := range organisation.Adapters {
-			ops = append(ops, patch.PutAdapter{Adapter: model.AdapterSpec{
+			ops = append(ops, patch.PutAdapter{Adapter: conf.AdapterSpec{
 				Name: load.AdapterName(organisation.Name, index), Organisation: organisation.Name,
 				Service: deployment.ModelService, Versions: []uint32{adapterVersion}, DefaultVersion: adapterVersion,
 			}})
@@ -99,7 +99,7 @@
 	for start := 0; start < len(ops); start += adaptersPerPatch {
 		number := len(patches) + 1
 		patches = append(patches, patch.Patch{
-			ID: fmt.Sprintf("initial-%d", number), Base: uint64(number), Operator: operator,
+			ID: fmt.Sprintf("initial-%d", number), BaseVersion: uint64(number), Operator: operator,
 			Ops: ops[start:min(start+adaptersPerPatch, len(ops))],
 		})
 	}
--- a/internal/bench/demo/deployment.go
+++ b/internal/bench/demo/deployment.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/bench/load"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // Deployment describes one of the users' deployments.
@@ -112,7 +112,7 @@
 		requests := deployment.Requests * weight
 		share := deployment.modelShare()
 		tokens := requests * (share*meanCost + (1-share)*plainCost)
-		rate := model.Tokens(tokens*headroom) + 1
+		rate := conf.Tokens(tokens*headroom) + 1
 		organisations = append(organisations, load.Organisation{
 			Name:     fmt.Sprintf("organisation-%d", index+1),
 			Rate:     rate,
--- a/internal/bench/demo/disturb.go
+++ b/internal/bench/demo/disturb.go
@@ -8,7 +8,7 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/load"
 	engine "jacinthfront.dev/jacinthfront/internal/bench/model"
 	"jacinthfront.dev/jacinthfront/internal/bench/plat"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 )
 
@@ -64,11 +64,11 @@
 
 // The halves of a split.
 const (
-	firstHalf  model.Half = "first"
-	secondHalf model.Half = "second"
+	firstHalf  conf.Half = "first"
+	secondHalf conf.Half = "second"
 )
 
-func half(index int) model.Half {
+func half(index int) conf.Half {
 	if index%2 == 0 {
 		return firstHalf
 	}
@@ -89,18 +89,18 @@
 		}
 	}
 	for index, organisation := range fleet.plan.Organisations {
-		ops = append(ops, patch.PutOrganisation{Organisation: model.OrganisationSpec{
+		ops = append(ops, patch.PutOrganisation{Organisation: conf.OrganisationSpec{
 			Name: organisation.Name, Rate: organisation.Rate, Burst: organisation.Burst, Half: half(index),
 		}})
 	}
 	fleet.split = time.Now()
-	return fleet.append(patch.Patch{ID: "split", Base: fleet.version(), Operator: operator, Ops: ops})
+	return fleet.append(patch.Patch{ID: "split", BaseVersion: fleet.version(), Operator: operator, Ops: ops})
 }
 
 // CheckHalves checks that no request ran in the other half after the split was
 // to be in force everywhere.
 func (fleet *Fleet) CheckHalves() Promise {
-	halves := map[string]model.Half{}
+	halves := map[string]conf.Half{}
 	for index, organisation := range fleet.plan.Organisations {
 		halves[organisation.Name] = half(index)
 	}
--- a/internal/bench/demo/events.go
+++ b/internal/bench/demo/events.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/bench/load"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/creds"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 )
 
@@ -79,7 +79,7 @@
 func (events *Events) publish(ctx context.Context, id string, ops ...patch.Op) error {
 	base := events.fleet.version()
 	begin := time.Now()
-	if err := events.fleet.append(patch.Patch{ID: id, Base: base, Operator: operator, Ops: ops}); err != nil {
+	if err := events.fleet.append(patch.Patch{ID: id, BaseVersion: base, Operator: operator, Ops: ops}); err != nil {
 		return err
 	}
 	return events.awaitVersion(ctx, base+1, begin)
@@ -147,11 +147,11 @@
 	base := events.fleet.version()
 	begin := time.Now()
 	for _, wait := range []time.Duration{7 * time.Second, 9 * time.Second} {
-		route := model.RouteSpec{
-			Name: "race", Service: events.fleet.config.Deployment.ModelService, Class: model.Interactive,
-			LongestWait: wait, Idempotent: true, DefaultMaxTokens: 16,
+		route := conf.RouteSpec{
+			Name: "race", Service: events.fleet.config.Deployment.ModelService, Class: conf.Interactive,
+			MaxWait: wait, Idempotent: true, DefaultMaxTokens: 16,
 		}
-		record := patch.Patch{ID: "demo-race-" + wait.String(), Base: base, Operator: operator, Ops: []patch.Op{patch.PutRoute{Route: route}}}
+		record := patch.Patch{ID: "demo-race-" + wait.String(), BaseVersion: base, Operator: operator, Ops: []patch.Op{patch.PutRoute{Route: route}}}
 		if err := events.fleet.append(record); err != nil {
 			return err
 		}
@@ -162,7 +162,7 @@
 	for _, instance := range events.fleet.instances() {
 		events.races++
 		route, ok := instance.process.Config().Route("race")
-		if ok && route.LongestWait == 7*time.Second && instance.process.Version() == base+1 {
+		if ok && route.MaxWait == 7*time.Second && instance.process.Version() == base+1 {
 			events.racesWon++
 		}
 	}
@@ -177,7 +177,7 @@
 		return fmt.Errorf("the probe key was not issued")
 	}
 	begin := time.Now()
-	record := patch.Patch{ID: "demo-withdraw", Base: events.fleet.version(), Operator: operator, Ops: []patch.Op{patch.WithdrawKey{ID: id}}}
+	record := patch.Patch{ID: "demo-withdraw", BaseVersion: events.fleet.version(), Operator: operator, Ops: []patch.Op{patch.WithdrawKey{ID: id}}}
 	if err := events.fleet.append(record); err != nil {
 		return err
 	}
--- a/internal/bench/demo/measure.go
+++ b/internal/bench/demo/measure.go
@@ -4,7 +4,7 @@
 	"sort"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/base/telem"
+	"jacinthfront.dev/jacinthfront/internal/base/metric"
 	"jacinthfront.dev/jacinthfront/internal/bench/load"
 	"jacinthfront.dev/jacinthfront/internal/bench/model"
 )
@@ -16,7 +16,7 @@
 	P99 float64 `json:"p99-ms"`
 }
 
-func latency(histogram *telem.Histogram) Latency {
+func latency(histogram *metric.Histogram) Latency {
 	return Latency{P50: toMS(histogram.Quantile(50)), P95: toMS(histogram.Quantile(95)), P99: toMS(histogram.Quantile(99))}
 }
 
@@ -119,7 +119,7 @@
 			measures.Worst, measures.WorstOrganisation = p95, organisation
 		}
 	}
-	interactive, patient := telem.NewHistogram(), telem.NewHistogram()
+	interactive, patient := metric.NewHistogram(), metric.NewHistogram()
 	for _, trace := range report.Traces() {
 		if trace.Organisation == surging {
 			continue
--- a/internal/bench/demo/overhead.go
+++ b/internal/bench/demo/overhead.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/base/telem"
+	"jacinthfront.dev/jacinthfront/internal/base/metric"
 )
 
 // OverheadConfig configures a measurement of the time that an entry instance
@@ -63,8 +63,8 @@
 }
 
 // pace sends calls at a fixed rate and returns their durations.
-func (fleet *Fleet) pace(ctx context.Context, config OverheadConfig, target func(index int) (base, key string)) (*telem.Histogram, int) {
-	histogram := telem.NewHistogram()
+func (fleet *Fleet) pace(ctx context.Context, config OverheadConfig, target func(index int) (base, key string)) (*metric.Histogram, int) {
+	histogram := metric.NewHistogram()
 	var calls sync.WaitGroup
 	var mu sync.Mutex
 	failed := 0
--- a/internal/bench/load/plan.go
+++ b/internal/bench/load/plan.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // Kind is a kind of request.
@@ -37,8 +37,8 @@
 type Organisation struct {
 	Name  string
 	Key   string
-	Rate  model.Tokens
-	Burst model.Tokens
+	Rate  conf.Tokens
+	Burst conf.Tokens
 	// Requests is the mean number of requests a second.
 	Requests float64
 	// Adapters is the number of adapters, named by AdapterName.
--- a/internal/bench/load/reference.go
+++ b/internal/bench/load/reference.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // overRate is how long an organisation counts as above its rate after its
@@ -23,7 +23,7 @@
 	empty time.Time
 }
 
-func newReference(rate, burst model.Tokens, now time.Time) *reference {
+func newReference(rate, burst conf.Tokens, now time.Time) *reference {
 	return &reference{rate: float64(rate), burst: float64(burst), level: float64(burst), last: now}
 }
 
--- a/internal/bench/load/report.go
+++ b/internal/bench/load/report.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/base/telem"
+	"jacinthfront.dev/jacinthfront/internal/base/metric"
 )
 
 // Series sums up the requests of one organisation and kind.
@@ -21,8 +21,8 @@
 	Broken int64
 	// Wrong counts complete answers with another text than expected.
 	Wrong      int64
-	FirstToken *telem.Histogram
-	Gaps       *telem.Histogram
+	FirstToken *metric.Histogram
+	Gaps       *metric.Histogram
 }
 
 // SeriesKey names a Series.
@@ -52,7 +52,7 @@
 	problems []string
 	// warmup sums up the requests of the warm-up time.
 	warmup *Series
-	model  map[string]*telem.Histogram
+	model  map[string]*metric.Histogram
 	// refusedWaits holds the time that refused model requests waited.
 	refusedWaits []time.Duration
 	traces       []Trace
@@ -67,7 +67,7 @@
 		notRun:   map[string]bool{},
 		bookings: map[string]int{},
 		warmup:   newSeries(),
-		model:    map[string]*telem.Histogram{},
+		model:    map[string]*metric.Histogram{},
 	}
 }
 
@@ -107,10 +107,10 @@
 // ModelTimes returns, for each organisation, the first-token times of its model
 // requests. A model request that was refused although it was within the
 // organisation's rate counts with the time that it waited for the refusal.
-func (report *Report) ModelTimes() map[string]*telem.Histogram {
+func (report *Report) ModelTimes() map[string]*metric.Histogram {
 	report.mu.Lock()
 	defer report.mu.Unlock()
-	result := make(map[string]*telem.Histogram, len(report.model))
+	result := make(map[string]*metric.Histogram, len(report.model))
 	for organisation, times := range report.model {
 		result[organisation] = times
 	}
@@ -126,7 +126,7 @@
 }
 
 func newSeries() *Series {
-	return &Series{FirstToken: telem.NewHistogram(), Gaps: telem.NewHistogram()}
+	return &Series{FirstToken: metric.NewHistogram(), Gaps: metric.NewHistogram()}
 }
 
 // Refusals returns the number of errors by kind.
@@ -225,7 +225,7 @@
 func (report *Report) observeModel(request request, answer *answer) {
 	times, ok := report.model[request.organisation.Name]
 	if !ok {
-		times = telem.NewHistogram()
+		times = metric.NewHistogram()
 		report.model[request.organisation.Name] = times
 	}
 	times.Observe(max(answer.firstToken, time.Microsecond))
--- a/internal/bench/proof/configure.go
+++ b/internal/bench/proof/configure.go
@@ -10,8 +10,8 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
+	config "jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/creds"
-	config "jacinthfront.dev/jacinthfront/internal/state/model"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 )
@@ -72,7 +72,7 @@
 }
 
 func raceSpec(wait time.Duration) config.RouteSpec {
-	return config.RouteSpec{Name: raceRoute, Service: modelService, LongestWait: wait, Idempotent: true, DefaultMaxTokens: 16}
+	return config.RouteSpec{Name: raceRoute, Service: modelService, MaxWait: wait, Idempotent: true, DefaultMaxTokens: 16}
 }
 
 // configure publishes the initial configuration.
@@ -83,9 +83,9 @@
 	}
 	ops = append(ops, patch.PutFleet{Fleet: config.FleetSpec{LoadRateMilli: 20000, LoadBurst: 20}})
 	for _, route := range []config.RouteSpec{
-		{Name: "default", Service: modelService, LongestWait: longestWait, Idempotent: true, DefaultMaxTokens: 32},
-		{Name: "orders", Service: plainService, Plain: true, PathPrefix: "/orders", Methods: []string{"POST"}, LongestWait: longestWait, Cost: plainCost},
-		{Name: "stock", Service: plainService, Plain: true, PathPrefix: "/stock", Methods: []string{"GET"}, LongestWait: longestWait, Idempotent: true, Cost: plainCost},
+		{Name: "default", Service: modelService, MaxWait: longestWait, Idempotent: true, DefaultMaxTokens: 32},
+		{Name: "orders", Service: plainService, Plain: true, PathPrefix: "/orders", Methods: []string{"POST"}, MaxWait: longestWait, Cost: plainCost},
+		{Name: "stock", Service: plainService, Plain: true, PathPrefix: "/stock", Methods: []string{"GET"}, MaxWait: longestWait, Idempotent: true, Cost: plainCost},
 		raceSpec(time.Second),
 	} {
 		ops = append(ops, patch.PutRoute{Route: route})
--- a/internal/bench/proof/naive.go
+++ b/internal/bench/proof/naive.go
@@ -7,7 +7,7 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/model"
 	"jacinthfront.dev/jacinthfront/internal/bench/plain"
 	"jacinthfront.dev/jacinthfront/internal/bench/plat"
-	config "jacinthfront.dev/jacinthfront/internal/state/model"
+	config "jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 )
@@ -32,12 +32,12 @@
 			continue
 		}
 		seen[decoded.Patch.ID] = true
-		if decoded.Patch.Base != uint64(len(versions)) {
+		if decoded.Patch.BaseVersion != uint64(len(versions)) {
 			continue
 		}
 		for _, op := range decoded.Patch.Ops {
 			if put, ok := op.(patch.PutRoute); ok && put.Route.Name == raceRoute {
-				raceWait = put.Route.LongestWait
+				raceWait = put.Route.MaxWait
 			}
 		}
 		versions = append(versions, version{uint64(len(versions) + 1), *decoded.Patch, record.Time, raceWait})
--- a/internal/bench/proof/operate.go
+++ b/internal/bench/proof/operate.go
@@ -36,7 +36,7 @@
 	for try := range publishTries {
 		base := world.version(try)
 		id := fmt.Sprintf("%s-%d", operator, try)
-		world.appendPatch(ctx, patch.Patch{ID: id, Base: base, Operator: operator, Force: true, Ops: ops})
+		world.appendPatch(ctx, patch.Patch{ID: id, BaseVersion: base, Operator: operator, Force: true, Ops: ops})
 		if world.accepted(id) {
 			world.note("patch %s accepted on base %d", id, base)
 			return
@@ -117,7 +117,7 @@
 			config := running.Config()
 			taken := sample{at: time.Now(), process: process.name, started: started, version: config.Version()}
 			if route, ok := config.Route(raceRoute); ok {
-				taken.raceWait = route.LongestWait
+				taken.raceWait = route.MaxWait
 			}
 			world.mutex.Lock()
 			world.samples = append(world.samples, taken)
--- a/internal/bench/proof/platform.go
+++ b/internal/bench/proof/platform.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/bench/plat"
-	config "jacinthfront.dev/jacinthfront/internal/state/model"
+	config "jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 )
 
--- a/internal/bench/slope/fixture.go
+++ b/internal/bench/slope/fixture.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/flow/policy"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/creds"
-	"jacinthfront.dev/jacinthfront/internal/state/fold"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/replay"
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 )
 
@@ -40,37 +40,37 @@
 }
 
 // adapterSpec returns an adapter with two versions, as after one update.
-func adapterSpec(index, organisations int) model.AdapterSpec {
-	return model.AdapterSpec{
+func adapterSpec(index, organisations int) conf.AdapterSpec {
+	return conf.AdapterSpec{
 		Name: adapterName(index), Organisation: organisationName(index % max(1, organisations)), Service: serviceName,
 		Versions: []uint32{1, 2}, DefaultVersion: 2,
 	}
 }
 
 // state returns a configuration of a shape as version 1.
-func (shape shape) state() fold.State {
-	editor := model.New().Edit()
+func (shape shape) state() replay.State {
+	editor := conf.New().Edit()
 	for index := range shape.organisations {
 		var shards []string
 		for shard := range min(8, shape.upstreams) {
 			shards = append(shards, upstreamName((index*8+shard)%shape.upstreams))
 		}
-		editor.PutOrganisation(model.OrganisationSpec{
+		editor.PutOrganisation(conf.OrganisationSpec{
 			Name: organisationName(index), Rate: 100_000, Burst: 1_000_000, Shards: shards,
 		})
 		_, key := creds.Issue(organisationName(index))
 		editor.PutKey(key)
 	}
-	editor.PutRoute(model.RouteSpec{
-		Name: "default", Service: serviceName, LongestWait: 30 * time.Second, Idempotent: true, DefaultMaxTokens: 256,
+	editor.PutRoute(conf.RouteSpec{
+		Name: "default", Service: serviceName, MaxWait: 30 * time.Second, Idempotent: true, DefaultMaxTokens: 256,
 	})
 	for index := range shape.upstreams {
-		editor.PutUpstream(model.UpstreamSpec{ID: upstreamName(index), Service: serviceName, FailureDomain: domainName(index)})
+		editor.PutUpstream(conf.UpstreamSpec{ID: upstreamName(index), Service: serviceName, FailureDomain: domainName(index)})
 	}
 	for index := range shape.adapters {
 		editor.PutAdapter(adapterSpec(index, shape.organisations))
 	}
-	return fold.State{Config: editor.Commit(1), Accepted: []string{"initial"}}
+	return replay.State{Config: editor.Commit(1), RecentPatches: []string{"initial"}}
 }
 
 // encoded returns the encoding of a configuration, as snapshots hold it.
--- a/internal/bench/slope/process.go
+++ b/internal/bench/slope/process.go
@@ -19,7 +19,7 @@
 
 	"jacinthfront.dev/jacinthfront/internal/base/setup"
 	"jacinthfront.dev/jacinthfront/internal/bench/plat"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 )
@@ -73,7 +73,7 @@
 }
 
 // newGround serves a platform whose log holds a configuration.
-func newGround(ctx context.Context, state shape, keys ...model.KeySpec) (*ground, error) {
+func newGround(ctx context.Context, state shape, keys ...conf.KeySpec) (*ground, error) {
 	config := plat.DefaultConfig()
 	config.ListLag = 0
 	config.LoadRate, config.LoadBurst = 1000, 1000
@@ -164,7 +164,7 @@
 const patchOps = 1000
 
 // publishAll puts a configuration on the log as patches.
-func (ground *ground) publishAll(state shape, keys []model.KeySpec) error {
+func (ground *ground) publishAll(state shape, keys []conf.KeySpec) error {
 	config := state.state().Config
 	var ops []patch.Op
 	for _, upstream := range config.Upstreams() {
@@ -196,7 +196,7 @@
 // publish puts a patch on the log.
 func (ground *ground) publish(ops ...patch.Op) error {
 	data, err := codec.EncodePatch(patch.Patch{
-		ID: fmt.Sprintf("slope-%d", ground.version), Base: ground.version, Operator: "slope", Ops: ops,
+		ID: fmt.Sprintf("slope-%d", ground.version), BaseVersion: ground.version, Operator: "slope", Ops: ops,
 	})
 	if err != nil {
 		return err
--- a/internal/bench/slope/rows_config.go
+++ b/internal/bench/slope/rows_config.go
@@ -6,9 +6,9 @@
 	"runtime"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/fold"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
+	"jacinthfront.dev/jacinthfront/internal/state/replay"
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 )
 
@@ -24,7 +24,7 @@
 	if err != nil {
 		return 0, err
 	}
-	size, _, err := heapOf(func() (fold.State, error) { return codec.DecodeState(data) })
+	size, _, err := heapOf(func() (replay.State, error) { return codec.DecodeState(data) })
 	runtime.KeepAlive(data)
 	return size, err
 }
@@ -45,16 +45,16 @@
 // operation.
 func foldPatch(_ context.Context, size float64) (float64, error) {
 	state := shape{organisations: 50, upstreams: 100, adapters: int(size)}.state()
-	folding := fold.New()
-	if !folding.Adopt(state, 1) {
+	folding := replay.New()
+	if !folding.InstallState(state, 1) {
 		return 0, fmt.Errorf("the state was not adopted")
 	}
 	const patches = 12
 	nanoseconds, err := processorPer(patches, func(index int) error {
 		spec := adapterSpec(index, 50)
 		spec.Versions = append(spec.Versions, 3)
-		result, _ := folding.Patch(uint64(index+1), patch.Patch{
-			ID: fmt.Sprintf("patch-%d", index), Base: uint64(index + 1), Operator: "slope",
+		result, _ := folding.ApplyPatch(uint64(index+1), patch.Patch{
+			ID: fmt.Sprintf("patch-%d", index), BaseVersion: uint64(index + 1), Operator: "slope",
 			Ops: []patch.Op{patch.PutAdapter{Adapter: spec}},
 		})
 		if result.Kind != patch.Accepted {
@@ -69,7 +69,7 @@
 // former version stays alive while readers hold it.
 func foldPatchMemory(_ context.Context, size float64) (float64, error) {
 	state := shape{organisations: 50, upstreams: 100, adapters: int(size)}.state()
-	bytes, _, err := heapOf(func() (*model.Config, error) {
+	bytes, _, err := heapOf(func() (*conf.Config, error) {
 		editor := state.Config.Edit()
 		editor.PutAdapter(adapterSpec(0, 50))
 		return editor.Commit(2), nil
@@ -91,7 +91,7 @@
 			if data, err = codec.EncodeState(state); err != nil {
 				return nil, err
 			}
-			fold.Split(1, 1, data)
+			replay.Split(1, 1, data)
 			encode = append(encode, milliseconds(time.Since(started)))
 			started = time.Now()
 			if _, err = codec.DecodeState(data); err != nil {
--- a/internal/bench/slope/rows_peer.go
+++ b/internal/bench/slope/rows_peer.go
@@ -47,7 +47,7 @@
 }
 
 // serveDRPC serves on loopback until the returned function is called.
-func serveDRPC(ctx context.Context, secure *tls.Config, add conns.Register) (string, func(), error) {
+func serveDRPC(ctx context.Context, secure *tls.Config, add conns.RegisterServices) (string, func(), error) {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, err
@@ -72,7 +72,7 @@
 		return 0, err
 	}
 	defer stop()
-	pool := conns.New(conns.Config{IdlePerPeer: int(size)})
+	pool := conns.New(conns.Config{MaxIdlePerAddress: int(size)})
 	defer func() { _ = pool.Close() }()
 	bytes, _, err := heapOf(func() (struct{}, error) { return struct{}{}, openIdle(ctx, pool, address, int(size)) })
 	runtime.KeepAlive(pool)
--- a/internal/bench/slope/rows_quota.go
+++ b/internal/bench/slope/rows_quota.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/flow/quota"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // maxShards is the number of an organisation's shards.
@@ -19,7 +19,7 @@
 const grantTokens = 100
 
 // plenty is a rate at which no draw is refused.
-const plenty model.Tokens = 1_000_000_000
+const plenty conf.Tokens = 1_000_000_000
 
 // openShard returns a shard that grants at once.
 func openShard() (*quota.Shard, time.Time) {
@@ -58,7 +58,7 @@
 type instantSource struct{ next atomic.Uint64 }
 
 // Draw implements quota.Source.
-func (source *instantSource) Draw(_ context.Context, _ int, want, _ model.Tokens) (quota.Grant, error) {
+func (source *instantSource) Draw(_ context.Context, _ int, want, _ conf.Tokens) (quota.Grant, error) {
 	return quota.Grant{ID: source.next.Add(1), Tokens: want, Level: plenty / maxShards, Lifetime: quota.DefaultGrantLifetime}, nil
 }
 
--- a/internal/bench/slope/rows_request.go
+++ b/internal/bench/slope/rows_request.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/bench/model"
+	configured "jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/creds"
-	configured "jacinthfront.dev/jacinthfront/internal/state/model"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 )
 
--- a/internal/bench/slope/rows_route.go
+++ b/internal/bench/slope/rows_route.go
@@ -91,7 +91,7 @@
 	}
 	list := members(int(size))
 	return timePer(200, func(index int) {
-		list[index%len(list)].Leaving = index < len(list)
+		list[index%len(list)].Draining = index < len(list)
 		router.SetMembers(list, targetEntries)
 	}) / 1e3, nil
 }
--- a/internal/bench/slope/rows_start.go
+++ b/internal/bench/slope/rows_start.go
@@ -14,7 +14,7 @@
 	"jacinthfront.dev/jacinthfront/internal/daemon/start"
 	"jacinthfront.dev/jacinthfront/internal/daemon/syncer"
 	"jacinthfront.dev/jacinthfront/internal/link/logsvc"
-	"jacinthfront.dev/jacinthfront/internal/state/fold"
+	"jacinthfront.dev/jacinthfront/internal/state/replay"
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 	"jacinthfront.dev/jacinthfront/internal/wire/conns"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
@@ -102,7 +102,7 @@
 	}
 	platform.Append(syncer.Stream, []byte("expires before it is read"))
 	sleep(ctx, expiry+100*time.Millisecond)
-	for _, chunk := range fold.Split(1, 1, encoded) {
+	for _, chunk := range replay.Split(1, 1, encoded) {
 		record, err := codec.EncodeChunk(chunk)
 		if err != nil {
 			return "", nil, err
--- a/internal/bench/slope/rows_tls.go
+++ b/internal/bench/slope/rows_tls.go
@@ -23,7 +23,7 @@
 )
 
 // newCerts returns the certificates of a process, under a CA made for this run.
-func newCerts() (*conns.Certs, error) {
+func newCerts() (*conns.CertReloader, error) {
 	directory, err := os.MkdirTemp("", "slopes")
 	if err != nil {
 		return nil, err
@@ -47,7 +47,7 @@
 		return nil, err
 	}
 	leaf := &x509.Certificate{
-		SerialNumber: big.NewInt(2), DNSNames: []string{conns.FleetName},
+		SerialNumber: big.NewInt(2), DNSNames: []string{conns.CertDNSName},
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
 	}
@@ -70,7 +70,7 @@
 			return nil, err
 		}
 	}
-	return conns.NewCerts(files)
+	return conns.NewCertReloader(files)
 }
 
 // newConnections measures a Sync call each on a new connection: bytes in both
@@ -85,7 +85,7 @@
 		if err := newConnectionsOf(ctx, size, "-plain", nil, nil, &table); err != nil {
 			return nil, err
 		}
-		if err := newConnectionsOf(ctx, size, "-tls", certs.Client, certs.Server(), &table); err != nil {
+		if err := newConnectionsOf(ctx, size, "-tls", certs.ClientConfig, certs.ServerConfig(), &table); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/daemon/admin/admin.go
+++ b/internal/daemon/admin/admin.go
@@ -15,13 +15,13 @@
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 	"jacinthfront.dev/jacinthfront/internal/daemon/syncer"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 )
 
-// Store is the configuration that operators read and change.
-type Store interface {
-	Current() *model.Config
+// ConfigStore is the configuration that operators read and change.
+type ConfigStore interface {
+	Current() *conf.Config
 	Publish(ctx context.Context, record patch.Patch) (syncer.Report, error)
 	Result(id string) patch.Result
 	History() []syncer.Change
@@ -40,12 +40,12 @@
 
 // Config configures an Admin.
 type Config struct {
-	Instance string
-	Store    Store
-	Process  Process
-	// Fleet asks the other instances; nil means that none are shown.
-	Fleet  Fleet
-	Logger *zap.Logger
+	Instance    string
+	ConfigStore ConfigStore
+	Process     Process
+	// FleetStatus asks the other instances; nil means that none are shown.
+	FleetStatus FleetStatus
+	Logger      *zap.Logger
 }
 
 const (
@@ -68,7 +68,7 @@
 
 // New returns an Admin.
 func New(config Config) (*Admin, error) {
-	if config.Store == nil || config.Process == nil {
+	if config.ConfigStore == nil || config.Process == nil {
 		return nil, fault.New(fault.Invalid, fault.NotRun, "the operator interface needs a store and a process; set both")
 	}
 	if config.Logger == nil {
@@ -136,7 +136,7 @@
 		if err == nil {
 			return
 		}
-		failure := fault.Wrap(err, fault.Unknown)
+		failure := fault.Wrap(err, fault.RunUnknown)
 		admin.config.Logger.Warn("admin: refused request",
 			zap.String("method", ctx.Method()), zap.String("path", ctx.Path()),
 			zap.String("kind", string(failure.Kind())), zap.String("ran", string(failure.Ran())))
--- a/internal/daemon/admin/admin_test.go
+++ b/internal/daemon/admin/admin_test.go
@@ -17,22 +17,22 @@
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 	"jacinthfront.dev/jacinthfront/internal/daemon/syncer"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/creds"
-	"jacinthfront.dev/jacinthfront/internal/state/fold"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
+	"jacinthfront.dev/jacinthfront/internal/state/replay"
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 )
 
 // store folds patches directly. Rivals are published before the next patch, as
 // by a faster operator.
 type store struct {
-	*fold.Fold
+	*replay.Replayer
 	rivals int
 	fails  error
 }
 
-func (store *store) Current() *model.Config { return store.Config() }
+func (store *store) Current() *conf.Config { return store.Config() }
 
 func (store *store) Publish(_ context.Context, record patch.Patch) (syncer.Report, error) {
 	if store.fails != nil {
@@ -40,9 +40,9 @@
 	}
 	if store.rivals > 0 {
 		store.rivals--
-		store.Patch(store.Next(), patch.Patch{ID: record.ID + "-rival", Base: record.Base, Ops: []patch.Op{upstream("rival")}})
+		store.ApplyPatch(store.NextOffset(), patch.Patch{ID: record.ID + "-rival", BaseVersion: record.BaseVersion, Ops: []patch.Op{upstream("rival")}})
 	}
-	result, _ := store.Patch(store.Next(), record)
+	result, _ := store.ApplyPatch(store.NextOffset(), record)
 	return syncer.Report{Result: result, Advice: result.Kind.String()}, nil
 }
 
@@ -58,12 +58,12 @@
 func (process *process) Status() (string, any) { return "entry", map[string]int{"open-requests": 3} }
 
 func upstream(id string) patch.Op {
-	return patch.PutUpstream{Upstream: model.UpstreamSpec{ID: id, Service: "advisor", FailureDomain: "one"}}
+	return patch.PutUpstream{Upstream: conf.UpstreamSpec{ID: id, Service: "advisor", FailureDomain: "one"}}
 }
 
 func serve(t *testing.T) (*store, *process, Client) {
-	store, process := &store{Fold: fold.New()}, &process{}
-	admin, err := New(Config{Instance: "instance-1", Store: store, Process: process})
+	store, process := &store{Replayer: replay.New()}, &process{}
+	admin, err := New(Config{Instance: "instance-1", ConfigStore: store, Process: process})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 		{name: "accepted", record: record, want: Report{ID: "first", Result: patch.Accepted, Version: 1, Advice: "accepted"}},
 		{name: "again", record: record, want: Report{ID: "first", Result: patch.Duplicate, Version: 1, Advice: "duplicate"}},
 		{name: "conflict", record: patch.Patch{ID: "second", Ops: record.Ops}, want: Report{ID: "second", Result: patch.Conflict, Version: 1, Advice: "conflict"}},
-		{name: "invalid", record: patch.Patch{ID: "third", Base: 1}, want: Report{
+		{name: "invalid", record: patch.Patch{ID: "third", BaseVersion: 1}, want: Report{
 			ID: "third", Result: patch.Invalid, Version: 1, Field: "ops", Reason: "has 0 operations; write 1 to 10000", Advice: "invalid",
 		}},
 	}
@@ -97,7 +97,7 @@
 			}
 		})
 	}
-	got, err := client.Result(t.Context(), "second")
+	got, err := client.PatchResult(t.Context(), "second")
 	if diff := cmp.Diff(Report{ID: "second", Result: patch.Conflict, Version: 1}, got); diff != "" || err != nil {
 		t.Errorf("error %v (-want +got):\n%s", err, diff)
 	}
@@ -117,7 +117,7 @@
 func TestKeys(t *testing.T) {
 	store, _, client := serve(t)
 	setUp := patch.Patch{ID: "first", Ops: []patch.Op{
-		upstream("up-1"), patch.PutOrganisation{Organisation: model.OrganisationSpec{Name: "looms", Rate: 1, Burst: 1}},
+		upstream("up-1"), patch.PutOrganisation{Organisation: conf.OrganisationSpec{Name: "looms", Rate: 1, Burst: 1}},
 	}}
 	if report, err := client.Publish(t.Context(), setUp); err != nil || report.Result != patch.Accepted {
 		t.Fatal(report, err)
@@ -164,7 +164,7 @@
 	_, _, client := serve(t)
 	ops := []patch.Op{upstream("up-1")}
 	for _, name := range []string{"felt-1", "felt-2", "wool"} {
-		ops = append(ops, patch.PutAdapter{Adapter: model.AdapterSpec{Name: name, Service: "advisor", Versions: []uint32{1}, DefaultVersion: 1}})
+		ops = append(ops, patch.PutAdapter{Adapter: conf.AdapterSpec{Name: name, Service: "advisor", Versions: []uint32{1}, DefaultVersion: 1}})
 	}
 	if report, err := client.Publish(t.Context(), patch.Patch{ID: "first", Ops: ops}); err != nil || report.Result != patch.Accepted {
 		t.Fatal(report, err)
--- a/internal/daemon/admin/client.go
+++ b/internal/daemon/admin/client.go
@@ -58,8 +58,8 @@
 	return report, err
 }
 
-// Result returns what is known of a patch.
-func (client Client) Result(ctx context.Context, id string) (Report, error) {
+// PatchResult returns what is known of a patch.
+func (client Client) PatchResult(ctx context.Context, id string) (Report, error) {
 	var report Report
 	err := client.call(ctx, http.MethodGet, "/config/patches/"+url.PathEscape(id), nil, &report)
 	return report, err
@@ -73,12 +73,12 @@
 }
 
 // IssueKey issues a key for an organisation.
-func (client Client) IssueKey(ctx context.Context, organisation, operator string) (Issued, error) {
+func (client Client) IssueKey(ctx context.Context, organisation, operator string) (IssuedKey, error) {
 	data, err := json.Marshal(keyRequest{Organisation: organisation, Operator: operator})
 	if err != nil {
-		return Issued{}, err
+		return IssuedKey{}, err
 	}
-	var issued Issued
+	var issued IssuedKey
 	err = client.call(ctx, http.MethodPost, "/keys", data, &issued, http.StatusCreated)
 	return issued, err
 }
@@ -144,7 +144,7 @@
 	}
 	response, err := sender.Do(request)
 	if err != nil {
-		return nil, fault.New(fault.OutcomeUnknown, fault.Unknown,
+		return nil, fault.New(fault.OutcomeUnknown, fault.RunUnknown,
 			"the operator interface at %s did not answer: %v; check that the process runs, and ask for the patch's result", client.URL, err)
 	}
 	return response, nil
@@ -156,7 +156,7 @@
 	if refused := asFault(data); refused != nil {
 		return refused
 	}
-	return fault.New(fault.Internal, fault.Unknown, "the operator interface answered %s without a reason; check that the address is one", response.Status)
+	return fault.New(fault.Internal, fault.RunUnknown, "the operator interface answered %s without a reason; check that the address is one", response.Status)
 }
 
 func asFault(data []byte) error {
@@ -169,5 +169,5 @@
 }
 
 func unreadable(err error) error {
-	return fault.New(fault.OutcomeUnknown, fault.Unknown, "the answer could not be read: %v; ask for the patch's result", fmt.Errorf("decoding: %w", err))
+	return fault.New(fault.OutcomeUnknown, fault.RunUnknown, "the answer could not be read: %v; ask for the patch's result", fmt.Errorf("decoding: %w", err))
 }
--- a/internal/daemon/admin/config.go
+++ b/internal/daemon/admin/config.go
@@ -15,7 +15,7 @@
 	"github.com/kataras/iris/v12"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 )
 
@@ -26,13 +26,13 @@
 	ctx.ContentType("application/json")
 	prefix := ctx.URLParam("adapter-prefix")
 	writer := bufio.NewWriter(ctx.ResponseWriter())
-	writeConfig(writer, admin.config.Store.Current(), prefix)
+	writeConfig(writer, admin.config.ConfigStore.Current(), prefix)
 	// The answer has begun, so a write error can only end it.
 	_ = writer.Flush()
 	return nil
 }
 
-func writeConfig(writer *bufio.Writer, config *model.Config, prefix string) {
+func writeConfig(writer *bufio.Writer, config *conf.Config, prefix string) {
 	encoder := json.NewEncoder(writer)
 	_, _ = writer.WriteString(`{"version":`)
 	_ = encoder.Encode(config.Version())
@@ -46,8 +46,8 @@
 	_, _ = writer.WriteString("}\n")
 }
 
-func withPrefix(adapters iter.Seq[model.AdapterSpec], prefix string) iter.Seq[model.AdapterSpec] {
-	return func(yield func(model.AdapterSpec) bool) {
+func withPrefix(adapters iter.Seq[conf.AdapterSpec], prefix string) iter.Seq[conf.AdapterSpec] {
+	return func(yield func(conf.AdapterSpec) bool) {
 		for adapter := range adapters {
 			if strings.HasPrefix(adapter.Name, prefix) && !yield(adapter) {
 				return
@@ -71,7 +71,7 @@
 }
 
 func (admin *Admin) getHistory(ctx iris.Context) error {
-	return answer(ctx, iris.StatusOK, changesToJSON(admin.config.Store.History()))
+	return answer(ctx, iris.StatusOK, changesToJSON(admin.config.ConfigStore.History()))
 }
 
 func (admin *Admin) postPatch(ctx iris.Context) error {
@@ -86,7 +86,7 @@
 	if record.ID == "" {
 		record.ID = uuid.NewString()
 	}
-	report, err := admin.config.Store.Publish(ctx.Request().Context(), record)
+	report, err := admin.config.ConfigStore.Publish(ctx.Request().Context(), record)
 	if err != nil {
 		return err
 	}
@@ -94,7 +94,7 @@
 }
 
 func (admin *Admin) getPatch(ctx iris.Context) error {
-	return answer(ctx, iris.StatusOK, resultToReport(admin.config.Store.Result(ctx.Params().Get("id"))))
+	return answer(ctx, iris.StatusOK, resultToReport(admin.config.ConfigStore.Result(ctx.Params().Get("id"))))
 }
 
 func readBody(ctx iris.Context) ([]byte, error) {
--- a/internal/daemon/admin/fleet.go
+++ b/internal/daemon/admin/fleet.go
@@ -13,28 +13,28 @@
 type InstanceStatus struct {
 	Instance     string          `json:"instance"`
 	Role         string          `json:"role"`
-	Leaving      bool            `json:"leaving,omitempty"`
+	Draining     bool            `json:"leaving,omitempty"`
 	Version      uint64          `json:"version"`
 	ConfirmedAge string          `json:"confirmed-age,omitempty"`
 	Error        string          `json:"error,omitempty"`
 	Detail       json.RawMessage `json:"detail,omitempty"`
 }
 
-// Fleet asks the listed instances for their state.
-type Fleet interface {
+// FleetStatus asks the listed instances for their state.
+type FleetStatus interface {
 	Status(ctx context.Context) []InstanceStatus
 }
 
 func (admin *Admin) getFleet(ctx iris.Context) error {
 	var list []InstanceStatus
-	if admin.config.Fleet != nil {
-		list = admin.config.Fleet.Status(ctx.Request().Context())
+	if admin.config.FleetStatus != nil {
+		list = admin.config.FleetStatus.Status(ctx.Request().Context())
 	}
 	return answer(ctx, iris.StatusOK, list)
 }
 
-// Fleet returns the state of every listed instance.
-func (client Client) Fleet(ctx context.Context) ([]InstanceStatus, error) {
+// FleetStatus returns the state of every listed instance.
+func (client Client) FleetStatus(ctx context.Context) ([]InstanceStatus, error) {
 	var list []InstanceStatus
 	err := client.call(ctx, http.MethodGet, "/status/fleet", nil, &list)
 	return list, err
--- a/internal/daemon/admin/forms.go
+++ b/internal/daemon/admin/forms.go
@@ -14,13 +14,13 @@
 
 // Report is the result of a patch.
 type Report struct {
-	ID      string     `json:"id"`
-	Result  patch.Kind `json:"result"`
-	Version uint64     `json:"version,omitempty"`
-	Field   string     `json:"field,omitempty"`
-	Reason  string     `json:"reason,omitempty"`
-	Changes []Change   `json:"changes,omitempty"`
-	Advice  string     `json:"advice,omitempty"`
+	ID      string           `json:"id"`
+	Result  patch.ResultKind `json:"result"`
+	Version uint64           `json:"version,omitempty"`
+	Field   string           `json:"field,omitempty"`
+	Reason  string           `json:"reason,omitempty"`
+	Changes []Change         `json:"changes,omitempty"`
+	Advice  string           `json:"advice,omitempty"`
 }
 
 // Change is an accepted patch.
@@ -43,8 +43,8 @@
 	Detail       any    `json:"detail,omitempty"`
 }
 
-// Issued is a new key. The key is shown this once.
-type Issued struct {
+// IssuedKey is a new key. The key is shown this once.
+type IssuedKey struct {
 	Key          string `json:"key"`
 	ID           string `json:"id"`
 	Organisation string `json:"organisation"`
@@ -62,9 +62,9 @@
 }
 
 type faultJSON struct {
-	Kind    fault.Kind `json:"kind"`
-	Message string     `json:"message"`
-	Ran     fault.Ran  `json:"ran"`
+	Kind    fault.Kind      `json:"kind"`
+	Message string          `json:"message"`
+	Ran     fault.Execution `json:"ran"`
 	// RetryAfter is in seconds, as in the header of that name.
 	RetryAfter float64 `json:"retry-after,omitempty"`
 }
@@ -95,7 +95,7 @@
 }
 
 // statusOf returns the HTTP status of a patch's result.
-func statusOf(kind patch.Kind) int {
+func statusOf(kind patch.ResultKind) int {
 	switch kind {
 	case patch.Accepted, patch.Duplicate:
 		return iris.StatusOK
--- a/internal/daemon/admin/keys.go
+++ b/internal/daemon/admin/keys.go
@@ -21,7 +21,7 @@
 func (admin *Admin) getKeys(ctx iris.Context) error {
 	organisation := ctx.URLParam("organisation")
 	list := []codec.KeyJSON{}
-	for _, key := range admin.config.Store.Current().Keys() {
+	for _, key := range admin.config.ConfigStore.Current().Keys() {
 		if organisation == "" || key.Organisation == organisation {
 			list = append(list, codec.KeyToJSON(key))
 		}
@@ -46,7 +46,7 @@
 	if report.Kind != patch.Accepted {
 		return refusal(report, "issue", spec.ID)
 	}
-	return answer(ctx, iris.StatusCreated, Issued{
+	return answer(ctx, iris.StatusCreated, IssuedKey{
 		Key: key, ID: spec.ID, Organisation: spec.Organisation, Version: report.Version,
 	})
 }
@@ -67,11 +67,11 @@
 // when other operators were faster.
 func (admin *Admin) publishOp(ctx context.Context, operator string, op patch.Op) (syncer.Report, error) {
 	for attempt := 1; ; attempt++ {
-		report, err := admin.config.Store.Publish(ctx, patch.Patch{
-			ID:       uuid.NewString(),
-			Base:     admin.config.Store.Current().Version(),
-			Operator: operator,
-			Ops:      []patch.Op{op},
+		report, err := admin.config.ConfigStore.Publish(ctx, patch.Patch{
+			ID:          uuid.NewString(),
+			BaseVersion: admin.config.ConfigStore.Current().Version(),
+			Operator:    operator,
+			Ops:         []patch.Op{op},
 		})
 		if err != nil || report.Kind != patch.Conflict || attempt == maxRebases {
 			return report, err
@@ -86,7 +86,7 @@
 	case patch.Invalid:
 		return fault.New(fault.Invalid, fault.NotRun, "%s: %s", report.Field, report.Reason)
 	default:
-		return fault.New(fault.OutcomeUnknown, fault.Unknown,
+		return fault.New(fault.OutcomeUnknown, fault.RunUnknown,
 			"it is unknown whether the log took the patch; look for key %s with GET /keys, and for patch %s with GET /config/patches/%s",
 			id, report.ID, report.ID)
 	}
--- a/internal/daemon/admin/status.go
+++ b/internal/daemon/admin/status.go
@@ -9,7 +9,7 @@
 }
 
 func (admin *Admin) status() Status {
-	store := admin.config.Store
+	store := admin.config.ConfigStore
 	role, detail := admin.config.Process.Status()
 	return Status{
 		Instance:     admin.config.Instance,
--- a/internal/daemon/entry/attempt.go
+++ b/internal/daemon/entry/attempt.go
@@ -8,7 +8,7 @@
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 	"jacinthfront.dev/jacinthfront/internal/flow/policy"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
@@ -64,7 +64,7 @@
 func (attempt *attempt) run(ctx context.Context) result {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	conn, err := attempt.entry().config.Sides.Open(ctx, attempt.address)
+	conn, err := attempt.entry().config.SideDialer.Open(ctx, attempt.address)
 	if err != nil {
 		return attempt.unreachableResult()
 	}
@@ -115,7 +115,7 @@
 }
 
 func (attempt *attempt) brokenResult() result {
-	return result{outcome: broken, elsewhere: true, unhealthy: true, fault: fault.New(fault.UpstreamFailed, fault.Unknown,
+	return result{outcome: broken, elsewhere: true, unhealthy: true, fault: fault.New(fault.UpstreamFailed, fault.RunUnknown,
 		"the answer of upstream %s broke off; try again if the request may run twice", attempt.upstream)}
 }
 
@@ -147,10 +147,10 @@
 func (attempt *attempt) drop(counter string) { attempt.entry().config.Counters.Add(counter, 1) }
 
 func (attempt *attempt) report(load *wirepb.LoadReport) {
-	attempt.entry().config.Configs.Hint(load.GetConfigVersion())
+	attempt.entry().config.ConfigSource.ObserveVersion(load.GetConfigVersion())
 	attempt.job.service.policy.UpdateLoad(time.Now(), attempt.upstream, policy.LoadReport{
 		Incarnation:    load.GetIncarnation(),
-		QueuedTokens:   model.Tokens(load.GetQueuedTokens()),
+		QueuedTokens:   conf.Tokens(load.GetQueuedTokens()),
 		Queued:         load.GetQueuedRequests(),
 		Running:        load.GetRunningRequests(),
 		Slots:          load.GetSlots(),
@@ -177,20 +177,20 @@
 // movable reports whether a failure of this kind may pass at another upstream.
 func movable(kind fault.Kind) bool {
 	switch kind {
-	case fault.UpstreamFailed, fault.LoadFailed, fault.Internal, fault.Leaving, fault.Overloaded, fault.NoUpstream:
+	case fault.UpstreamFailed, fault.LoadFailed, fault.Internal, fault.Draining, fault.Overloaded, fault.NoUpstream:
 		return true
 	}
 	return false
 }
 
-func ranOf(ran wirepb.Ran) fault.Ran {
+func ranOf(ran wirepb.Ran) fault.Execution {
 	switch ran {
 	case wirepb.Ran_RAN_NOT_RUN:
 		return fault.NotRun
 	case wirepb.Ran_RAN_RAN:
 		return fault.DidRun
 	}
-	return fault.Unknown
+	return fault.RunUnknown
 }
 
 func (attempt *attempt) takeStarted(event *wirepb.Started) (result, bool) {
@@ -214,7 +214,7 @@
 }
 
 func (attempt *attempt) goneResult() result {
-	return result{outcome: gone, fault: fault.New(fault.Cancelled, fault.Unknown, "the caller has gone")}
+	return result{outcome: gone, fault: fault.New(fault.Cancelled, fault.RunUnknown, "the caller has gone")}
 }
 
 // takeChunk passes chunks on in the order of their indexes, each once.
--- a/internal/daemon/entry/caller.go
+++ b/internal/daemon/entry/caller.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // authenticate finds the caller's organisation. On open routes the key may be
@@ -19,7 +19,7 @@
 	if len(values) == 0 && open {
 		return nil
 	}
-	if exchange.entry.config.Configs.Isolated() {
+	if exchange.entry.config.ConfigSource.Isolated() {
 		return fault.New(fault.Stale, fault.NotRun,
 			"this instance has lost contact with the others and cannot know whether the key still holds; try another instance")
 	}
@@ -54,7 +54,7 @@
 	return nil
 }
 
-func (exchange *exchange) mayUse(adapter model.AdapterSpec) bool {
+func (exchange *exchange) mayUse(adapter conf.AdapterSpec) bool {
 	return adapter.Organisation == "" || adapter.Organisation == exchange.organisation.Name
 }
 
@@ -62,15 +62,15 @@
 func (exchange *exchange) readBody() ([]byte, *fault.Fault) {
 	limits := exchange.entry.config.Limits
 	// The deadline for the body was set when the exchange began.
-	body, err := io.ReadAll(io.LimitReader(exchange.request.Body, limits.Body+1))
+	body, err := io.ReadAll(io.LimitReader(exchange.request.Body, limits.MaxBodyBytes+1))
 	var timeout net.Error
 	switch {
 	case errors.As(err, &timeout) && timeout.Timeout():
-		return nil, fault.New(fault.BodyTimeout, fault.NotRun, "the body did not arrive within %s; send it faster", limits.BodyTime)
+		return nil, fault.New(fault.BodyTimeout, fault.NotRun, "the body did not arrive within %s; send it faster", limits.BodyTimeout)
 	case err != nil:
 		return nil, fault.New(fault.BadRequest, fault.NotRun, "the body is cut off; send it as long as its Content-Length")
-	case int64(len(body)) > limits.Body:
-		return nil, fault.New(fault.BodyTooLarge, fault.NotRun, "the body exceeds %d bytes; send a shorter one", limits.Body)
+	case int64(len(body)) > limits.MaxBodyBytes:
+		return nil, fault.New(fault.BodyTooLarge, fault.NotRun, "the body exceeds %d bytes; send a shorter one", limits.MaxBodyBytes)
 	}
 	_ = http.NewResponseController(exchange.naive).SetReadDeadline(time.Time{})
 	if holdsKeyJSON(body) || holdsKeyEncoded(string(body)) {
--- a/internal/daemon/entry/choose.go
+++ b/internal/daemon/entry/choose.go
@@ -19,13 +19,13 @@
 	entry := job.exchange.entry
 	// An upstream whose side process vanishes from the instance list between
 	// two refreshes is chosen once and then avoided.
-	for range entry.config.Limits.Attempts {
+	for range entry.config.Limits.MaxAttempts {
 		decision, ok := job.choose()
 		if !ok {
 			entry.config.Counters.Add("no-upstream", 1)
 			return nil, noUpstream(job.service.name)
 		}
-		instance, ok := entry.config.Roster.Side(decision.Upstream)
+		instance, ok := entry.config.InstanceSource.SideProcess(decision.Upstream)
 		if !ok {
 			job.service.policy.RequestEnded(decision.Upstream)
 			job.tried = append(job.tried, decision.Upstream)
@@ -78,7 +78,7 @@
 func (job *job) chooseByClaim(now time.Time) (policy.Decision, bool) {
 	var ids []string
 	for _, spec := range job.service.specs {
-		if spec.Half.Shares(job.routing.Half) {
+		if spec.Half.CompatibleWith(job.routing.Half) {
 			ids = append(ids, spec.ID)
 		}
 	}
--- a/internal/daemon/entry/claim_test.go
+++ b/internal/daemon/entry/claim_test.go
@@ -7,7 +7,7 @@
 
 	"jacinthfront.dev/jacinthfront/internal/flow/dedup"
 	"jacinthfront.dev/jacinthfront/internal/flow/policy"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // TestClaimsOfPartitionMeet guards against keys of one partition at several
@@ -18,7 +18,7 @@
 	var members []policy.Member
 	for index := range 40 {
 		id := fmt.Sprintf("upstream-%d", index)
-		target.specs = append(target.specs, model.UpstreamSpec{ID: id})
+		target.specs = append(target.specs, conf.UpstreamSpec{ID: id})
 		members = append(members, policy.Member{ID: id})
 	}
 	chooser.SetMembers(members, 1)
--- a/internal/daemon/entry/completions.go
+++ b/internal/daemon/entry/completions.go
@@ -3,11 +3,11 @@
 import (
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 	"jacinthfront.dev/jacinthfront/internal/flow/ring"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // fallbackMaxTokens applies where neither request nor route sets a limit.
-const fallbackMaxTokens model.Tokens = 256
+const fallbackMaxTokens conf.Tokens = 256
 
 func (exchange *exchange) serveChat() *fault.Fault { return exchange.serveModel(true) }
 
--- a/internal/daemon/entry/config.go
+++ b/internal/daemon/entry/config.go
@@ -8,25 +8,25 @@
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 	"jacinthfront.dev/jacinthfront/internal/flow/policy"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // Limits bounds what callers may send and for how long.
 type Limits struct {
-	// Body and Headers are in bytes.
-	Body    int64
-	Headers int
-	// HeaderTime and BodyTime bound the time in which they must arrive.
-	HeaderTime time.Duration
-	BodyTime   time.Duration
-	// InFlight is the number of requests served at the same time.
-	InFlight int
-	// Attempts is the number of upstreams that one request is sent to.
-	Attempts int
-	// Request is the longest that a request may take.
-	Request time.Duration
-	// Drain bounds a planned stop. It must exceed Request.
-	Drain time.Duration
+	// MaxBodyBytes and Headers are in bytes.
+	MaxBodyBytes   int64
+	MaxHeaderBytes int
+	// HeaderTimeout and BodyTime bound the time in which they must arrive.
+	HeaderTimeout time.Duration
+	BodyTimeout   time.Duration
+	// MaxInFlight is the number of requests served at the same time.
+	MaxInFlight int
+	// MaxAttempts is the number of upstreams that one request is sent to.
+	MaxAttempts int
+	// RequestTimeout is the longest that a request may take.
+	RequestTimeout time.Duration
+	// DrainTimeout bounds a planned stop. It must exceed Request.
+	DrainTimeout time.Duration
 	// DrainDelay is the time between becoming unready and closing the
 	// listener, in which the load balancer stops sending requests.
 	DrainDelay time.Duration
@@ -34,13 +34,13 @@
 
 // Config configures an Entry.
 type Config struct {
-	Configs Configs
-	Roster  Roster
-	Sides   Sides
+	ConfigSource   ConfigSource
+	InstanceSource InstanceSource
+	SideDialer     SideDialer
 	// Authenticate returns the configured key that was presented.
-	Authenticate func(config *model.Config, key string) (model.KeySpec, error)
-	// Budget defaults to one that permits every retry.
-	Budget Budget
+	Authenticate func(config *conf.Config, key string) (conf.KeySpec, error)
+	// RetryBudget defaults to one that permits every retry.
+	RetryBudget RetryBudget
 	// Admission defaults to one that admits all requests.
 	Admission Admission
 	// NewHealth returns the health record of a service. The default ejects
@@ -52,12 +52,12 @@
 	Logger *zap.Logger
 	// Counters defaults to none.
 	Counters Counters
-	// NewID returns a request id. The default is a random UUID.
-	NewID  func() string
-	Limits Limits
-	// Refresh is the interval at which configuration and instance list are
+	// NewRequestID returns a request id. The default is a random UUID.
+	NewRequestID func() string
+	Limits       Limits
+	// RefreshInterval is the interval at which configuration and instance list are
 	// compared with the policies' members.
-	Refresh time.Duration
+	RefreshInterval time.Duration
 	// ProbeAfter is the silence of a running attempt after which its side
 	// process is asked for a sign of life, and the time that it has to answer.
 	ProbeAfter time.Duration
@@ -66,20 +66,20 @@
 // DefaultLimits returns the limits of section 12 of the design page.
 func DefaultLimits() Limits {
 	return Limits{
-		Body:       1 << 20,
-		Headers:    16 << 10,
-		HeaderTime: 5 * time.Second,
-		BodyTime:   10 * time.Second,
-		InFlight:   2048,
-		Attempts:   4,
-		Request:    5 * time.Minute,
-		Drain:      6 * time.Minute,
-		DrainDelay: 3 * time.Second,
+		MaxBodyBytes:   1 << 20,
+		MaxHeaderBytes: 16 << 10,
+		HeaderTimeout:  5 * time.Second,
+		BodyTimeout:    10 * time.Second,
+		MaxInFlight:    2048,
+		MaxAttempts:    4,
+		RequestTimeout: 5 * time.Minute,
+		DrainTimeout:   6 * time.Minute,
+		DrainDelay:     3 * time.Second,
 	}
 }
 
 func (config *Config) complete() error {
-	if config.Configs == nil || config.Roster == nil || config.Authenticate == nil || config.Sides == nil || config.NewPolicy == nil {
+	if config.ConfigSource == nil || config.InstanceSource == nil || config.Authenticate == nil || config.SideDialer == nil || config.NewPolicy == nil {
 		return fault.New(fault.Invalid, fault.NotRun, "entry needs Configs, Roster, Authenticate, Sides and NewPolicy; set them all")
 	}
 	if config.Limits == (Limits{}) {
@@ -88,8 +88,8 @@
 	if err := config.Limits.check(); err != nil {
 		return err
 	}
-	if config.Budget == nil {
-		config.Budget = freeBudget{}
+	if config.RetryBudget == nil {
+		config.RetryBudget = freeBudget{}
 	}
 	if config.Admission == nil {
 		config.Admission = openAdmission{}
@@ -103,11 +103,11 @@
 	if config.Counters == nil {
 		config.Counters = noCounters{}
 	}
-	if config.NewID == nil {
-		config.NewID = uuid.NewString
+	if config.NewRequestID == nil {
+		config.NewRequestID = uuid.NewString
 	}
-	if config.Refresh <= 0 {
-		config.Refresh = 500 * time.Millisecond
+	if config.RefreshInterval <= 0 {
+		config.RefreshInterval = 500 * time.Millisecond
 	}
 	if config.ProbeAfter <= 0 {
 		config.ProbeAfter = time.Second
@@ -116,14 +116,14 @@
 }
 
 func (limits *Limits) check() error {
-	positive := limits.Body > 0 && limits.Headers > 0 && limits.HeaderTime > 0 && limits.BodyTime > 0 &&
-		limits.InFlight > 0 && limits.Attempts > 0 && limits.Request > 0 && limits.DrainDelay >= 0
+	positive := limits.MaxBodyBytes > 0 && limits.MaxHeaderBytes > 0 && limits.HeaderTimeout > 0 && limits.BodyTimeout > 0 &&
+		limits.MaxInFlight > 0 && limits.MaxAttempts > 0 && limits.RequestTimeout > 0 && limits.DrainDelay >= 0
 	if !positive {
 		return fault.New(fault.Invalid, fault.NotRun, "every limit of the entry instance must be positive; set the missing ones")
 	}
-	if limits.Drain <= limits.Request {
+	if limits.DrainTimeout <= limits.RequestTimeout {
 		return fault.New(fault.Invalid, fault.NotRun,
-			"drain-limit %s must exceed request-limit %s, or a planned stop interrupts requests; raise drain-limit", limits.Drain, limits.Request)
+			"drain-limit %s must exceed request-limit %s, or a planned stop interrupts requests; raise drain-limit", limits.DrainTimeout, limits.RequestTimeout)
 	}
 	return nil
 }
--- a/internal/daemon/entry/entry.go
+++ b/internal/daemon/entry/entry.go
@@ -38,9 +38,9 @@
 	}
 	entry.server = &http.Server{
 		Handler:           handler,
-		ReadHeaderTimeout: config.Limits.HeaderTime,
+		ReadHeaderTimeout: config.Limits.HeaderTimeout,
 		IdleTimeout:       2 * time.Minute,
-		MaxHeaderBytes:    config.Limits.Headers,
+		MaxHeaderBytes:    config.Limits.MaxHeaderBytes,
 	}
 	entry.fleet.update()
 	return entry, nil
@@ -50,7 +50,7 @@
 func (entry *Entry) Serve(ctx context.Context, listener net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go entry.fleet.run(ctx, entry.config.Refresh)
+	go entry.fleet.run(ctx, entry.config.RefreshInterval)
 	stop := context.AfterFunc(ctx, func() { _ = entry.server.Close() })
 	defer stop()
 	err := entry.server.Serve(listener)
@@ -69,7 +69,7 @@
 // Ready reports whether the load balancer may send requests: the configuration
 // has been read, and every service has an upstream that is not leaving.
 func (entry *Entry) Ready() bool {
-	return !entry.draining.Load() && entry.config.Configs.Current().Version() > 0 && entry.fleet.populated()
+	return !entry.draining.Load() && entry.config.ConfigSource.Current().Version() > 0 && entry.fleet.populated()
 }
 
 // Drain makes the instance unready, keeps serving until the load balancer has
@@ -77,7 +77,7 @@
 // It is called once.
 func (entry *Entry) Drain(ctx context.Context) error {
 	defer close(entry.drained)
-	ctx, cancel := context.WithTimeout(ctx, entry.config.Limits.Drain)
+	ctx, cancel := context.WithTimeout(ctx, entry.config.Limits.DrainTimeout)
 	defer cancel()
 	entry.draining.Store(true)
 	entry.server.SetKeepAlivesEnabled(false)
@@ -95,7 +95,7 @@
 
 // admit takes one of the places for requests in flight.
 func (entry *Entry) admit() *fault.Fault {
-	if entry.inFlight.Add(1) > int64(entry.config.Limits.InFlight) {
+	if entry.inFlight.Add(1) > int64(entry.config.Limits.MaxInFlight) {
 		entry.inFlight.Add(-1)
 		entry.config.Counters.Add("refused-in-flight", 1)
 		return fault.New(fault.Overloaded, fault.NotRun,
--- a/internal/daemon/entry/exchange.go
+++ b/internal/daemon/entry/exchange.go
@@ -10,7 +10,7 @@
 	"github.com/kataras/iris/v12"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 const (
@@ -33,11 +33,11 @@
 	request *http.Request
 	id      string
 	arrived time.Time
-	config  *model.Config
+	config  *conf.Config
 
-	organisation model.OrganisationSpec
+	organisation conf.OrganisationSpec
 	keyID        string
-	route        model.RouteSpec
+	route        conf.RouteSpec
 	adapter      string
 	version      uint32
 	// begun says that the status line has been sent.
@@ -50,15 +50,15 @@
 	control := http.NewResponseController(ctx.ResponseWriter().Naive())
 	// The deadline also bounds the time in which net/http reads the rest of a
 	// body that this instance refuses unread.
-	_ = control.SetReadDeadline(time.Now().Add(entry.config.Limits.BodyTime))
+	_ = control.SetReadDeadline(time.Now().Add(entry.config.Limits.BodyTimeout))
 	return &exchange{
 		entry:   entry,
 		writer:  ctx.ResponseWriter(),
 		naive:   ctx.ResponseWriter().Naive(),
 		request: ctx.Request(),
-		id:      entry.config.NewID(),
+		id:      entry.config.NewRequestID(),
 		arrived: time.Now(),
-		config:  entry.config.Configs.Current(),
+		config:  entry.config.ConfigSource.Current(),
 	}
 }
 
@@ -86,11 +86,11 @@
 }
 
 type errorDetail struct {
-	Kind       fault.Kind `json:"kind"`
-	Message    string     `json:"message"`
-	Ran        fault.Ran  `json:"ran"`
-	RetryAfter int64      `json:"retry-after,omitempty"`
-	RequestID  string     `json:"request-id"`
+	Kind       fault.Kind      `json:"kind"`
+	Message    string          `json:"message"`
+	Ran        fault.Execution `json:"ran"`
+	RetryAfter int64           `json:"retry-after,omitempty"`
+	RequestID  string          `json:"request-id"`
 }
 
 // describe returns the JSON form of a fault.
@@ -147,7 +147,7 @@
 		return 0
 	}
 	switch err.Kind() {
-	case fault.RateExceeded, fault.Overloaded, fault.WaitExceeded, fault.NoUpstream, fault.Leaving,
+	case fault.RateExceeded, fault.Overloaded, fault.WaitExceeded, fault.NoUpstream, fault.Draining,
 		fault.WrongHalf, fault.LoadFailed, fault.UpstreamFailed, fault.LogUnavailable, fault.Stale, fault.DeadlineExceeded:
 		return 1
 	}
--- a/internal/daemon/entry/failure_test.go
+++ b/internal/daemon/entry/failure_test.go
@@ -96,7 +96,7 @@
 		{name: "cut stream that must not run twice", path: "/routes/once/v1/chat/completions", stream: true, scripts: []scripted{act(script.started, chunks(0, "a"))},
 			ran: wirepb.Ran_RAN_NOT_RUN, status: 200, want: "event: error", attempts: 1},
 		{name: "refused, elsewhere", scripts: []scripted{act(refuse(fault.Overloaded, true)), answer}, status: 200, want: `"content":"abc"`, attempts: 2},
-		{name: "handed back", scripts: []scripted{act(refuse(fault.Leaving, true)), answer}, status: 200, want: `"content":"abc"`, attempts: 2, counter: "handbacks"},
+		{name: "handed back", scripts: []scripted{act(refuse(fault.Draining, true)), answer}, status: 200, want: `"content":"abc"`, attempts: 2, counter: "handbacks"},
 		{name: "refused for good", scripts: []scripted{act(refuse(fault.RateExceeded, false))}, status: 429, want: `"ran":"not-run","retry-after":3`, attempts: 1},
 		{name: "refused after a cut", scripts: []scripted{act(script.started), act(refuse(fault.RateExceeded, false))},
 			status: 429, want: `"ran":"unknown"`, attempts: 2},
--- a/internal/daemon/entry/fleet.go
+++ b/internal/daemon/entry/fleet.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/flow/policy"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // service is the view of one service's upstreams.
@@ -15,7 +15,7 @@
 	name   string
 	policy policy.Policy
 	health Health
-	specs  []model.UpstreamSpec
+	specs  []conf.UpstreamSpec
 	ids    []string
 	// seen says that the instance list has shown a usable upstream.
 	seen bool
@@ -27,7 +27,7 @@
 	config *Config
 
 	mutex    sync.RWMutex
-	current  *model.Config
+	current  *conf.Config
 	services map[string]*service
 }
 
@@ -75,7 +75,7 @@
 }
 
 func (fleet *fleet) update() {
-	current := fleet.config.Configs.Current()
+	current := fleet.config.ConfigSource.Current()
 	fleet.mutex.Lock()
 	if current != fleet.current {
 		fleet.current = current
@@ -88,14 +88,14 @@
 	fleet.mutex.Unlock()
 	for _, service := range services {
 		members := fleet.members(service)
-		service.policy.SetMembers(members, fleet.config.Roster.Entries())
+		service.policy.SetMembers(members, fleet.config.InstanceSource.CountEntries())
 		fleet.note(service, members)
 	}
 }
 
 // note remembers that a service has had a usable upstream.
 func (fleet *fleet) note(service *service, members []policy.Member) {
-	if !slices.ContainsFunc(members, func(member policy.Member) bool { return !member.Leaving }) {
+	if !slices.ContainsFunc(members, func(member policy.Member) bool { return !member.Draining }) {
 		return
 	}
 	fleet.mutex.Lock()
@@ -104,8 +104,8 @@
 }
 
 // regroup sorts the configured upstreams by service.
-func (fleet *fleet) regroup(current *model.Config) {
-	groups := map[string][]model.UpstreamSpec{}
+func (fleet *fleet) regroup(current *conf.Config) {
+	groups := map[string][]conf.UpstreamSpec{}
 	for _, upstream := range current.Upstreams() {
 		groups[upstream.Service] = append(groups[upstream.Service], upstream)
 	}
@@ -130,12 +130,12 @@
 func (fleet *fleet) members(service *service) []policy.Member {
 	members := make([]policy.Member, 0, len(service.specs))
 	for _, spec := range service.specs {
-		instance, listed := fleet.config.Roster.Side(spec.ID)
+		instance, listed := fleet.config.InstanceSource.SideProcess(spec.ID)
 		members = append(members, policy.Member{
 			ID:            spec.ID,
 			FailureDomain: spec.FailureDomain,
 			Half:          spec.Half,
-			Leaving:       !listed || instance.Leaving,
+			Draining:      !listed || instance.Draining,
 		})
 	}
 	return members
--- a/internal/daemon/entry/job.go
+++ b/internal/daemon/entry/job.go
@@ -6,7 +6,7 @@
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 	"jacinthfront.dev/jacinthfront/internal/flow/policy"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
@@ -102,15 +102,15 @@
 
 // waitLeft returns how long the request may still wait for its dispatch.
 func (job *job) waitLeft() time.Duration {
-	longest := job.exchange.route.LongestWait
+	longest := job.exchange.route.MaxWait
 	if longest <= 0 {
-		longest = job.exchange.entry.config.Limits.Request
+		longest = job.exchange.entry.config.Limits.RequestTimeout
 	}
 	return longest - time.Since(job.ready)
 }
 
 // setTokens sets what the work costs and what routing needs to know of it.
-func (job *job) setTokens(prompt, limit model.Tokens) {
+func (job *job) setTokens(prompt, limit conf.Tokens) {
 	job.template.PromptTokens, job.template.MaxTokens = int64(prompt), int64(limit)
 	job.routing.PromptTokens = prompt
 }
--- a/internal/daemon/entry/keyscan.go
+++ b/internal/daemon/entry/keyscan.go
@@ -140,7 +140,7 @@
 			}
 		}
 	}
-	if limit := exchange.entry.config.Limits.Headers; size > limit {
+	if limit := exchange.entry.config.Limits.MaxHeaderBytes; size > limit {
 		return fault.New(fault.HeadersTooLarge, fault.NotRun, "the headers exceed %d bytes; send fewer or shorter ones", limit)
 	}
 	if holdsKeyEncoded(exchange.request.URL.RawQuery) {
--- a/internal/daemon/entry/life_test.go
+++ b/internal/daemon/entry/life_test.go
@@ -29,14 +29,14 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			run(t, func(world *world) {
-				world.config.Limits.Request, world.config.Limits.Drain = 90*time.Second, 95*time.Second
+				world.config.Limits.RequestTimeout, world.config.Limits.DrainTimeout = 90*time.Second, 95*time.Second
 				if test.status == 0 {
-					world.config.Limits.Request, world.config.Limits.Drain = 2*time.Hour, 2*time.Hour+1
+					world.config.Limits.RequestTimeout, world.config.Limits.DrainTimeout = 2*time.Hour, 2*time.Hour+1
 				}
 				world.set(act(script.started, chunks(0, "a"), pause(test.length), chunks(1, "b"), script.done))
 			}, func(world *world) {
 				if test.status == 0 {
-					world.entry.config.Limits.Drain = 95 * time.Second
+					world.entry.config.Limits.DrainTimeout = 95 * time.Second
 				}
 				answers := make(chan reply, 1)
 				go func() { answers <- world.chat(`,"stream":true`) }()
@@ -82,7 +82,7 @@
 // waits that the side process is not told of.
 func TestDeadline(t *testing.T) {
 	run(t, func(world *world) {
-		world.config.Limits.Request, world.config.Limits.Drain = time.Minute, 2*time.Minute
+		world.config.Limits.RequestTimeout, world.config.Limits.DrainTimeout = time.Minute, 2*time.Minute
 		world.set(act(pause(time.Hour)))
 	}, func(world *world) {
 		sent := time.Now()
@@ -111,12 +111,12 @@
 		runs   int
 	}{
 		{fault.Overloaded, http.StatusServiceUnavailable, 1},
-		{fault.Leaving, http.StatusOK, 2},
+		{fault.Draining, http.StatusOK, 2},
 	}
 	for _, test := range tests {
 		t.Run(string(test.kind), func(t *testing.T) {
 			run(t, func(world *world) {
-				world.config.Budget = emptyBudget{}
+				world.config.RetryBudget = emptyBudget{}
 				world.set(act(refuse(test.kind, true)), answer)
 			}, func(world *world) {
 				sent := time.Now()
--- a/internal/daemon/entry/models.go
+++ b/internal/daemon/entry/models.go
@@ -6,11 +6,11 @@
 	"strings"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // lookUp resolves adapter or adapter@version.
-func lookUp(config *model.Config, name string) (model.AdapterSpec, uint32, bool) {
+func lookUp(config *conf.Config, name string) (conf.AdapterSpec, uint32, bool) {
 	name, suffix, pinned := strings.Cut(name, "@")
 	adapter, ok := config.Adapter(name)
 	if !ok {
--- a/internal/daemon/entry/outcome.go
+++ b/internal/daemon/entry/outcome.go
@@ -20,10 +20,10 @@
 
 // outcomeBody is the answer to GET /v1/requests/ID.
 type outcomeBody struct {
-	RequestID string    `json:"request-id"`
-	Ran       fault.Ran `json:"ran"`
-	Running   bool      `json:"running"`
-	Status    uint32    `json:"status,omitempty"`
+	RequestID string          `json:"request-id"`
+	Ran       fault.Execution `json:"ran"`
+	Running   bool            `json:"running"`
+	Status    uint32          `json:"status,omitempty"`
 }
 
 // serveOutcome tells what is known of an earlier request.
@@ -37,7 +37,7 @@
 	}
 	ctx, cancel := context.WithTimeout(exchange.request.Context(), outcomeTime)
 	defer cancel()
-	body := outcomeBody{RequestID: id, Ran: fault.Unknown}
+	body := outcomeBody{RequestID: id, Ran: fault.RunUnknown}
 	upstreams, complete := exchange.placesOf(id)
 	answered := 0
 	for _, upstream := range upstreams {
@@ -57,7 +57,7 @@
 	}
 	if body.Ran == fault.NotRun && (!complete || answered < len(upstreams)) {
 		// A place that was not asked may have run it.
-		body.Ran = fault.Unknown
+		body.Ran = fault.RunUnknown
 	}
 	exchange.writeJSON(http.StatusOK, body)
 	return nil
@@ -73,7 +73,7 @@
 	var marked, others []string
 	for _, spec := range exchange.config.Upstreams() {
 		switch {
-		case !spec.Half.Shares(exchange.organisation.Half):
+		case !spec.Half.CompatibleWith(exchange.organisation.Half):
 		case placeMark(spec.ID) == mark:
 			marked = append(marked, spec.ID)
 		default:
@@ -85,7 +85,7 @@
 }
 
 func (exchange *exchange) askUpstream(ctx context.Context, upstream, id string) (*wirepb.OutcomeResponse, error) {
-	instance, ok := exchange.entry.config.Roster.Side(upstream)
+	instance, ok := exchange.entry.config.InstanceSource.SideProcess(upstream)
 	if !ok {
 		return nil, noUpstream(upstream)
 	}
--- a/internal/daemon/entry/ports.go
+++ b/internal/daemon/entry/ports.go
@@ -9,38 +9,38 @@
 	"storj.io/drpc"
 
 	"jacinthfront.dev/jacinthfront/internal/flow/policy"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// Configs provides the configuration in force.
-type Configs interface {
+// ConfigSource provides the configuration in force.
+type ConfigSource interface {
 	// Current returns the newest configuration, never nil.
-	Current() *model.Config
+	Current() *conf.Config
 	// Isolated reports whether withdrawals may not reach this instance.
 	Isolated() bool
-	// Hint says that another process has shown this version.
-	Hint(version uint64)
+	// ObserveVersion says that another process has shown this version.
+	ObserveVersion(version uint64)
 }
 
 // Instance is the side process of an upstream as the instance list shows it.
 type Instance struct {
-	Address string
-	Leaving bool
+	Address  string
+	Draining bool
 }
 
-// Roster provides the side processes.
-type Roster interface {
-	// Side returns the side process of an upstream.
-	Side(upstream string) (Instance, bool)
-	// Entries returns the number of live entry instances.
-	Entries() int
+// InstanceSource provides the side processes.
+type InstanceSource interface {
+	// SideProcess returns the side process of an upstream.
+	SideProcess(upstream string) (Instance, bool)
+	// CountEntries returns the number of live entry instances.
+	CountEntries() int
 }
 
 // Admission limits organisations at the entry instance.
 type Admission interface {
 	// Admit takes tokens or returns the time after which to come back. The
 	// number of live entry instances divides the organisation's rate.
-	Admit(now time.Time, entries int, organisation model.OrganisationSpec, tokens model.Tokens) (time.Duration, bool)
+	Admit(now time.Time, entries int, organisation conf.OrganisationSpec, tokens conf.Tokens) (time.Duration, bool)
 }
 
 // Conn carries one call to a side process.
@@ -50,13 +50,13 @@
 	Release()
 }
 
-// Sides opens calls to side processes.
-type Sides interface {
+// SideDialer opens calls to side processes.
+type SideDialer interface {
 	Open(ctx context.Context, address string) (Conn, error)
 }
 
-// Budget bounds the retries.
-type Budget interface {
+// RetryBudget bounds the retries.
+type RetryBudget interface {
 	// RecordRequest counts a request.
 	RecordRequest()
 	// Allow takes a retry from the budget if one is left.
@@ -85,7 +85,7 @@
 // openAdmission leaves limits to the side processes.
 type openAdmission struct{}
 
-func (openAdmission) Admit(time.Time, int, model.OrganisationSpec, model.Tokens) (time.Duration, bool) {
+func (openAdmission) Admit(time.Time, int, conf.OrganisationSpec, conf.Tokens) (time.Duration, bool) {
 	return 0, true
 }
 
--- a/internal/daemon/entry/prompt.go
+++ b/internal/daemon/entry/prompt.go
@@ -9,7 +9,7 @@
 	"github.com/zeebo/xxh3"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // bytesPerToken is the usual mean for English text in subword vocabularies.
@@ -28,7 +28,7 @@
 	text         string
 	stream       bool
 	includeUsage bool
-	maxTokens    model.Tokens
+	maxTokens    conf.Tokens
 	fields       map[string]json.RawMessage
 }
 
@@ -137,7 +137,7 @@
 	if *limit < 1 || *limit > maxTokensLimit {
 		return badRequest("the field max_tokens is out of range; send 1 to %d", maxTokensLimit)
 	}
-	prompt.maxTokens = model.Tokens(*limit)
+	prompt.maxTokens = conf.Tokens(*limit)
 	return nil
 }
 
@@ -201,8 +201,8 @@
 
 // tokens estimates the prompt's length: its text's bytes by four, rounded up,
 // and at least one.
-func (prompt *prompt) tokens() model.Tokens {
-	return max(1, model.Tokens((len(prompt.text)+bytesPerToken-1)/bytesPerToken))
+func (prompt *prompt) tokens() conf.Tokens {
+	return max(1, conf.Tokens((len(prompt.text)+bytesPerToken-1)/bytesPerToken))
 }
 
 // prefixHash identifies the beginning of the prompt for one adapter.
--- a/internal/daemon/entry/refusal_test.go
+++ b/internal/daemon/entry/refusal_test.go
@@ -100,7 +100,7 @@
 // TestSameAnswer guards against answers that show whether another
 // organisation's adapter exists.
 func TestSameAnswer(t *testing.T) {
-	run(t, func(world *world) { world.config.NewID = func() string { return "id" } }, func(world *world) {
+	run(t, func(world *world) { world.config.NewRequestID = func() string { return "id" } }, func(world *world) {
 		unknown := world.post("/v1/completions", birchKey, `{"model":"elm","prompt":"hi"}`)
 		foreign := world.post("/v1/completions", birchKey, goodBody)
 		if diff := cmp.Diff(unknown.body, foreign.body); diff != "" {
@@ -172,7 +172,7 @@
 // TestInFlightLimit guards against unbounded work and late refusals.
 func TestInFlightLimit(t *testing.T) {
 	run(t, func(world *world) {
-		world.config.Limits.InFlight = 2
+		world.config.Limits.MaxInFlight = 2
 		world.set(act(pause(10*time.Second), script.started, chunks(0, "a"), script.done))
 	}, func(world *world) {
 		replies := make(chan reply, 2)
--- a/internal/daemon/entry/run.go
+++ b/internal/daemon/entry/run.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // maxHandbacks bounds how often one request is handed back by side processes
@@ -19,16 +19,16 @@
 	if refusal := job.admit(); refusal != nil {
 		return refusal
 	}
-	limit := exchange.arrived.Add(exchange.entry.config.Limits.Request)
+	limit := exchange.arrived.Add(exchange.entry.config.Limits.RequestTimeout)
 	ctx, cancel := context.WithDeadline(exchange.request.Context(), limit)
 	defer cancel()
-	exchange.entry.config.Budget.RecordRequest()
+	exchange.entry.config.RetryBudget.RecordRequest()
 	err := job.run(ctx)
 	if err == nil {
 		return nil
 	}
 	if job.doubtful && err.Ran() == fault.NotRun {
-		err = err.WithRan(fault.Unknown)
+		err = err.WithRan(fault.RunUnknown)
 	}
 	if job.sink.committed() && job.sink.fail(err) {
 		exchange.entry.config.Counters.Add("streams-ended-by-error", 1)
@@ -40,8 +40,8 @@
 // admit asks the Admission for the tokens that the work may use.
 func (job *job) admit() *fault.Fault {
 	config := &job.exchange.entry.config
-	tokens := model.Tokens(job.template.GetPromptTokens() + job.template.GetMaxTokens())
-	after, ok := config.Admission.Admit(time.Now(), config.Roster.Entries(), job.exchange.organisation, tokens)
+	tokens := conf.Tokens(job.template.GetPromptTokens() + job.template.GetMaxTokens())
+	after, ok := config.Admission.Admit(time.Now(), config.InstanceSource.CountEntries(), job.exchange.organisation, tokens)
 	if ok {
 		return nil
 	}
@@ -109,7 +109,7 @@
 	case handedBack(end):
 		return job.handbacks < maxHandbacks
 	}
-	return job.retries+1 < limits.Attempts
+	return job.retries+1 < limits.MaxAttempts
 }
 
 func handedBack(end result) bool {
@@ -117,7 +117,7 @@
 		return false
 	}
 	kind := end.fault.Kind()
-	return kind == fault.Leaving || kind == fault.WrongHalf
+	return kind == fault.Draining || kind == fault.WrongHalf
 }
 
 // pause takes the retry from the budget and waits for the backoff. It reports
@@ -129,13 +129,13 @@
 		config.Counters.Add("handbacks", 1)
 		return true
 	}
-	if !config.Budget.Allow() {
+	if !config.RetryBudget.Allow() {
 		config.Counters.Add("retries-denied", 1)
 		return false
 	}
 	job.retries++
 	config.Counters.Add("retries", 1)
-	backoff := config.Budget.Backoff(job.retries)
+	backoff := config.RetryBudget.Backoff(job.retries)
 	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) <= backoff {
 		return false
 	}
--- a/internal/daemon/entry/settle.go
+++ b/internal/daemon/entry/settle.go
@@ -76,13 +76,13 @@
 	case same && answer.GetRan() == wirepb.Ran_RAN_RAN:
 		end.fault = attempt.lost(fault.DidRun, "the request ran, but its answer was lost")
 	default:
-		end.fault = attempt.lost(fault.Unknown, "the answer was lost and the request may have run")
+		end.fault = attempt.lost(fault.RunUnknown, "the answer was lost and the request may have run")
 	}
 	end.elsewhere = false
 	return end
 }
 
-func (attempt *attempt) lost(ran fault.Ran, text string) *fault.Fault {
+func (attempt *attempt) lost(ran fault.Execution, text string) *fault.Fault {
 	attempt.drop("outcomes-unknown")
 	return fault.New(fault.OutcomeUnknown, ran, "%s; GET /v1/requests/%s tells what is known", text, attempt.job.exchange.id)
 }
--- a/internal/daemon/entry/watch.go
+++ b/internal/daemon/entry/watch.go
@@ -8,7 +8,7 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-var errSilent = fault.New(fault.UpstreamFailed, fault.Unknown, "the side process gave no sign of life; try again")
+var errSilent = fault.New(fault.UpstreamFailed, fault.RunUnknown, "the side process gave no sign of life; try again")
 
 // watch asks the side process for a sign of life whenever the attempt has been
 // silent, and ends the attempt when there is none. A paused process keeps its
@@ -52,7 +52,7 @@
 }
 
 func (entry *Entry) askOutcome(ctx context.Context, address string, request *wirepb.OutcomeRequest) (*wirepb.OutcomeResponse, error) {
-	conn, err := entry.config.Sides.Open(ctx, address)
+	conn, err := entry.config.SideDialer.Open(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -61,7 +61,7 @@
 }
 
 func (entry *Entry) askCancel(ctx context.Context, address string, request *wirepb.CancelRequest) (*wirepb.CancelResponse, error) {
-	conn, err := entry.config.Sides.Open(ctx, address)
+	conn, err := entry.config.SideDialer.Open(ctx, address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/daemon/entry/world_test.go
+++ b/internal/daemon/entry/world_test.go
@@ -20,7 +20,7 @@
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 	"jacinthfront.dev/jacinthfront/internal/flow/policy"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
@@ -102,26 +102,26 @@
 	counts   *counts
 	isolated bool
 	leaving  map[string]bool
-	current  *model.Config
+	current  *conf.Config
 }
 
-func (world *world) Current() *model.Config { return world.current }
-func (world *world) Isolated() bool         { return world.isolated }
-func (world *world) Hint(uint64)            {}
-func (world *world) Entries() int           { return 1 }
+func (world *world) Current() *conf.Config { return world.current }
+func (world *world) Isolated() bool        { return world.isolated }
+func (world *world) ObserveVersion(uint64) {}
+func (world *world) CountEntries() int     { return 1 }
 
-// Side implements Roster: upstreams listen at their ids.
-func (world *world) Side(upstream string) (Instance, bool) {
-	return Instance{Address: upstream, Leaving: world.leaving[upstream]}, true
+// SideProcess implements Roster: upstreams listen at their ids.
+func (world *world) SideProcess(upstream string) (Instance, bool) {
+	return Instance{Address: upstream, Draining: world.leaving[upstream]}, true
 }
 
 // authenticate checks only the id of a key.
-func authenticate(config *model.Config, key string) (model.KeySpec, error) {
+func authenticate(config *conf.Config, key string) (conf.KeySpec, error) {
 	id, _, _ := strings.Cut(strings.TrimPrefix(key, keyPrefix), "_")
 	if spec, ok := config.Key(id); ok {
 		return spec, nil
 	}
-	return model.KeySpec{}, fault.New(fault.Unauthenticated, fault.NotRun, "unknown")
+	return conf.KeySpec{}, fault.New(fault.Unauthenticated, fault.NotRun, "unknown")
 }
 
 type counts struct {
@@ -171,7 +171,7 @@
 		world.sides[upstream.ID] = &side{incarnation: 7, run: []func(*wirepb.RunRequest, wirepb.DRPCSide_RunStream) error{answer}}
 	}
 	world.config = &Config{
-		Configs: world, Roster: world, Authenticate: authenticate, Sides: world.pipes, Logger: zap.New(core), Counters: world.counts,
+		ConfigSource: world, InstanceSource: world, Authenticate: authenticate, SideDialer: world.pipes, Logger: zap.New(core), Counters: world.counts,
 		NewPolicy: func(_ string, _ bool, health policy.Health) policy.Policy { return policy.NewRoundRobin(health) },
 		Limits:    DefaultLimits(),
 	}
@@ -246,25 +246,25 @@
 	return world.post("/v1/chat/completions", ashKey, `{"model":"oak","messages":[{"role":"user","content":"hello"}]`+fields+`}`, headers...)
 }
 
-func testConfig() *model.Config {
-	editor := model.New().Edit()
-	editor.PutOrganisation(model.OrganisationSpec{Name: "ash", Half: "north"})
-	editor.PutOrganisation(model.OrganisationSpec{Name: "birch"})
-	editor.PutKey(model.KeySpec{ID: "ash1", Organisation: "ash"})
-	editor.PutKey(model.KeySpec{ID: "birch1", Organisation: "birch"})
-	editor.PutAdapter(model.AdapterSpec{Name: "oak", Organisation: "ash", Service: "advisor", Versions: []uint32{1, 2}, DefaultVersion: 2})
-	editor.PutAdapter(model.AdapterSpec{Name: "pine", Service: "advisor", Versions: []uint32{1}, DefaultVersion: 1})
+func testConfig() *conf.Config {
+	editor := conf.New().Edit()
+	editor.PutOrganisation(conf.OrganisationSpec{Name: "ash", Half: "north"})
+	editor.PutOrganisation(conf.OrganisationSpec{Name: "birch"})
+	editor.PutKey(conf.KeySpec{ID: "ash1", Organisation: "ash"})
+	editor.PutKey(conf.KeySpec{ID: "birch1", Organisation: "birch"})
+	editor.PutAdapter(conf.AdapterSpec{Name: "oak", Organisation: "ash", Service: "advisor", Versions: []uint32{1, 2}, DefaultVersion: 2})
+	editor.PutAdapter(conf.AdapterSpec{Name: "pine", Service: "advisor", Versions: []uint32{1}, DefaultVersion: 1})
 	wait := 20 * time.Second
-	editor.PutRoute(model.RouteSpec{Name: "default", Service: "advisor", Idempotent: true, LongestWait: wait, DefaultMaxTokens: 100})
-	editor.PutRoute(model.RouteSpec{Name: "once", Service: "advisor", LongestWait: wait, DefaultMaxTokens: 100, Class: model.Patient})
-	editor.PutRoute(model.RouteSpec{Name: "orders", Service: "counter", Plain: true, PathPrefix: "/orders", Methods: []string{"POST"}, LongestWait: wait, Cost: 5})
-	editor.PutRoute(model.RouteSpec{Name: "stock", Service: "counter", Plain: true, PathPrefix: "/stock", Idempotent: true, Open: true, LongestWait: wait, Cost: 1})
+	editor.PutRoute(conf.RouteSpec{Name: "default", Service: "advisor", Idempotent: true, MaxWait: wait, DefaultMaxTokens: 100})
+	editor.PutRoute(conf.RouteSpec{Name: "once", Service: "advisor", MaxWait: wait, DefaultMaxTokens: 100, Class: conf.Patient})
+	editor.PutRoute(conf.RouteSpec{Name: "orders", Service: "counter", Plain: true, PathPrefix: "/orders", Methods: []string{"POST"}, MaxWait: wait, Cost: 5})
+	editor.PutRoute(conf.RouteSpec{Name: "stock", Service: "counter", Plain: true, PathPrefix: "/stock", Idempotent: true, Open: true, MaxWait: wait, Cost: 1})
 	for _, id := range []string{"engine-a", "engine-b"} {
-		editor.PutUpstream(model.UpstreamSpec{ID: id, Service: "advisor", Half: "north"})
+		editor.PutUpstream(conf.UpstreamSpec{ID: id, Service: "advisor", Half: "north"})
 	}
-	editor.PutUpstream(model.UpstreamSpec{ID: "engine-c", Service: "advisor", Half: "south"})
+	editor.PutUpstream(conf.UpstreamSpec{ID: "engine-c", Service: "advisor", Half: "south"})
 	for _, id := range []string{"plain-a", "plain-b"} {
-		editor.PutUpstream(model.UpstreamSpec{ID: id, Service: "counter", Plain: true})
+		editor.PutUpstream(conf.UpstreamSpec{ID: id, Service: "counter", Plain: true})
 	}
 	return editor.Commit(3)
 }
--- a/internal/daemon/loader/exchange.go
+++ b/internal/daemon/loader/exchange.go
@@ -8,7 +8,7 @@
 	"go.uber.org/zap"
 	"google.golang.org/protobuf/proto"
 
-	"jacinthfront.dev/jacinthfront/internal/base/telem"
+	"jacinthfront.dev/jacinthfront/internal/base/logs"
 	"jacinthfront.dev/jacinthfront/internal/flow/admit"
 	"jacinthfront.dev/jacinthfront/internal/flow/lora"
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
@@ -27,9 +27,9 @@
 		Slots:        int(demand.GetSlots()),
 		EventTokens:  int(demand.GetEventTokens()),
 		MaxEventGap:  time.Duration(demand.GetGapMs()) * time.Millisecond,
-		TypicalSpeed: codec.DecodePace(demand.GetTypical()),
-	}, codec.DecodeAsks(demand.GetAsks()))
-	loader.admission.RecordMeasurements(demand.GetEntry(), codec.DecodeReadings(demand.GetReadings()))
+		TypicalSpeed: codec.DecodeSpeed(demand.GetTypical()),
+	}, codec.DecodeRequests(demand.GetAsks()))
+	loader.admission.RecordMeasurements(demand.GetEntry(), codec.DecodeMeasurements(demand.GetReadings()))
 	wake(loader.wakeGrants)
 	for _, use := range demand.GetUses() {
 		if use.GetWaiting() > 0 {
@@ -74,7 +74,7 @@
 
 func decodeDemand(demand *wirepb.Demand) lora.Demand {
 	return lora.Demand{
-		Entry: demand.GetEntry(), Model: demand.GetModel(), Uses: codec.DecodeUses(demand.GetUses()),
+		Entry: demand.GetEntry(), Model: demand.GetModel(), Uses: codec.DecodeAdapterUses(demand.GetUses()),
 		Slots: int(demand.GetAdapterSlots()), PendingElsewhere: int(demand.GetPendingElsewhere()),
 	}
 }
@@ -135,7 +135,7 @@
 }
 
 func (loader *Loader) logUnsent(address string, err error) {
-	loader.config.Logger.Debug("loader: datagram not sent", zap.String("address", address), telem.Error(err))
+	loader.config.Logger.Debug("loader: datagram not sent", zap.String("address", address), logs.ErrorField(err))
 }
 
 // newState returns a brief state with the next serial, or nil if there is
@@ -160,7 +160,7 @@
 		Unreachable:   loader.missedReports >= unreachableAfter,
 		Silent:        loader.missedReports >= unreachableAfter && loader.unresponsive,
 		BacklogTokens: backlog, LateTokens: late, FreePlaces: uint32(freeSlots), LoadsQueued: uint32(loader.planner.QueuedLoads()),
-		Brief: true, Pace: codec.EncodePace(speed), Intake: codec.EncodeRate(admissionRate),
+		Brief: true, Pace: codec.EncodeSpeed(speed), Intake: codec.EncodeTokenRate(admissionRate),
 		RecallReach: uint32(cacheCapacity),
 	}
 	loader.lastStateAt = time.Now()
--- a/internal/daemon/loader/loader.go
+++ b/internal/daemon/loader/loader.go
@@ -15,10 +15,11 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"jacinthfront.dev/jacinthfront/internal/base/telem"
+	"jacinthfront.dev/jacinthfront/internal/base/logs"
+	"jacinthfront.dev/jacinthfront/internal/base/metric"
 	"jacinthfront.dev/jacinthfront/internal/flow/admit"
 	"jacinthfront.dev/jacinthfront/internal/flow/lora"
-	"jacinthfront.dev/jacinthfront/internal/link/gossip"
+	"jacinthfront.dev/jacinthfront/internal/link/dgram"
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 )
 
@@ -53,7 +54,7 @@
 	Engine Engine
 	// Address is the engine's address as IP:port.
 	Address   string
-	Datagrams *gossip.Conn
+	Datagrams *dgram.Conn
 	// Metrics is the listener on which metrics are served.
 	Metrics net.Listener
 	Logger  *zap.Logger
@@ -65,7 +66,7 @@
 	MessageLoaded = "loader: adapter loaded"
 )
 
-var counters = telem.Map("loader")
+var counters = metric.Map("loader")
 
 // Loader manages the adapters of one engine and admits requests to it.
 type Loader struct {
@@ -141,13 +142,13 @@
 	group.Go(func() error { return loader.serveMetrics(ctx) })
 	group.Go(func() error { loader.runGrants(ctx); return nil })
 	err := group.Wait()
-	loader.config.Logger.Info("loader: stopped", telem.Error(err))
+	loader.config.Logger.Info("loader: stopped", logs.ErrorField(err))
 	return err
 }
 
 // serveMetrics serves metrics until ctx ends.
 func (loader *Loader) serveMetrics(ctx context.Context) error {
-	server := telem.NewServer("loader", loader.setGauges)
+	server := metric.NewServer("loader", loader.setGauges)
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	if err := server.Serve(loader.config.Metrics); !errors.Is(err, http.ErrServerClosed) {
@@ -160,16 +161,16 @@
 func (loader *Loader) setGauges() {
 	loader.mutex.Lock()
 	defer loader.mutex.Unlock()
-	telem.Gauge("loader", "running", int64(loader.report.Running))
-	telem.Gauge("loader", "queued", int64(loader.report.Queued))
-	telem.Gauge("loader", "adapters", int64(len(loader.report.Resident)))
-	telem.Gauge("loader", "adapters-pending", int64(len(loader.report.Pending)))
+	metric.SetGauge("loader", "running", int64(loader.report.Running))
+	metric.SetGauge("loader", "queued", int64(loader.report.Queued))
+	metric.SetGauge("loader", "adapters", int64(len(loader.report.Resident)))
+	metric.SetGauge("loader", "adapters-pending", int64(len(loader.report.Pending)))
 	backlog, late := loader.admission.Backlog()
-	telem.Gauge("loader", "backlog-tokens", backlog)
-	telem.Gauge("loader", "late-tokens", late)
-	telem.Gauge("loader", "free-places", int64(loader.planner.FreeSlots()))
-	telem.Gauge("loader", "reports-missed", int64(loader.missedReports))
-	telem.Gauge("loader", "intake-tokens", int64(codec.EncodeRate(loader.admission.AdmissionRate())))
+	metric.SetGauge("loader", "backlog-tokens", backlog)
+	metric.SetGauge("loader", "late-tokens", late)
+	metric.SetGauge("loader", "free-places", int64(loader.planner.FreeSlots()))
+	metric.SetGauge("loader", "reports-missed", int64(loader.missedReports))
+	metric.SetGauge("loader", "intake-tokens", int64(codec.EncodeTokenRate(loader.admission.AdmissionRate())))
 }
 
 // runGrants admits waiting requests when their turn comes, until ctx ends.
@@ -189,7 +190,7 @@
 			sentBacklog = backlog
 			loader.sendState(granted, false)
 		}
-		timer.Reset(cmp.Or(loader.admission.NextTurn(), idlePeriod))
+		timer.Reset(cmp.Or(loader.admission.NextGrant(), idlePeriod))
 	}
 }
 
--- a/internal/daemon/loader/loader_test.go
+++ b/internal/daemon/loader/loader_test.go
@@ -15,7 +15,7 @@
 	"go.uber.org/zap"
 
 	"jacinthfront.dev/jacinthfront/internal/flow/lora"
-	"jacinthfront.dev/jacinthfront/internal/link/gossip"
+	"jacinthfront.dev/jacinthfront/internal/link/dgram"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
@@ -99,13 +99,13 @@
 // of it late.
 func TestNewEntry(t *testing.T) {
 	engine := &engine{report: healthyReport()}
-	datagrams, err := gossip.Listen("127.0.0.1:0")
+	datagrams, err := dgram.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	loader := New(Config{Engine: engine, Datagrams: datagrams, Logger: zap.NewNop()})
 	states := make(chan *wirepb.EngineState, 10)
-	entry, err := gossip.Listen("127.0.0.1:0")
+	entry, err := dgram.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,7 +137,7 @@
 func TestManyEntries(t *testing.T) {
 	const entries = 80
 	engine := &engine{report: healthyReport()}
-	datagrams, err := gossip.Listen("127.0.0.1:0")
+	datagrams, err := dgram.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,7 +151,7 @@
 	received := make([]atomic.Int64, entries)
 	brief := make([]atomic.Int64, entries)
 	for i := range entries {
-		entry, err := gossip.Listen("127.0.0.1:0")
+		entry, err := dgram.Listen("127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/daemon/loader/orders.go
+++ b/internal/daemon/loader/orders.go
@@ -8,7 +8,7 @@
 
 	"go.uber.org/zap"
 
-	"jacinthfront.dev/jacinthfront/internal/base/telem"
+	"jacinthfront.dev/jacinthfront/internal/base/logs"
 	"jacinthfront.dev/jacinthfront/internal/flow/admit"
 	"jacinthfront.dev/jacinthfront/internal/flow/cordon"
 	"jacinthfront.dev/jacinthfront/internal/flow/lora"
@@ -86,7 +86,7 @@
 		loader.missedReports++
 		loader.unresponsive = !errors.Is(err, syscall.ECONNREFUSED) && !loader.report.Draining
 		if loader.missedReports == unreachableAfter {
-			loader.config.Logger.Warn("loader: engine report failed repeatedly", telem.Error(err))
+			loader.config.Logger.Warn("loader: engine report failed repeatedly", logs.ErrorField(err))
 			loader.admission.Observe(admit.EngineState{})
 		}
 		return false
@@ -105,7 +105,7 @@
 	}
 	loader.admission.Observe(admit.EngineState{
 		Running: report.Running + report.Queued, Queued: report.Queued, UsedTokens: report.UsedTokens, TotalTokens: report.TotalTokens,
-		Holds: report.holds,
+		HasAdapter: report.holds,
 	})
 	wake(loader.wakeGrants)
 	return true
@@ -136,7 +136,7 @@
 	loader.config.Logger.Info(MessageOrder,
 		zap.String("operation", order.Operation.String()), zap.String("model", order.Model),
 		zap.String("adapter", order.Adapter.Name), zap.Uint32("version", order.Adapter.Version),
-		zap.Int64("sequence", order.Sequence), zap.Duration("took", time.Since(began)), telem.Error(err))
+		zap.Int64("sequence", order.Sequence), zap.Duration("took", time.Since(began)), logs.ErrorField(err))
 	return err == nil
 }
 
--- a/internal/daemon/relay/charge.go
+++ b/internal/daemon/relay/charge.go
@@ -18,7 +18,7 @@
 	proxyRequest.awaitStartup(proxyRequest.relay.limiter.Initialised)
 	// If the bucket holds enough soon, waiting takes less time than a retry by the
 	// caller.
-	until := time.Now().Add(proxyRequest.route.Target / admissionWaitDivisor)
+	until := time.Now().Add(proxyRequest.route.ResponseGoal / admissionWaitDivisor)
 	wait, ok := proxyRequest.relay.limiter.Take(proxyRequest.organisation.Name, proxyRequest.limit(), proxyRequest.cost())
 	for !ok && time.Now().Add(wait).Before(until) && proxyRequest.request.Context().Err() == nil {
 		proxyRequest.sleep(wait)
--- a/internal/daemon/relay/metrics.go
+++ b/internal/daemon/relay/metrics.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/base/telem"
+	"jacinthfront.dev/jacinthfront/internal/base/metric"
 )
 
 // metrics updates the metrics of the instance, in the expvar map "relay".
@@ -14,9 +14,9 @@
 }
 
 var (
-	counters   = telem.Map("relay")
-	firstEvent = telem.NewHistogram()
-	answerTime = telem.NewHistogram()
+	counters   = metric.Map("relay")
+	firstEvent = metric.NewHistogram()
+	answerTime = metric.NewHistogram()
 )
 
 func init() {
@@ -56,16 +56,16 @@
 // setGauges sets the gauges, whose values change without an event.
 func (relay *Relay) setGauges() {
 	heard, silent := relay.limiter.CountPeers()
-	opened, reused := relay.config.Pool.Opened()
-	telem.Gauge("relay", "running", relay.metrics.running.Load())
-	telem.Gauge("relay", "entries-heard", int64(heard))
-	telem.Gauge("relay", "entries-silent", int64(silent))
-	telem.Gauge("relay", "reads-store", relay.readsStore())
-	telem.Gauge("relay", "connections-opened", int64(opened))
-	telem.Gauge("relay", "connections-reused", int64(reused))
-	telem.Gauge("relay", "config-age-ms", relay.configAge().Milliseconds())
-	telem.Gauge("relay", "upstreams", int64(len(relay.store.instances.Upstreams())))
+	opened, reused := relay.config.Pool.Stats()
+	metric.SetGauge("relay", "running", relay.metrics.running.Load())
+	metric.SetGauge("relay", "entries-heard", int64(heard))
+	metric.SetGauge("relay", "entries-silent", int64(silent))
+	metric.SetGauge("relay", "reads-store", relay.readsStore())
+	metric.SetGauge("relay", "connections-opened", int64(opened))
+	metric.SetGauge("relay", "connections-reused", int64(reused))
+	metric.SetGauge("relay", "config-age-ms", relay.configAge().Milliseconds())
+	metric.SetGauge("relay", "upstreams", int64(len(relay.store.instances.Upstreams())))
 	if config := relay.store.config(); config != nil {
-		telem.Gauge("relay", "config-version", int64(config.Version()))
+		metric.SetGauge("relay", "config-version", int64(config.Version()))
 	}
 }
--- a/internal/daemon/relay/notices.go
+++ b/internal/daemon/relay/notices.go
@@ -19,7 +19,7 @@
 		proxyRequest.log("fleet: upstream asked for a backoff", zap.String("resting", upstream.ID), zap.Duration("rest", info.RetryAfter))
 		proxyRequest.relay.stateChanged.notify()
 	}
-	if info.Leaving {
+	if info.Draining {
 		proxyRequest.relay.recordDraining(incarnation, "")
 	}
 }
--- a/internal/daemon/relay/ports.go
+++ b/internal/daemon/relay/ports.go
@@ -6,14 +6,14 @@
 
 	"jacinthfront.dev/jacinthfront/internal/flow/lora"
 	"jacinthfront.dev/jacinthfront/internal/state/fleet"
-	"jacinthfront.dev/jacinthfront/internal/state/table"
+	"jacinthfront.dev/jacinthfront/internal/state/routes"
 )
 
 // ConfigChange is a change by the operators: a configuration, or a new version of
 // an adapter.
 type ConfigChange struct {
 	// Table is nil for a new version of an adapter.
-	Table   *table.Table
+	Table   *routes.Table
 	Model   string
 	Adapter lora.Adapter
 }
@@ -65,8 +65,8 @@
 	Sealed bool
 	// Load is the number of running and queued requests, or -1 if it is unknown.
 	Load int
-	// Leaving means that the upstream announces that it is draining.
-	Leaving bool
+	// Draining means that the upstream announces that it is draining.
+	Draining bool
 	// RetryAfter is how long the upstream asks this instance to send no requests.
 	RetryAfter time.Duration
 }
--- a/internal/daemon/relay/proxyrequest.go
+++ b/internal/daemon/relay/proxyrequest.go
@@ -15,10 +15,10 @@
 
 	"go.uber.org/zap"
 
-	"jacinthfront.dev/jacinthfront/internal/base/telem"
+	"jacinthfront.dev/jacinthfront/internal/base/logs"
 	"jacinthfront.dev/jacinthfront/internal/flow/lora"
-	"jacinthfront.dev/jacinthfront/internal/link/hop"
-	"jacinthfront.dev/jacinthfront/internal/state/table"
+	"jacinthfront.dev/jacinthfront/internal/link/http1"
+	"jacinthfront.dev/jacinthfront/internal/state/routes"
 )
 
 const (
@@ -60,9 +60,9 @@
 	started  time.Time
 	deadline time.Time
 
-	route        *table.Route
-	organisation *table.Organisation
-	service      *table.Service
+	route        *routes.Route
+	organisation *routes.Organisation
+	service      *routes.Service
 	body         []byte
 	adapter      lora.Adapter
 
@@ -89,7 +89,7 @@
 
 	// failure is the response of an upstream that ran the request and failed. It is
 	// kept with its body, as another upstream may succeed.
-	failure     *hop.Response
+	failure     *http1.Response
 	failureBody []byte
 
 	// lastEventID is the id of the last event forwarded.
@@ -152,7 +152,7 @@
 			return refused
 		}
 	}
-	proxyRequest.service, ok = config.Service(route.Pick(rand.Float64()))
+	proxyRequest.service, ok = config.Service(route.PickService(rand.Float64()))
 	if !ok {
 		return &refusal{http.StatusServiceUnavailable, "the route names no known service", retryAfterFull}
 	}
@@ -164,7 +164,7 @@
 
 // authenticate finds the organisation. It trusts no key if the configuration was not
 // confirmed recently, as the configuration may lack a withdrawal of the key.
-func (proxyRequest *proxyRequest) authenticate(config *table.Table, confirmed bool) *refusal {
+func (proxyRequest *proxyRequest) authenticate(config *routes.Table, confirmed bool) *refusal {
 	if !confirmed {
 		return &refusal{http.StatusServiceUnavailable, "keys cannot be checked while the configuration is not confirmed", retryAfterUnready}
 	}
@@ -196,7 +196,7 @@
 	// The body may arrive too slowly to end before the caller's deadline.
 	control := http.NewResponseController(proxyRequest.writer)
 	if err := control.SetReadDeadline(proxyRequest.deadline); err != nil {
-		proxyRequest.relay.config.Logger.Debug("relay: failed to set the read deadline", telem.Error(err))
+		proxyRequest.relay.config.Logger.Debug("relay: failed to set the read deadline", logs.ErrorField(err))
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(proxyRequest.writer, proxyRequest.request.Body, maxBodyBytes))
 	var large *http.MaxBytesError
@@ -209,7 +209,7 @@
 		return &refusal{http.StatusBadRequest, "the body cannot be read", 0}
 	}
 	if err := control.SetReadDeadline(time.Time{}); err != nil {
-		proxyRequest.relay.config.Logger.Debug("relay: failed to clear the read deadline", telem.Error(err))
+		proxyRequest.relay.config.Logger.Debug("relay: failed to clear the read deadline", logs.ErrorField(err))
 	}
 	proxyRequest.body = body
 	return nil
--- a/internal/daemon/relay/relay.go
+++ b/internal/daemon/relay/relay.go
@@ -17,15 +17,16 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
+	"jacinthfront.dev/jacinthfront/internal/base/logs"
+	"jacinthfront.dev/jacinthfront/internal/base/metric"
 	"jacinthfront.dev/jacinthfront/internal/base/setup"
-	"jacinthfront.dev/jacinthfront/internal/base/telem"
 	"jacinthfront.dev/jacinthfront/internal/daemon/watch"
 	"jacinthfront.dev/jacinthfront/internal/flow/bucket"
 	"jacinthfront.dev/jacinthfront/internal/flow/cordon"
 	"jacinthfront.dev/jacinthfront/internal/flow/health"
 	"jacinthfront.dev/jacinthfront/internal/flow/picker"
-	"jacinthfront.dev/jacinthfront/internal/link/gossip"
-	"jacinthfront.dev/jacinthfront/internal/link/hop"
+	"jacinthfront.dev/jacinthfront/internal/link/dgram"
+	"jacinthfront.dev/jacinthfront/internal/link/http1"
 	"jacinthfront.dev/jacinthfront/internal/state/fleet"
 )
 
@@ -46,11 +47,11 @@
 	InstanceSource watch.Source[Listing]
 	// Datagrams is the connection to the loaders and the other entry instances, which
 	// all use DatagramPort.
-	Datagrams *gossip.Conn
+	Datagrams *dgram.Conn
 	// DatagramAddress is this instance's own datagram address.
 	DatagramAddress string
 	DatagramPort    uint16
-	Pool            *hop.Pool
+	Pool            *http1.Pool
 	Logger          *zap.Logger
 	Bounds          Bounds
 	// BoundsUpdates delivers bounds that change at run time. It may be nil.
@@ -149,7 +150,7 @@
 		activeSends:     newActiveSends(),
 	}
 	relay.requestNumbers.Store(rand.Uint64())
-	relay.picker = picker.New(picker.Config{FailureDomain: config.FailureDomain, Health: relay.health, Avoided: relay.cordon})
+	relay.picker = picker.New(picker.Config{FailureDomain: config.FailureDomain, Health: relay.health, Cordon: relay.cordon})
 	relay.store = newStoreView(fleet.New(fleet.Config{}), config.Logger)
 	relay.bounds.Store(&config.Bounds)
 	relay.retryBudget = newRetryBudget(func() Bounds { return *relay.bounds.Load() }, relay.peers.count)
@@ -165,7 +166,7 @@
 	}
 	probes := http.NewServeMux()
 	probes.HandleFunc(config.ReadyPath, relay.serveReady)
-	relay.metricsServer = telem.NewServer("relay", relay.setGauges)
+	relay.metricsServer = metric.NewServer("relay", relay.setGauges)
 	relay.probeServer = &http.Server{Handler: probes, ReadHeaderTimeout: probeTimeout}
 	return relay
 }
@@ -197,7 +198,7 @@
 	_ = relay.metricsServer.Close()
 	err := group.Wait()
 	relay.config.Pool.Close()
-	relay.config.Logger.Info("relay: stopped", telem.Error(err))
+	relay.config.Logger.Info("relay: stopped", logs.ErrorField(err))
 	return err
 }
 
@@ -215,8 +216,8 @@
 func (relay *Relay) drain() {
 	relay.stopping.Store(true)
 	relay.config.Logger.Info("relay: stopping", zap.Int64("running", relay.metrics.running.Load()))
-	deadline := time.Now().Add(relay.bounds.Load().Grace.Duration - stopMargin)
-	time.Sleep(min(acceptAfterStop, relay.bounds.Load().Grace.Duration/3))
+	deadline := time.Now().Add(relay.bounds.Load().GracePeriod.Duration - stopMargin)
+	time.Sleep(min(acceptAfterStop, relay.bounds.Load().GracePeriod.Duration/3))
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	relay.idleConnections.drain(ctx)
@@ -246,7 +247,7 @@
 // configLifetime returns how long the configuration is trusted after it was last
 // confirmed.
 func (relay *Relay) configLifetime() time.Duration {
-	return relay.bounds.Load().Revoke.Duration - configTrustMargin
+	return relay.bounds.Load().RevocationDelay.Duration - configTrustMargin
 }
 
 func (relay *Relay) serveReady(writer http.ResponseWriter, _ *http.Request) {
@@ -267,8 +268,8 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			relay.config.Pool.Trim()
-			if removed := relay.store.instances.Expire(); len(removed) > 0 {
+			relay.config.Pool.CloseExpired()
+			if removed := relay.store.instances.RemoveExpired(); len(removed) > 0 {
 				relay.config.Logger.Info("relay: upstreams removed, not listed again after an outage", zap.Strings("upstreams", removed))
 				relay.updateUpstreams()
 			}
--- a/internal/daemon/relay/reports.go
+++ b/internal/daemon/relay/reports.go
@@ -9,7 +9,7 @@
 
 	"go.uber.org/zap"
 
-	"jacinthfront.dev/jacinthfront/internal/base/telem"
+	"jacinthfront.dev/jacinthfront/internal/base/logs"
 	"jacinthfront.dev/jacinthfront/internal/flow/admit"
 	"jacinthfront.dev/jacinthfront/internal/flow/lora"
 	"jacinthfront.dev/jacinthfront/internal/flow/picker"
@@ -142,7 +142,7 @@
 			continue
 		}
 		if typicalSpeeds[upstream.Service] == nil {
-			typicalSpeeds[upstream.Service] = codec.EncodePace(relay.picker.TypicalSpeed(upstream.Service))
+			typicalSpeeds[upstream.Service] = codec.EncodeSpeed(relay.picker.TypicalSpeed(upstream.Service))
 		}
 		lastSent[upstream.ID] = sentDemand{adapters: adapters, requests: requests, generation: generation, at: time.Now()}
 		relay.sendDatagram(&wirepb.Datagram{Body: &wirepb.Datagram_Demand{Demand: &wirepb.Demand{
@@ -150,16 +150,16 @@
 			Start:            relay.start.UnixNano(),
 			Model:            service.Engine.Models[0].Name,
 			AdapterSlots:     uint32(service.Engine.AdapterSlots),
-			Uses:             codec.EncodeUses(adapters),
+			Uses:             codec.EncodeAdapterUses(adapters),
 			Upstream:         upstream.ID,
 			Slots:            uint32(service.Engine.Slots),
 			EventTokens:      uint32(service.Engine.EventTokens),
-			GapMs:            uint32(config.TargetGap(service.Name).Milliseconds()),
-			Asks:             codec.EncodeAsks(requests),
+			GapMs:            uint32(config.ShortestEventGapGoal(service.Name).Milliseconds()),
+			Asks:             codec.EncodeRequests(requests),
 			Born:             upstream.StartedAt,
 			FullSerial:       relay.picker.FullSerial(upstream.ID),
 			PendingElsewhere: uint32(relay.picker.PendingElsewhere(upstream.Service, upstream.ID)),
-			Readings:         codec.EncodeReadings(relay.picker.TakeMeasurements(upstream.ID)),
+			Readings:         codec.EncodeMeasurements(relay.picker.TakeMeasurements(upstream.ID)),
 			Typical:          typicalSpeeds[upstream.Service],
 		}}}, relay.loaderAddress(upstream))
 	}
@@ -184,7 +184,7 @@
 func (relay *Relay) sendDatagram(datagram *wirepb.Datagram, addresses ...string) {
 	relay.config.Datagrams.Send(datagram, addresses, func(address string, err error) {
 		relay.metrics.increment("datagrams-unsent")
-		relay.config.Logger.Debug("relay: datagram not sent", zap.String("address", address), telem.Error(err))
+		relay.config.Logger.Debug("relay: datagram not sent", zap.String("address", address), logs.ErrorField(err))
 	})
 }
 
@@ -212,10 +212,10 @@
 		Unresponsive:     state.GetSilent(),
 		Backlog:          state.GetBacklogTokens(),
 		Late:             state.GetLateTokens(),
-		AdmissionRate:    codec.DecodeRate(state.GetIntake()),
-		Speed:            codec.DecodePace(state.GetPace()),
+		AdmissionRate:    codec.DecodeTokenRate(state.GetIntake()),
+		Speed:            codec.DecodeSpeed(state.GetPace()),
 		CacheCapacity:    int(state.GetRecallReach()),
-		Dropped:          codec.DecodeAdapters(state.GetDropped()),
+		Evicted:          codec.DecodeAdapters(state.GetDropped()),
 		FreeAdapterSlots: int(state.GetFreePlaces()),
 		QueuedLoads:      int(state.GetLoadsQueued()),
 		OmitsAdapters:    state.GetBrief(),
--- a/internal/daemon/relay/run.go
+++ b/internal/daemon/relay/run.go
@@ -5,10 +5,10 @@
 	"net/http"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/base/telem"
+	"jacinthfront.dev/jacinthfront/internal/base/logs"
 	"jacinthfront.dev/jacinthfront/internal/flow/picker"
 	"jacinthfront.dev/jacinthfront/internal/state/fleet"
-	"jacinthfront.dev/jacinthfront/internal/state/table"
+	"jacinthfront.dev/jacinthfront/internal/state/routes"
 )
 
 const (
@@ -68,7 +68,7 @@
 		return true, nil
 	}
 	if result != outcomeNotRun {
-		if proxyRequest.route.Repeat != table.Idempotent || proxyRequest.runs >= proxyRequest.route.Attempts {
+		if proxyRequest.route.Semantics != routes.Idempotent || proxyRequest.runs >= proxyRequest.route.MaxAttempts {
 			return false, refused
 		}
 	}
@@ -90,7 +90,7 @@
 		panic(http.ErrAbortHandler)
 	case proxyRequest.headersSent:
 		proxyRequest.relay.metrics.increment("stream-cut")
-		proxyRequest.log("relay: response aborted", telem.Error(ctx.Err()))
+		proxyRequest.log("relay: response aborted", logs.ErrorField(ctx.Err()))
 		panic(http.ErrAbortHandler)
 	case proxyRequest.failure != nil:
 		proxyRequest.writeResponse(proxyRequest.failure, proxyRequest.failureBody)
@@ -118,7 +118,7 @@
 		Late:     proxyRequest.late(),
 	}
 	if !proxyRequest.headersSent && !requirements.Late {
-		requirements.MaxWait = proxyRequest.route.Target
+		requirements.MaxWait = proxyRequest.route.ResponseGoal
 	}
 	if requirements.Engine && proxyRequest.info.Adapter != "" {
 		proxyRequest.adapter.Name = proxyRequest.info.Adapter
--- a/internal/daemon/relay/send.go
+++ b/internal/daemon/relay/send.go
@@ -11,10 +11,10 @@
 
 	"go.uber.org/zap"
 
-	"jacinthfront.dev/jacinthfront/internal/base/telem"
-	"jacinthfront.dev/jacinthfront/internal/link/hop"
+	"jacinthfront.dev/jacinthfront/internal/base/logs"
+	"jacinthfront.dev/jacinthfront/internal/link/http1"
 	"jacinthfront.dev/jacinthfront/internal/state/fleet"
-	"jacinthfront.dev/jacinthfront/internal/state/table"
+	"jacinthfront.dev/jacinthfront/internal/state/routes"
 )
 
 var errLargeResponse = errors.New("the response is too large")
@@ -25,7 +25,7 @@
 	if proxyRequest.sends == 0 {
 		relay.retryBudget.recordRequest(proxyRequest.service.Name)
 	}
-	if proxyRequest.mayRunAgain() && proxyRequest.runs+1 < proxyRequest.route.Attempts {
+	if proxyRequest.mayRunAgain() && proxyRequest.runs+1 < proxyRequest.route.MaxAttempts {
 		watched, done := relay.activeSends.track(ctx, upstream.ID, proxyRequest)
 		defer done()
 		ctx = watched
@@ -61,14 +61,14 @@
 	if response.Status >= http.StatusInternalServerError && proxyRequest.mayRunAgain() {
 		return proxyRequest.keepFailure(upstream, response)
 	}
-	if proxyRequest.route.Stream && response.Status == http.StatusOK {
+	if proxyRequest.route.Streaming && response.Status == http.StatusOK {
 		return proxyRequest.forwardStream(upstream, response)
 	}
 	return proxyRequest.forwardWhole(upstream, response)
 }
 
 // upstreamRequest returns the request to send to an upstream.
-func (proxyRequest *proxyRequest) upstreamRequest(upstream fleet.Upstream) hop.Request {
+func (proxyRequest *proxyRequest) upstreamRequest(upstream fleet.Upstream) http1.Request {
 	info := ForwardInfo{
 		Upstream:    upstream.ID,
 		Remaining:   time.Until(proxyRequest.deadline),
@@ -78,7 +78,7 @@
 	if proxyRequest.organisation != nil {
 		info.Organisation = proxyRequest.organisation.Name
 	}
-	return hop.Request{
+	return http1.Request{
 		Method:  proxyRequest.request.Method,
 		Target:  proxyRequest.request.RequestURI,
 		Host:    proxyRequest.request.Host,
@@ -91,9 +91,9 @@
 // handleSendError handles a send without a response.
 func (proxyRequest *proxyRequest) handleSendError(ctx context.Context, upstream fleet.Upstream, err error) outcome {
 	lost := errors.Is(context.Cause(ctx), errUpstreamLost)
-	if hop.NotSent.Has(err) {
+	if http1.NotSent.Has(err) {
 		if ctx.Err() == nil {
-			proxyRequest.log("relay: failed to reach upstream", telem.Error(err))
+			proxyRequest.log("relay: failed to reach upstream", logs.ErrorField(err))
 			proxyRequest.relay.readInstancesSoon()
 			proxyRequest.recordHealth(upstream, false)
 		}
@@ -101,7 +101,7 @@
 	}
 	proxyRequest.sends++
 	if ctx.Err() == nil || lost {
-		proxyRequest.log("relay: no response", telem.Error(err), zap.Bool("upstream-lost", lost))
+		proxyRequest.log("relay: no response", logs.ErrorField(err), zap.Bool("upstream-lost", lost))
 	}
 	return proxyRequest.recordUnknown(upstream)
 }
@@ -118,13 +118,13 @@
 
 // recordBroken records a response that is incomplete or invalid.
 func (proxyRequest *proxyRequest) recordBroken(upstream fleet.Upstream, err error) outcome {
-	proxyRequest.log("relay: response incomplete or invalid", telem.Error(err))
+	proxyRequest.log("relay: response incomplete or invalid", logs.ErrorField(err))
 	proxyRequest.recordHealth(upstream, false)
 	return outcomeUnknown
 }
 
 // handleNotRun handles a response saying that the request did not run.
-func (proxyRequest *proxyRequest) handleNotRun(upstream fleet.Upstream, response *hop.Response) outcome {
+func (proxyRequest *proxyRequest) handleNotRun(upstream fleet.Upstream, response *http1.Response) outcome {
 	if response.Status == http.StatusMisdirectedRequest {
 		proxyRequest.relay.readInstancesSoon()
 		if proxyRequest.adapter.Name != "" {
@@ -140,7 +140,7 @@
 
 // mayRunAgain reports whether the route allows the request to run again.
 func (proxyRequest *proxyRequest) mayRunAgain() bool {
-	return proxyRequest.runs < proxyRequest.route.Attempts && proxyRequest.route.Repeat == table.Idempotent
+	return proxyRequest.runs < proxyRequest.route.MaxAttempts && proxyRequest.route.Semantics == routes.Idempotent
 }
 
 // recordHealth records whether a request to an upstream succeeded.
@@ -152,7 +152,7 @@
 
 // forwardWhole forwards a response that is not a stream. It reads the response to
 // its end first, so that an incomplete one never reaches the caller as complete.
-func (proxyRequest *proxyRequest) forwardWhole(upstream fleet.Upstream, response *hop.Response) outcome {
+func (proxyRequest *proxyRequest) forwardWhole(upstream fleet.Upstream, response *http1.Response) outcome {
 	body, err := readResponse(response)
 	if err != nil {
 		return proxyRequest.recordBroken(upstream, err)
@@ -163,8 +163,8 @@
 }
 
 // readResponse reads the body of a response to its end.
-func readResponse(response *hop.Response) ([]byte, error) {
-	if response.Length > maxBodyBytes {
+func readResponse(response *http1.Response) ([]byte, error) {
+	if response.ContentLength > maxBodyBytes {
 		return nil, errLargeResponse
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes+1))
@@ -175,9 +175,9 @@
 }
 
 // writeResponse writes a complete response to the caller.
-func (proxyRequest *proxyRequest) writeResponse(response *hop.Response, body []byte) {
+func (proxyRequest *proxyRequest) writeResponse(response *http1.Response, body []byte) {
 	proxyRequest.copyHeaders(response)
-	if response.Length >= 0 || len(body) > 0 {
+	if response.ContentLength >= 0 || len(body) > 0 {
 		proxyRequest.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	proxyRequest.writer.WriteHeader(response.Status)
@@ -187,7 +187,7 @@
 
 // keepFailure keeps a failure of an upstream, to be forwarded if no other upstream
 // does better.
-func (proxyRequest *proxyRequest) keepFailure(upstream fleet.Upstream, response *hop.Response) outcome {
+func (proxyRequest *proxyRequest) keepFailure(upstream fleet.Upstream, response *http1.Response) outcome {
 	proxyRequest.log("relay: upstream failed", zap.Int("status", response.Status))
 	body, err := readResponse(response)
 	if err != nil {
@@ -198,7 +198,7 @@
 }
 
 // copyHeaders copies the headers of a response for the caller.
-func (proxyRequest *proxyRequest) copyHeaders(response *hop.Response) {
+func (proxyRequest *proxyRequest) copyHeaders(response *http1.Response) {
 	header := proxyRequest.writer.Header()
 	for name, values := range proxyRequest.relay.config.Protocol.CallerHeader(response.Header) {
 		header[name] = values
--- a/internal/daemon/relay/storeview.go
+++ b/internal/daemon/relay/storeview.go
@@ -10,13 +10,13 @@
 	"jacinthfront.dev/jacinthfront/internal/daemon/watch"
 	"jacinthfront.dev/jacinthfront/internal/flow/health"
 	"jacinthfront.dev/jacinthfront/internal/state/fleet"
-	"jacinthfront.dev/jacinthfront/internal/state/table"
+	"jacinthfront.dev/jacinthfront/internal/state/routes"
 )
 
 // storeView holds the configuration, the adapter versions and the instance list
 // as last read from the platform's store.
 type storeView struct {
-	table     atomic.Pointer[table.Table]
+	table     atomic.Pointer[routes.Table]
 	instances *fleet.List
 	logger    *zap.Logger
 
@@ -31,7 +31,7 @@
 }
 
 // config returns the configuration in force, or nil if none is known.
-func (storeView *storeView) config() *table.Table { return storeView.table.Load() }
+func (storeView *storeView) config() *routes.Table { return storeView.table.Load() }
 
 // adapterVersion returns the newest announced version of an adapter, or 0 if none
 // is known.
@@ -107,17 +107,17 @@
 	return watch.New(watch.Config[Listing]{
 		Name: topicInstances, Source: relay.config.InstanceSource, Logger: relay.config.Logger, Interval: listReadInterval,
 		Apply: func(listings []Listing, complete bool) []Listing {
-			stamp := list.Stamp()
+			stamp := list.Generation()
 			changes := relay.applyListings(listings, complete)
-			if list.Stamp() != stamp {
+			if list.Generation() != stamp {
 				relay.updateUpstreams()
 			}
 			return changes
 		},
 		PeerUpdate:  relay.listUpdate,
-		OnConfirmed: func(time.Time) { list.Up() },
+		OnConfirmed: func(time.Time) { list.MarkAvailable() },
 		OnChange:    relay.announceChange,
-		OnFailure:   list.Down,
+		OnFailure:   list.MarkUnavailable,
 		OnCall:      func(err error) { relay.metrics.recordStoreCall(topicInstances, err) },
 	})
 }
@@ -144,12 +144,12 @@
 				present = append(present, *listing.Upstream)
 			}
 		}
-		list.Replace(present)
+		list.ReplaceAll(present)
 		return listings
 	}
 	for _, listing := range listings {
-		stamp := list.Stamp()
-		changed := list.Lapsed(listing.ID) || listing.Upstream == nil && list.Has(listing.ID)
+		stamp := list.Generation()
+		changed := list.Lapsed(listing.ID) || listing.Upstream == nil && list.Contains(listing.ID)
 		switch {
 		case listing.Upstream == nil:
 			if list.Remove(listing.ID) {
@@ -159,7 +159,7 @@
 			relay.config.Logger.Info("fleet: upstream changed", zap.String("upstream", listing.ID),
 				zap.String("address", listing.Upstream.Address), zap.Bool("draining", listing.Upstream.Draining))
 		}
-		if changed || list.Stamp() != stamp {
+		if changed || list.Generation() != stamp {
 			changes = append(changes, listing)
 		}
 	}
--- a/internal/daemon/relay/stream.go
+++ b/internal/daemon/relay/stream.go
@@ -9,10 +9,10 @@
 	"strconv"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/base/telem"
+	"jacinthfront.dev/jacinthfront/internal/base/logs"
 	"jacinthfront.dev/jacinthfront/internal/flow/admit"
 	"jacinthfront.dev/jacinthfront/internal/flow/speed"
-	"jacinthfront.dev/jacinthfront/internal/link/hop"
+	"jacinthfront.dev/jacinthfront/internal/link/http1"
 	"jacinthfront.dev/jacinthfront/internal/state/fleet"
 )
 
@@ -36,7 +36,7 @@
 
 // forwardStream forwards the events of a response, each one as soon as it is
 // complete.
-func (proxyRequest *proxyRequest) forwardStream(upstream fleet.Upstream, response *hop.Response) outcome {
+func (proxyRequest *proxyRequest) forwardStream(upstream fleet.Upstream, response *http1.Response) outcome {
 	reader := bufio.NewReaderSize(response.Body, streamBufferBytes)
 	var lastArrival time.Time
 	nonEventBytes := 0
@@ -75,7 +75,7 @@
 
 // sendHeaders forwards the headers before the first event. If an interrupted stream
 // is resumed, the headers of the first response stand.
-func (proxyRequest *proxyRequest) sendHeaders(response *hop.Response) {
+func (proxyRequest *proxyRequest) sendHeaders(response *http1.Response) {
 	if proxyRequest.headersSent {
 		return
 	}
@@ -130,7 +130,7 @@
 // flush sends buffered events to the caller.
 func (proxyRequest *proxyRequest) flush() {
 	if err := http.NewResponseController(proxyRequest.writer).Flush(); err != nil {
-		proxyRequest.relay.config.Logger.Debug("relay: flush failed", telem.Error(err))
+		proxyRequest.relay.config.Logger.Debug("relay: flush failed", logs.ErrorField(err))
 	}
 }
 
--- a/internal/daemon/relay/waitlimits.go
+++ b/internal/daemon/relay/waitlimits.go
@@ -24,8 +24,8 @@
 	firstEvent, total := proxyRequest.relay.latencies.typical(proxyRequest.route.Name)
 	timeout := proxyRequest.deadline.Sub(proxyRequest.started)
 	proxyRequest.typicalFirstEvent = min(firstEvent, timeout/2)
-	if proxyRequest.route.Silence > 0 {
-		proxyRequest.typicalFirstEvent = min(proxyRequest.typicalFirstEvent, proxyRequest.route.Silence/2)
+	if proxyRequest.route.CallerStreamTimeout > 0 {
+		proxyRequest.typicalFirstEvent = min(proxyRequest.typicalFirstEvent, proxyRequest.route.CallerStreamTimeout/2)
 	}
 	proxyRequest.typicalTotal = min(total, timeout/2)
 }
@@ -34,10 +34,10 @@
 // goal, or zero if it has none. An interrupted stream has none, since it is
 // resumed before other requests.
 func (proxyRequest *proxyRequest) latestSend() time.Time {
-	if proxyRequest.headersSent || proxyRequest.route.Target <= 0 {
+	if proxyRequest.headersSent || proxyRequest.route.ResponseGoal <= 0 {
 		return time.Time{}
 	}
-	return proxyRequest.started.Add(proxyRequest.route.Target - min(proxyRequest.typicalFirstEvent, proxyRequest.route.Target/2))
+	return proxyRequest.started.Add(proxyRequest.route.ResponseGoal - min(proxyRequest.typicalFirstEvent, proxyRequest.route.ResponseGoal/2))
 }
 
 // late reports whether the request misses its response-time goal.
@@ -50,8 +50,8 @@
 // its caller gives up.
 func (proxyRequest *proxyRequest) remainingWait() time.Duration {
 	remaining := time.Until(proxyRequest.deadline) - proxyRequest.typicalTotal
-	if proxyRequest.route.Stream && proxyRequest.route.Silence > 0 {
-		remaining = min(remaining, time.Until(proxyRequest.started.Add(proxyRequest.route.Silence))-proxyRequest.typicalFirstEvent-refusalMargin)
+	if proxyRequest.route.Streaming && proxyRequest.route.CallerStreamTimeout > 0 {
+		remaining = min(remaining, time.Until(proxyRequest.started.Add(proxyRequest.route.CallerStreamTimeout))-proxyRequest.typicalFirstEvent-refusalMargin)
 	}
 	return remaining
 }
@@ -80,9 +80,9 @@
 		// The caller has a part of the response. A retry would not bring it the rest
 		// sooner.
 		return nil
-	case choice.Result == picker.NoUpstream && waited > proxyRequest.route.Target/admissionWaitDivisor:
+	case choice.Result == picker.NoUpstream && waited > proxyRequest.route.ResponseGoal/admissionWaitDivisor:
 		return &refusal{http.StatusServiceUnavailable, "no upstream is ready", retryAfterFull}
-	case proxyRequest.service.Engine == nil && choice.Result == picker.Full && waited > proxyRequest.route.Target/admissionWaitDivisor:
+	case proxyRequest.service.Engine == nil && choice.Result == picker.Full && waited > proxyRequest.route.ResponseGoal/admissionWaitDivisor:
 		return &refusal{http.StatusServiceUnavailable, "all upstreams are full", retryAfterFull}
 	case proxyRequest.service.Engine != nil && proxyRequest.remainingWait() <= 0:
 		return timeoutRefusal(choice)
@@ -111,5 +111,5 @@
 	if proxyRequest.headersSent {
 		return time.Until(proxyRequest.deadline)
 	}
-	return proxyRequest.route.Target / admissionWaitDivisor
+	return proxyRequest.route.ResponseGoal / admissionWaitDivisor
 }
--- a/internal/daemon/relay/waitlimits_test.go
+++ b/internal/daemon/relay/waitlimits_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/flow/picker"
-	"jacinthfront.dev/jacinthfront/internal/state/table"
+	"jacinthfront.dev/jacinthfront/internal/state/routes"
 )
 
 // TestWaitRefusal guards the limit for requests that wait after all engines were
@@ -14,17 +14,17 @@
 // caller's deadline, and must be refused before that deadline, so that the caller
 // can retry.
 func TestWaitRefusal(t *testing.T) {
-	stream := table.Route{Name: "r", Stream: true, Target: 600 * time.Millisecond, Silence: 2400 * time.Millisecond}
+	stream := routes.Route{Name: "r", Streaming: true, ResponseGoal: 600 * time.Millisecond, CallerStreamTimeout: 2400 * time.Millisecond}
 	tests := []struct {
 		name    string
-		route   table.Route
+		route   routes.Route
 		timeout time.Duration
 		want    time.Duration
 	}{
 		{name: "until the caller abandons the stream", route: stream, timeout: 12 * time.Second, want: 2200 * time.Millisecond},
 		{name: "until it could not finish in time", route: stream, timeout: 3500 * time.Millisecond, want: 2 * time.Second},
 		{name: "half of a timeout below the typical latency", route: stream, timeout: 2 * time.Second, want: time.Second},
-		{name: "no stream", route: table.Route{Name: "r"}, timeout: 3 * time.Second, want: 1500 * time.Millisecond},
+		{name: "no stream", route: routes.Route{Name: "r"}, timeout: 3 * time.Second, want: 1500 * time.Millisecond},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -33,7 +33,7 @@
 				relay.latencies.recordFirstEvent("r", 100*time.Millisecond)
 				relay.latencies.recordTotal("r", 1500*time.Millisecond)
 				proxyRequest := &proxyRequest{
-					relay: relay, route: &test.route, service: &table.Service{Engine: &table.Engine{}},
+					relay: relay, route: &test.route, service: &routes.Service{Engine: &routes.Engine{}},
 					started: time.Now(), deadline: time.Now().Add(test.timeout),
 				}
 				proxyRequest.setTypicalLatencies()
--- a/internal/daemon/side/answer.go
+++ b/internal/daemon/side/answer.go
@@ -5,7 +5,7 @@
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 	"jacinthfront.dev/jacinthfront/internal/flow/dedup"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
@@ -125,7 +125,7 @@
 		RunningRequests: uint32(len(server.running)),
 		Slots:           uint32(server.table.Size()),
 		FreeSlots:       uint32(server.table.FreeSlots()),
-		ExpectedWaitUs:  server.queue.EstimateWait(time.Now(), "", model.Interactive, 0).Microseconds(),
+		ExpectedWaitUs:  server.queue.EstimateWait(time.Now(), "", conf.Interactive, 0).Microseconds(),
 		Draining:        server.draining,
 	}
 	for _, ref := range server.table.LoadedAdapters(maxReported) {
@@ -134,7 +134,7 @@
 	return report
 }
 
-func wireRan(ran fault.Ran) wirepb.Ran {
+func wireRan(ran fault.Execution) wirepb.Ran {
 	switch ran {
 	case fault.NotRun:
 		return wirepb.Ran_RAN_NOT_RUN
--- a/internal/daemon/side/claims.go
+++ b/internal/daemon/side/claims.go
@@ -45,7 +45,7 @@
 }
 
 func (claimer *claimer) partition(hash []byte) *partition {
-	index := dedup.PartitionOf(hash, claimer.config.Partitions)
+	index := dedup.PartitionOf(hash, claimer.config.ClaimPartitions)
 	claimer.mu.Lock()
 	defer claimer.mu.Unlock()
 	known, ok := claimer.byIndex[index]
@@ -110,7 +110,7 @@
 	hash := ticket.request.GetIdempotencyKeyHash()
 	ticket.claim = dedup.Claim{
 		RequestID: ticket.attempt.RequestID, RequestDigest: ticket.request.GetRequestDigest(),
-		Claimant: fmt.Sprintf("%s/%d/%d", claimer.config.Upstream, claimer.config.Incarnation, claimer.sequence.Add(1)),
+		Claimant: fmt.Sprintf("%s/%d/%d", claimer.config.UpstreamID, claimer.config.Incarnation, claimer.sequence.Add(1)),
 	}
 	record, err := dedup.ClaimRecord(ticket.organisation, hash, ticket.claim)
 	if err != nil {
--- a/internal/daemon/side/claims_test.go
+++ b/internal/daemon/side/claims_test.go
@@ -79,15 +79,17 @@
 		{"claimed elsewhere for another request", []step{{func(rig *rig) { rig.claimElsewhere(nil) }, "y", refused("idempotency-key-reused"), 0}}},
 		{"run elsewhere", []step{{func(rig *rig) { rig.claimElsewhere(&dedup.Outcome{Status: 201, Body: []byte("booked")}) }, "x", booked, 0}}},
 		{"run failed", []step{
-			{func(rig *rig) { rig.fake.call = func(context.Context, Call) (*Reply, error) { return nil, errCut } }, "x",
+			{func(rig *rig) {
+				rig.fake.call = func(context.Context, PlainRequest) (*PlainResponse, error) { return nil, errCut }
+			}, "x",
 				result{Failed: "upstream-failed", Ran: wirepb.Ran_RAN_UNKNOWN}, 1},
 			{nil, "x", unknown, 1},
 		}},
 		{"outcome during an outage, then a restart", []step{
 			{func(rig *rig) {
-				rig.fake.call = func(context.Context, Call) (*Reply, error) {
+				rig.fake.call = func(context.Context, PlainRequest) (*PlainResponse, error) {
 					logOut(true)(rig)
-					return &Reply{Status: 201, Body: io.NopCloser(strings.NewReader("booked"))}, nil
+					return &PlainResponse{Status: 201, Body: io.NopCloser(strings.NewReader("booked"))}, nil
 				}
 			}, "x", booked, 1},
 			{func(rig *rig) { logOut(false)(rig); rig.restart() }, "x", booked, 1},
@@ -123,13 +125,13 @@
 	for _, gone := range []bool{false, true} {
 		t.Run(fmt.Sprintf("first caller gone %v", gone), func(t *testing.T) {
 			inRig(t, plainUpstream, func(rig *rig) {
-				rig.fake.call = func(ctx context.Context, _ Call) (*Reply, error) {
+				rig.fake.call = func(ctx context.Context, _ PlainRequest) (*PlainResponse, error) {
 					select {
 					case <-time.After(time.Second):
 					case <-ctx.Done():
 						return nil, ctx.Err()
 					}
-					return &Reply{Status: 201, Body: io.NopCloser(strings.NewReader("booked"))}, nil
+					return &PlainResponse{Status: 201, Body: io.NopCloser(strings.NewReader("booked"))}, nil
 				}
 				ctx, cancel := context.WithCancel(rig.ctx)
 				defer cancel()
@@ -169,8 +171,8 @@
 	for _, test := range tests {
 		t.Run(fmt.Sprint(test.size), func(t *testing.T) {
 			inRig(t, plainUpstream, func(rig *rig) {
-				rig.fake.call = func(context.Context, Call) (*Reply, error) {
-					return &Reply{Status: 200, Body: io.NopCloser(bytes.NewReader(make([]byte, test.size)))}, nil
+				rig.fake.call = func(context.Context, PlainRequest) (*PlainResponse, error) {
+					return &PlainResponse{Status: 200, Body: io.NopCloser(bytes.NewReader(make([]byte, test.size)))}, nil
 				}
 				first := rig.do(rig.ctx, rig.request(keyed("x")))
 				again := rig.do(rig.ctx, rig.request(keyed("x")))
--- a/internal/daemon/side/delivery_test.go
+++ b/internal/daemon/side/delivery_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/zap/zaptest/observer"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
@@ -25,8 +25,8 @@
 // Guards against lost, repeated and foreign tokens when the engine's stream
 // breaks, and against a second run of work that must not be repeated.
 func TestBrokenStreams(t *testing.T) {
-	cuts := func(count int, index int64) func(Generation, *Token) error {
-		return func(_ Generation, token *Token) error {
+	cuts := func(count int, index int64) func(GenerateRequest, *Token) error {
+		return func(_ GenerateRequest, token *Token) error {
 			if token.Index == index && count > 0 {
 				count--
 				return errCut
@@ -38,30 +38,30 @@
 	tests := []struct {
 		name     string
 		change   func(*wirepb.RunRequest)
-		token    func(Generation, *Token) error
+		token    func(GenerateRequest, *Token) error
 		want     result
 		generate int
 	}{
 		{"cut once", nil, cuts(1, 1), whole, 2},
 		{"cut before the first token", nil, cuts(1, 0), whole, 2},
 		{"cut too often", nil, cuts(9, 1), result{Text: "t0 ", Failed: "upstream-failed", Ran: wirepb.Ran_RAN_RAN}, 1 + maxResumes},
-		{"engine forgot the request", nil, func(generation Generation, token *Token) error {
+		{"engine forgot the request", nil, func(generation GenerateRequest, token *Token) error {
 			if generation.ResumeFrom > 0 {
 				return fault.New(fault.UnknownRequest, fault.NotRun, "nothing to resume")
 			}
 			return cuts(1, 1)(generation, token)
 		}, result{Text: "t0 ", Failed: "upstream-failed", Ran: wirepb.Ran_RAN_RAN}, 1 + maxResumes},
 		{"cut of work that runs once", atMostOnce, cuts(1, 1), result{Text: "t0 ", Failed: "upstream-failed", Ran: wirepb.Ran_RAN_RAN}, 1},
-		{"repeated token", nil, func() func(Generation, *Token) error {
+		{"repeated token", nil, func() func(GenerateRequest, *Token) error {
 			repeat := true
-			return func(_ Generation, token *Token) error {
+			return func(_ GenerateRequest, token *Token) error {
 				if token.Index == 1 && repeat {
 					repeat, token.Index = false, 0
 				}
 				return nil
 			}
 		}(), whole, 1},
-		{"skipped token", nil, func(generation Generation, token *Token) error {
+		{"skipped token", nil, func(generation GenerateRequest, token *Token) error {
 			if token.Index == 1 && generation.ResumeFrom == 0 {
 				token.Index = 2
 			}
@@ -99,7 +99,7 @@
 	for index, change := range tests {
 		inRig(t, nil, func(rig *rig) {
 			stray := true
-			rig.fake.token = func(_ Generation, token *Token) error {
+			rig.fake.token = func(_ GenerateRequest, token *Token) error {
 				if token.Index == 1 && stray {
 					stray, token.Text, token.Index = false, "stray ", 0
 					change(token)
@@ -117,7 +117,7 @@
 // attempt of work that must not be repeated after one was dispatched.
 func TestAtMostOnce(t *testing.T) {
 	inRig(t, plainUpstream, func(rig *rig) {
-		rig.fake.call = func(context.Context, Call) (*Reply, error) { return nil, errCut }
+		rig.fake.call = func(context.Context, PlainRequest) (*PlainResponse, error) { return nil, errCut }
 		request := rig.request(plainCall)
 		unknown := result{Failed: "outcome-unknown", Ran: wirepb.Ran_RAN_UNKNOWN}
 		steps := []struct {
@@ -142,17 +142,17 @@
 // against one that it may have when the upstream never received it.
 func TestPlainFailures(t *testing.T) {
 	tests := []struct {
-		call func(context.Context, Call) (*Reply, error)
+		call func(context.Context, PlainRequest) (*PlainResponse, error)
 		want result
-		cost model.Tokens
+		cost conf.Tokens
 	}{
-		{func(context.Context, Call) (*Reply, error) {
+		{func(context.Context, PlainRequest) (*PlainResponse, error) {
 			return nil, fault.New(fault.UpstreamFailed, fault.NotRun, "connection refused")
 		}, refused("upstream-failed"), 0},
-		{func(context.Context, Call) (*Reply, error) {
-			return &Reply{Status: 200, Body: io.NopCloser(io.MultiReader(strings.NewReader("bo"), iotest.ErrReader(errCut)))}, nil
+		{func(context.Context, PlainRequest) (*PlainResponse, error) {
+			return &PlainResponse{Status: 200, Body: io.NopCloser(io.MultiReader(strings.NewReader("bo"), iotest.ErrReader(errCut)))}, nil
 		}, result{Text: "bo", Failed: "upstream-failed", Ran: wirepb.Ran_RAN_RAN}, 10},
-		{func(ctx context.Context, _ Call) (*Reply, error) {
+		{func(ctx context.Context, _ PlainRequest) (*PlainResponse, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}, result{Failed: "deadline-exceeded", Ran: wirepb.Ran_RAN_UNKNOWN}, 10},
@@ -184,12 +184,12 @@
 		{2, 100, 300 * time.Millisecond, time.Second, 2 * time.Second},
 	} {
 		prepare := func(config *Config) {
-			engine := config.Engine.(*fakeEngine)
+			engine := config.UpstreamClient.(*fakeEngine)
 			engine.slots, engine.tokens, engine.afterlife = test.slots, 1000, test.afterlife
 		}
 		inRig(t, prepare, func(rig *rig) {
-			rig.configs.edit(func(editor *model.Editor) {
-				editor.PutRoute(model.RouteSpec{Name: "chat", Service: "advisor", LongestWait: time.Minute, Idempotent: true})
+			rig.configs.edit(func(editor *conf.Editor) {
+				editor.PutRoute(conf.RouteSpec{Name: "chat", Service: "advisor", MaxWait: time.Minute, Idempotent: true})
 			})
 			ctx, cancel := context.WithCancel(rig.ctx)
 			results := rig.start(ctx, rig.request())
@@ -317,7 +317,7 @@
 	inRig(t, func(config *Config) { config.Logger = zap.New(core) }, func(rig *rig) {
 		secret := func(request *wirepb.RunRequest) { request.Body = []byte("prompt-text") }
 		rig.do(rig.ctx, rig.request(secret))
-		rig.configs.edit(func(editor *model.Editor) { editor.WithdrawKey("oak-key") })
+		rig.configs.edit(func(editor *conf.Editor) { editor.WithdrawKey("oak-key") })
 		rig.do(rig.ctx, rig.request(secret))
 		var lines []string
 		for _, entry := range logs.All() {
--- a/internal/daemon/side/dispatch.go
+++ b/internal/daemon/side/dispatch.go
@@ -51,7 +51,7 @@
 	}
 	if !server.records.Dispatch(time.Now(), ticket.attempt, ticket.repeat()) {
 		server.release(ticket)
-		return false, fault.New(fault.OutcomeUnknown, fault.Unknown, "the request was dispatched before; query its outcome by its id")
+		return false, fault.New(fault.OutcomeUnknown, fault.RunUnknown, "the request was dispatched before; query its outcome by its id")
 	}
 	server.mark(ticket)
 	return true, nil
@@ -90,14 +90,14 @@
 	server.taking[ticket.organisation]--
 	ticket.waited = time.Since(ticket.arrived)
 	server.count("dispatched")
-	server.place("dispatched request", ticket, zap.String("upstream", server.config.Upstream),
+	server.place("dispatched request", ticket, zap.String("upstream", server.config.UpstreamID),
 		zap.String("reason", "next in fair order"), zap.Duration("waited", ticket.waited),
 		zap.Duration("load-wait", ticket.loadWait), zap.Int("queued", server.queue.Len()))
 }
 
 // ending is how a dispatched request ended.
 type ending struct {
-	ran    fault.Ran
+	ran    fault.Execution
 	status uint32
 	// confirmed says that the upstream reported the end.
 	confirmed bool
--- a/internal/daemon/side/drain.go
+++ b/internal/daemon/side/drain.go
@@ -15,7 +15,7 @@
 	server.review()
 	live := server.live
 	server.mu.Unlock()
-	timer := time.NewTimer(server.config.DrainLimit)
+	timer := time.NewTimer(server.config.DrainTimeout)
 	defer timer.Stop()
 	for live > 0 {
 		select {
--- a/internal/daemon/side/fakes_test.go
+++ b/internal/daemon/side/fakes_test.go
@@ -22,13 +22,13 @@
 	"storj.io/drpc/drpcserver"
 
 	"jacinthfront.dev/jacinthfront/internal/flow/slots"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
 var ignoreDetail = cmpopts.IgnoreUnexported(result{})
 
-func plainUpstream(config *Config) { config.Upstream = "shop" }
+func plainUpstream(config *Config) { config.UpstreamID = "shop" }
 
 // plainCall makes a request a call of the plain service that must run once.
 func plainCall(request *wirepb.RunRequest) {
@@ -45,19 +45,19 @@
 
 // fakeConfigs is a configuration that tests change.
 type fakeConfigs struct {
-	config   atomic.Pointer[model.Config]
+	config   atomic.Pointer[conf.Config]
 	changed  atomic.Pointer[chan struct{}]
 	isolated atomic.Bool
 	hinted   atomic.Uint64
 }
 
-func (configs *fakeConfigs) Current() *model.Config   { return configs.config.Load() }
-func (configs *fakeConfigs) Changed() <-chan struct{} { return *configs.changed.Load() }
-func (configs *fakeConfigs) Hint(version uint64)      { configs.hinted.Store(version) }
-func (configs *fakeConfigs) Isolated() bool           { return configs.isolated.Load() }
-func (*fakeConfigs) ConfirmedAge() time.Duration      { return time.Hour }
+func (configs *fakeConfigs) Current() *conf.Config         { return configs.config.Load() }
+func (configs *fakeConfigs) Changed() <-chan struct{}      { return *configs.changed.Load() }
+func (configs *fakeConfigs) ObserveVersion(version uint64) { configs.hinted.Store(version) }
+func (configs *fakeConfigs) Isolated() bool                { return configs.isolated.Load() }
+func (*fakeConfigs) ConfirmedAge() time.Duration           { return time.Hour }
 
-func (configs *fakeConfigs) edit(change func(*model.Editor)) {
+func (configs *fakeConfigs) edit(change func(*conf.Editor)) {
 	editor := configs.Current().Edit()
 	change(editor)
 	configs.config.Store(editor.Commit(configs.Current().Version() + 1))
@@ -69,23 +69,23 @@
 // service and a plain one.
 func newFakeConfigs() *fakeConfigs {
 	configs, changed := &fakeConfigs{}, make(chan struct{})
-	configs.config.Store(model.New())
+	configs.config.Store(conf.New())
 	configs.changed.Store(&changed)
-	configs.edit(func(editor *model.Editor) {
+	configs.edit(func(editor *conf.Editor) {
 		for _, name := range []string{"oak", "ash"} {
-			editor.PutOrganisation(model.OrganisationSpec{Name: name, Half: model.Half(name + "-half"), Rate: 10000, Burst: 10000, Shards: []string{"up", "else"}})
-			editor.PutKey(model.KeySpec{ID: name + "-key", Organisation: name})
+			editor.PutOrganisation(conf.OrganisationSpec{Name: name, Half: conf.Half(name + "-half"), Rate: 10000, Burst: 10000, Shards: []string{"up", "else"}})
+			editor.PutKey(conf.KeySpec{ID: name + "-key", Organisation: name})
 		}
-		editor.PutRoute(model.RouteSpec{Name: "chat", Service: "advisor", LongestWait: 2 * time.Second, Idempotent: true, DefaultMaxTokens: 50})
-		editor.PutRoute(model.RouteSpec{Name: "book", Service: "counter", Plain: true, LongestWait: time.Second, Cost: 10})
-		editor.PutRoute(model.RouteSpec{Name: "slow", Service: "advisor", LongestWait: 20 * time.Second, Idempotent: true})
-		editor.PutRoute(model.RouteSpec{Name: "open", Service: "advisor", LongestWait: time.Second, Open: true})
+		editor.PutRoute(conf.RouteSpec{Name: "chat", Service: "advisor", MaxWait: 2 * time.Second, Idempotent: true, DefaultMaxTokens: 50})
+		editor.PutRoute(conf.RouteSpec{Name: "book", Service: "counter", Plain: true, MaxWait: time.Second, Cost: 10})
+		editor.PutRoute(conf.RouteSpec{Name: "slow", Service: "advisor", MaxWait: 20 * time.Second, Idempotent: true})
+		editor.PutRoute(conf.RouteSpec{Name: "open", Service: "advisor", MaxWait: time.Second, Open: true})
 		for _, name := range []string{"a", "b", "c", "d"} {
-			editor.PutAdapter(model.AdapterSpec{Name: name, Service: "advisor", Versions: []uint32{1, 2}})
+			editor.PutAdapter(conf.AdapterSpec{Name: name, Service: "advisor", Versions: []uint32{1, 2}})
 		}
-		editor.PutAdapter(model.AdapterSpec{Name: "private", Organisation: "ash", Service: "advisor", Versions: []uint32{1}})
-		editor.PutUpstream(model.UpstreamSpec{ID: "up", Service: "advisor"})
-		editor.PutUpstream(model.UpstreamSpec{ID: "shop", Service: "counter", Plain: true})
+		editor.PutAdapter(conf.AdapterSpec{Name: "private", Organisation: "ash", Service: "advisor", Versions: []uint32{1}})
+		editor.PutUpstream(conf.UpstreamSpec{ID: "up", Service: "advisor"})
+		editor.PutUpstream(conf.UpstreamSpec{ID: "shop", Service: "counter", Plain: true})
 	})
 	return configs
 }
@@ -113,9 +113,9 @@
 	tokens int64
 	pace   time.Duration
 	// token changes the token at an index; an error breaks the stream.
-	token func(generation Generation, token *Token) error
+	token func(generation GenerateRequest, token *Token) error
 	// call answers a plain call.
-	call func(ctx context.Context, call Call) (*Reply, error)
+	call func(ctx context.Context, call PlainRequest) (*PlainResponse, error)
 	// faults are violations that the engine saw.
 	faults []string
 }
@@ -174,13 +174,13 @@
 	})
 }
 
-func (engine *fakeEngine) State(context.Context) (State, error) {
+func (engine *fakeEngine) State(context.Context) (EngineState, error) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	if engine.silent {
-		return State{}, errCut
+		return EngineState{}, errCut
 	}
-	state := State{Epoch: engine.epoch, Slots: engine.slots, Fence: engine.fence, Loaded: slices.Collect(maps.Keys(engine.loaded))}
+	state := EngineState{Epoch: engine.epoch, Slots: engine.slots, FencingToken: engine.fence, Loaded: slices.Collect(maps.Keys(engine.loaded))}
 	for _, report := range engine.reports {
 		if time.Since(report.at) >= reportedLag {
 			state.Running = report.running
@@ -223,7 +223,7 @@
 	return nil
 }
 
-func (engine *fakeEngine) Generate(ctx context.Context, generation Generation) (Stream, error) {
+func (engine *fakeEngine) Generate(ctx context.Context, generation GenerateRequest) (Stream, error) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	engine.note("generate %s/%d %s from %d", generation.RequestID, generation.Attempt, generation.Ref, generation.ResumeFrom)
@@ -241,7 +241,7 @@
 type fakeStream struct {
 	engine     *fakeEngine
 	ctx        context.Context
-	generation Generation
+	generation GenerateRequest
 	next       int64
 	ended      bool
 }
@@ -279,7 +279,7 @@
 	}
 }
 
-func (stream *fakeStream) Finish() string { return "stop" }
+func (stream *fakeStream) FinishReason() string { return "stop" }
 
 // Close cancels the request; the engine works on for a while.
 func (stream *fakeStream) Close() {
@@ -291,7 +291,7 @@
 	}
 }
 
-func (engine *fakeEngine) Call(ctx context.Context, call Call) (*Reply, error) {
+func (engine *fakeEngine) CallPlain(ctx context.Context, call PlainRequest) (*PlainResponse, error) {
 	engine.mu.Lock()
 	engine.note("call %s %s %s", call.RequestID, call.Method, call.Path)
 	answer := engine.call
@@ -299,14 +299,14 @@
 	if answer != nil {
 		return answer(ctx, call)
 	}
-	return &Reply{Status: 201, Body: io.NopCloser(strings.NewReader("booked"))}, nil
+	return &PlainResponse{Status: 201, Body: io.NopCloser(strings.NewReader("booked"))}, nil
 }
 
 // fakeLimiter makes organisations wait that have no tokens.
 type fakeLimiter struct {
 	mu      sync.Mutex
-	level   map[string]model.Tokens
-	settled []model.Tokens
+	level   map[string]conf.Tokens
+	settled []conf.Tokens
 	// taken is called after each debit.
 	taken func()
 	// lapsed makes the next debits lapse before their commit.
@@ -316,10 +316,10 @@
 type fakeDebit struct {
 	limiter      *fakeLimiter
 	organisation string
-	tokens       model.Tokens
+	tokens       conf.Tokens
 }
 
-func (limiter *fakeLimiter) Take(ctx context.Context, organisation string, tokens model.Tokens) (Debit, error) {
+func (limiter *fakeLimiter) Reserve(ctx context.Context, organisation string, tokens conf.Tokens) (Reservation, error) {
 	for !limiter.debit(organisation, tokens) {
 		select {
 		case <-time.After(5 * time.Millisecond):
@@ -333,7 +333,7 @@
 	return fakeDebit{limiter, organisation, tokens}, nil
 }
 
-func (limiter *fakeLimiter) debit(organisation string, tokens model.Tokens) bool {
+func (limiter *fakeLimiter) debit(organisation string, tokens conf.Tokens) bool {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	enough := limiter.level[organisation] >= tokens
@@ -343,7 +343,7 @@
 	return enough
 }
 
-func (limiter *fakeLimiter) set(organisation string, tokens model.Tokens) {
+func (limiter *fakeLimiter) set(organisation string, tokens conf.Tokens) {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	limiter.level[organisation] = tokens
@@ -356,7 +356,7 @@
 	return debit.limiter.lapsed < 0
 }
 
-func (debit fakeDebit) Settle(used model.Tokens) {
+func (debit fakeDebit) Settle(used conf.Tokens) {
 	debit.limiter.mu.Lock()
 	defer debit.limiter.mu.Unlock()
 	debit.limiter.level[debit.organisation] += debit.tokens - used
@@ -400,15 +400,15 @@
 	}
 	records := log.records[stream]
 	if from >= uint64(len(records)) {
-		return LogPage{Next: from}, nil
+		return LogPage{NextOffset: from}, nil
 	}
-	return LogPage{Records: records[from:], Next: uint64(len(records))}, nil
+	return LogPage{Records: records[from:], NextOffset: uint64(len(records))}, nil
 }
 
 // fakeRoster says whether the upstream is leaving.
 type fakeRoster struct{ leaving atomic.Bool }
 
-func (roster *fakeRoster) Leaving(string) bool { return roster.leaving.Load() }
+func (roster *fakeRoster) Draining(string) bool { return roster.leaving.Load() }
 
 // rig is a Server with its fakes, served over net.Pipe.
 type rig struct {
@@ -452,11 +452,11 @@
 	t.Helper()
 	rig := &rig{
 		t: t, configs: newFakeConfigs(), fake: newFakeEngine(), log: &fakeLog{records: map[string][]LogRecord{}}, roster: &fakeRoster{},
-		limiter: &fakeLimiter{level: map[string]model.Tokens{"oak": 1e6, "ash": 1e6}},
+		limiter: &fakeLimiter{level: map[string]conf.Tokens{"oak": 1e6, "ash": 1e6}},
 		metrics: new(expvar.Map).Init(),
 	}
 	config := Config{
-		Upstream: "up", Configs: rig.configs, Engine: rig.fake, Limiter: rig.limiter, Log: rig.log,
+		UpstreamID: "up", ConfigSource: rig.configs, UpstreamClient: rig.fake, Limiter: rig.limiter, Log: rig.log,
 		Roster: rig.roster, Metrics: rig.metrics, Incarnation: 77,
 	}
 	if change != nil {
--- a/internal/daemon/side/flights.go
+++ b/internal/daemon/side/flights.go
@@ -104,7 +104,7 @@
 }
 
 func outcomeUnknown() *fault.Fault {
-	return fault.New(fault.OutcomeUnknown, fault.Unknown, "the request was run before and its outcome is not known; query it by its id")
+	return fault.New(fault.OutcomeUnknown, fault.RunUnknown, "the request was run before and its outcome is not known; query it by its id")
 }
 
 func keyReused() *fault.Fault {
--- a/internal/daemon/side/gate.go
+++ b/internal/daemon/side/gate.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // gate checks whether a ticket may be sent to the upstream now. It is called
@@ -12,7 +12,7 @@
 // the dispatch, immediately before the request is sent.
 func (server *Server) gate(ticket *ticket) *fault.Fault {
 	if server.draining {
-		return fault.New(fault.Leaving, fault.NotRun, "this side process is stopping; send the request to another upstream")
+		return fault.New(fault.Draining, fault.NotRun, "this side process is stopping; send the request to another upstream")
 	}
 	if refusal := server.gateSuccession(); refusal != nil {
 		return refusal
@@ -37,7 +37,7 @@
 }
 
 // gateKey checks that the key is valid and belongs to the organisation.
-func (server *Server) gateKey(config *model.Config, ticket *ticket) *fault.Fault {
+func (server *Server) gateKey(config *conf.Config, ticket *ticket) *fault.Fault {
 	route, ok := config.Route(ticket.request.GetRoute())
 	if !ok || route.Plain != ticket.plain {
 		return fault.New(fault.UnknownRoute, fault.NotRun, "the route %q does not exist; list the routes", ticket.request.GetRoute())
@@ -46,7 +46,7 @@
 	if id == "" && route.Open {
 		return nil
 	}
-	if server.config.Configs.Isolated() {
+	if server.config.ConfigSource.Isolated() {
 		return fault.New(fault.Stale, fault.NotRun,
 			"this side process cannot learn of withdrawn keys at present; send the request to another upstream")
 	}
@@ -64,7 +64,7 @@
 }
 
 // gateAdapter checks that the organisation may use the adapter in this version.
-func gateAdapter(config *model.Config, ticket *ticket) *fault.Fault {
+func gateAdapter(config *conf.Config, ticket *ticket) *fault.Fault {
 	if ticket.plain {
 		return nil
 	}
@@ -80,19 +80,19 @@
 
 // gateUpstream checks that the upstream serves the organisation's half and
 // stays.
-func (server *Server) gateUpstream(config *model.Config, ticket *ticket) *fault.Fault {
-	upstream, ok := config.Upstream(server.config.Upstream)
+func (server *Server) gateUpstream(config *conf.Config, ticket *ticket) *fault.Fault {
+	upstream, ok := config.Upstream(server.config.UpstreamID)
 	if !ok || upstream.Plain != ticket.plain || upstream.Service != ticket.route.Service {
 		return fault.New(fault.NoUpstream, fault.NotRun,
 			"this upstream does not serve %q; send the request to another upstream", ticket.route.Service)
 	}
 	organisation, _ := config.Organisation(ticket.organisation)
-	if !organisation.Half.Shares(upstream.Half) {
+	if !organisation.Half.CompatibleWith(upstream.Half) {
 		return fault.New(fault.WrongHalf, fault.NotRun,
 			"this upstream belongs to the half %q; send the request to an upstream of the organisation's half", upstream.Half)
 	}
-	if server.config.Roster.Leaving(server.config.Upstream) {
-		return fault.New(fault.Leaving, fault.NotRun, "this upstream is leaving; send the request to another upstream")
+	if server.config.Roster.Draining(server.config.UpstreamID) {
+		return fault.New(fault.Draining, fault.NotRun, "this upstream is leaving; send the request to another upstream")
 	}
 	return nil
 }
@@ -100,7 +100,7 @@
 // elsewhere reports whether a refused request may succeed at another upstream.
 func elsewhere(kind fault.Kind) bool {
 	switch kind {
-	case fault.Leaving, fault.WrongHalf, fault.NoUpstream, fault.LoadFailed,
+	case fault.Draining, fault.WrongHalf, fault.NoUpstream, fault.LoadFailed,
 		fault.Overloaded, fault.Stale, fault.UpstreamFailed:
 		return true
 	default:
--- a/internal/daemon/side/gate_test.go
+++ b/internal/daemon/side/gate_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
@@ -14,7 +14,7 @@
 type gateChange func(rig *rig, request *wirepb.RunRequest)
 
 // edited changes the configuration.
-func edited(change func(*model.Editor)) gateChange {
+func edited(change func(*conf.Editor)) gateChange {
 	return func(rig *rig, _ *wirepb.RunRequest) { rig.configs.edit(change) }
 }
 
@@ -33,19 +33,19 @@
 	}, "cancelled"},
 	{"cut off from withdrawals", func(rig *rig, _ *wirepb.RunRequest) { rig.configs.isolated.Store(true) }, "stale"},
 	{"upstream leaving", func(rig *rig, _ *wirepb.RunRequest) { rig.roster.leaving.Store(true) }, "leaving"},
-	{"key withdrawn", edited(func(editor *model.Editor) { editor.WithdrawKey("oak-key") }), "key-withdrawn"},
-	{"key moved to another organisation", edited(func(editor *model.Editor) {
-		editor.PutKey(model.KeySpec{ID: "oak-key", Organisation: "ash"})
+	{"key withdrawn", edited(func(editor *conf.Editor) { editor.WithdrawKey("oak-key") }), "key-withdrawn"},
+	{"key moved to another organisation", edited(func(editor *conf.Editor) {
+		editor.PutKey(conf.KeySpec{ID: "oak-key", Organisation: "ash"})
 	}), "forbidden"},
-	{"route removed", edited(func(editor *model.Editor) { editor.RemoveRoute("chat") }), "unknown-route"},
-	{"version removed", edited(func(editor *model.Editor) {
-		editor.PutAdapter(model.AdapterSpec{Name: "a", Service: "advisor", Versions: []uint32{2}})
+	{"route removed", edited(func(editor *conf.Editor) { editor.RemoveRoute("chat") }), "unknown-route"},
+	{"version removed", edited(func(editor *conf.Editor) {
+		editor.PutAdapter(conf.AdapterSpec{Name: "a", Service: "advisor", Versions: []uint32{2}})
 	}), "unknown-adapter"},
-	{"adapter given to another organisation", edited(func(editor *model.Editor) {
-		editor.PutAdapter(model.AdapterSpec{Name: "a", Organisation: "ash", Service: "advisor", Versions: []uint32{1}})
+	{"adapter given to another organisation", edited(func(editor *conf.Editor) {
+		editor.PutAdapter(conf.AdapterSpec{Name: "a", Organisation: "ash", Service: "advisor", Versions: []uint32{1}})
 	}), "forbidden"},
-	{"upstream moved to another half", edited(func(editor *model.Editor) {
-		editor.PutUpstream(model.UpstreamSpec{ID: "up", Service: "advisor", Half: "ash-half"})
+	{"upstream moved to another half", edited(func(editor *conf.Editor) {
+		editor.PutUpstream(conf.UpstreamSpec{ID: "up", Service: "advisor", Half: "ash-half"})
 	}), "wrong-half"},
 }
 
@@ -124,7 +124,7 @@
 func TestFreshen(t *testing.T) {
 	inRig(t, nil, func(rig *rig) {
 		time.AfterFunc(300*time.Millisecond, func() {
-			rig.configs.edit(func(editor *model.Editor) { editor.PutKey(model.KeySpec{ID: "new", Organisation: "oak"}) })
+			rig.configs.edit(func(editor *conf.Editor) { editor.PutKey(conf.KeySpec{ID: "new", Organisation: "oak"}) })
 		})
 		got := rig.do(rig.ctx, rig.request(func(request *wirepb.RunRequest) { request.KeyId, request.ConfigVersion = "new", 2 }))
 		if !got.Done || rig.configs.hinted.Load() != 2 {
@@ -136,9 +136,9 @@
 // Guards against work of the new half that starts while work of the old half
 // runs, and against queued work of the old half that runs after the move.
 func TestHalfMove(t *testing.T) {
-	move := func(half model.Half) func(*model.Editor) {
-		return func(editor *model.Editor) {
-			editor.PutUpstream(model.UpstreamSpec{ID: "up", Service: "advisor", Half: half})
+	move := func(half conf.Half) func(*conf.Editor) {
+		return func(editor *conf.Editor) {
+			editor.PutUpstream(conf.UpstreamSpec{ID: "up", Service: "advisor", Half: half})
 		}
 	}
 	inRig(t, nil, func(rig *rig) {
--- a/internal/daemon/side/hosted.go
+++ b/internal/daemon/side/hosted.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 type shardKey struct {
@@ -12,7 +12,7 @@
 	index        uint32
 }
 
-type shardSize struct{ rate, burst model.Tokens }
+type shardSize struct{ rate, burst conf.Tokens }
 
 // shards holds the quota shards that this process hosts.
 type shards struct {
@@ -27,14 +27,14 @@
 
 func newShards(config Config) *shards {
 	return &shards{
-		upstream: config.Upstream, make: config.NewShard,
+		upstream: config.UpstreamID, make: config.NewShard,
 		base:   ShardConfig{Lifetime: config.GrantLifetime, Margin: config.GrantMargin},
 		hosted: map[shardKey]Shard{}, sizes: map[shardKey]shardSize{},
 	}
 }
 
 // refresh brings the hosted shards in line with a configuration.
-func (shards *shards) refresh(config *model.Config) {
+func (shards *shards) refresh(config *conf.Config) {
 	if shards.make == nil || shards.filled && config.Version() == shards.version {
 		return
 	}
@@ -44,7 +44,7 @@
 		shards.host(wanted, organisation.Name, organisation.Shards, organisation.Rate, organisation.Burst)
 	}
 	fleet := config.Fleet()
-	shards.host(wanted, LoadPermits, fleet.LoadShards, model.Tokens(fleet.LoadRateMilli), model.Tokens(fleet.LoadBurst)*PermitCost)
+	shards.host(wanted, LoadPermitOrganisation, fleet.LoadShards, conf.Tokens(fleet.LoadRateMilli), conf.Tokens(fleet.LoadBurst)*PermitCost)
 	for key := range shards.hosted {
 		if !wanted[key] {
 			delete(shards.hosted, key)
@@ -54,9 +54,9 @@
 }
 
 // part returns a shard's part of a rate or burst. The parts add up to the whole.
-func part(whole model.Tokens, index, count int) model.Tokens {
-	share := whole / model.Tokens(count)
-	if model.Tokens(index) < whole%model.Tokens(count) {
+func part(whole conf.Tokens, index, count int) conf.Tokens {
+	share := whole / conf.Tokens(count)
+	if conf.Tokens(index) < whole%conf.Tokens(count) {
 		share++
 	}
 	return share
@@ -64,7 +64,7 @@
 
 // host creates or resizes the shards of an organisation that are on this
 // upstream.
-func (shards *shards) host(wanted map[shardKey]bool, organisation string, hosts []string, rate, burst model.Tokens) {
+func (shards *shards) host(wanted map[shardKey]bool, organisation string, hosts []string, rate, burst conf.Tokens) {
 	now := time.Now()
 	for index, upstream := range hosts {
 		if upstream != shards.upstream {
--- a/internal/daemon/side/linger.go
+++ b/internal/daemon/side/linger.go
@@ -55,7 +55,7 @@
 
 // settleLingers unpins the adapters of requests that have ended by the engine's
 // report, or that cannot run any more.
-func (server *Server) settleLingers(asked time.Time, state State, before []*ticket) {
+func (server *Server) settleLingers(asked time.Time, state EngineState, before []*ticket) {
 	server.ends = slices.DeleteFunc(server.ends, func(end time.Time) bool { return asked.Sub(end) >= reportLag })
 	kept := server.lingers[:0]
 	for _, linger := range server.lingers {
@@ -73,12 +73,12 @@
 // for, and disproves it when there are more than can be this process's own;
 // otherwise, reports that the engine gave well after the connection was closed
 // show that it has seen to the closed connection.
-func (server *Server) over(linger *linger, asked time.Time, state State, before []*ticket) bool {
+func (server *Server) over(linger *linger, asked time.Time, state EngineState, before []*ticket) bool {
 	age := asked.Sub(linger.ended)
 	switch {
 	case age < reportLag:
 		return false
-	case age >= server.config.RequestLimit:
+	case age >= server.config.RequestTimeout:
 		return true
 	case state.Listed && linger.inherited:
 		return len(state.Active) <= len(server.running)
@@ -94,7 +94,7 @@
 // accounted reports whether the engine works on no more than the requests that
 // are known to run. Those that began or ended around the report do not count
 // as known.
-func (server *Server) accounted(state State, before []*ticket) bool {
+func (server *Server) accounted(state EngineState, before []*ticket) bool {
 	known := 0
 	for _, ticket := range before {
 		if server.running[ticket] {
--- a/internal/daemon/side/loads.go
+++ b/internal/daemon/side/loads.go
@@ -26,7 +26,7 @@
 	began := time.Now()
 	err := server.give(ctx, order, generation)
 	server.logOrder(order, time.Since(began), err)
-	var held *State
+	var held *EngineState
 	if err != nil {
 		held = server.held(ctx)
 	}
@@ -56,8 +56,8 @@
 
 // held reads what the engine holds after an order failed: its reply may be
 // lost although the engine carried it out.
-func (server *Server) held(ctx context.Context) *State {
-	state, err := server.config.Engine.State(ctx)
+func (server *Server) held(ctx context.Context) *EngineState {
+	state, err := server.config.UpstreamClient.State(ctx)
 	if err != nil {
 		return nil
 	}
@@ -75,7 +75,7 @@
 	}
 	if order.Evict != (slots.AdapterRef{}) {
 		server.count("evictions")
-		if err := server.config.Engine.Unload(ctx, order.Evict.Adapter, order.Evict.Version); err != nil {
+		if err := server.config.UpstreamClient.Unload(ctx, order.Evict.Adapter, order.Evict.Version); err != nil {
 			return errors.Join(errNotEvicted, err)
 		}
 	}
@@ -83,12 +83,12 @@
 		return nil
 	}
 	server.count("loads")
-	return server.config.Engine.Load(ctx, order.Load.Adapter, order.Load.Version)
+	return server.config.UpstreamClient.Load(ctx, order.Load.Adapter, order.Load.Version)
 }
 
 // logOrder logs an order to the engine and its end.
 func (server *Server) logOrder(order slots.Order, took time.Duration, err error) {
-	fields := []zap.Field{zap.Stringer("adapter", order.Load), zap.Duration("took", took), zap.String("upstream", server.config.Upstream)}
+	fields := []zap.Field{zap.Stringer("adapter", order.Load), zap.Duration("took", took), zap.String("upstream", server.config.UpstreamID)}
 	if order.Evict != (slots.AdapterRef{}) {
 		fields = append(fields, zap.Stringer("evicted", order.Evict))
 	}
--- a/internal/daemon/side/loads_test.go
+++ b/internal/daemon/side/loads_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
@@ -70,7 +70,7 @@
 // Guards against an eviction that the engine refuses and that counts as a
 // failed load, which would turn the waiting requests away.
 func TestRefusedEviction(t *testing.T) {
-	inRig(t, func(config *Config) { config.Engine.(*fakeEngine).slots = 1 }, func(rig *rig) {
+	inRig(t, func(config *Config) { config.UpstreamClient.(*fakeEngine).slots = 1 }, func(rig *rig) {
 		rig.do(rig.ctx, rig.request())
 		rig.fake.set(func() { rig.fake.refusals = 1; rig.fake.loadErr = errCut })
 		time.AfterFunc(time.Millisecond, func() { rig.fake.set(func() { rig.fake.loadErr = nil }) })
@@ -168,7 +168,7 @@
 				t.Errorf("event %d of %+v: %v", index, got, event)
 			}
 		}
-		if diff := cmp.Diff([]model.Tokens{0, 0, 13}, rig.limiter.settled); diff != "" {
+		if diff := cmp.Diff([]conf.Tokens{0, 0, 13}, rig.limiter.settled); diff != "" {
 			t.Errorf("settled (-want +got):\n%s", diff)
 		}
 	})
@@ -177,15 +177,15 @@
 // fakeShard notes its configuration and answers with it.
 type fakeShard struct{ config ShardConfig }
 
-func (shard *fakeShard) Draw(_ time.Time, want, _ model.Tokens) (Grant, bool) {
+func (shard *fakeShard) Draw(_ time.Time, want, _ conf.Tokens) (Grant, bool) {
 	return Grant{ID: 5, Tokens: min(want, shard.config.Burst), Level: shard.config.Rate}, true
 }
 
-func (shard *fakeShard) Return(_ time.Time, _ uint64, tokens model.Tokens, _ bool) model.Tokens {
+func (shard *fakeShard) Return(_ time.Time, _ uint64, tokens conf.Tokens, _ bool) conf.Tokens {
 	return tokens
 }
 
-func (shard *fakeShard) Resize(_ time.Time, rate, burst model.Tokens) {
+func (shard *fakeShard) Resize(_ time.Time, rate, burst conf.Tokens) {
 	shard.config.Rate, shard.config.Burst = rate, burst
 }
 
@@ -194,9 +194,9 @@
 func TestShards(t *testing.T) {
 	newShard := func(config ShardConfig) Shard { return &fakeShard{config} }
 	inRig(t, func(config *Config) { config.NewShard = newShard }, func(rig *rig) {
-		rig.configs.edit(func(editor *model.Editor) {
-			editor.PutOrganisation(model.OrganisationSpec{Name: "oak", Rate: 501, Burst: 701, Shards: []string{"up", "else"}})
-			editor.PutFleet(model.FleetSpec{LoadRateMilli: 3000, LoadBurst: 8, LoadShards: []string{"up"}})
+		rig.configs.edit(func(editor *conf.Editor) {
+			editor.PutOrganisation(conf.OrganisationSpec{Name: "oak", Rate: 501, Burst: 701, Shards: []string{"up", "else"}})
+			editor.PutFleet(conf.FleetSpec{LoadRateMilli: 3000, LoadBurst: 8, LoadShards: []string{"up"}})
 		})
 		client := rig.client(rig.ctx)
 		tests := []struct {
@@ -209,7 +209,7 @@
 			{"hosted", &wirepb.DrawRequest{Organisation: "oak", Tokens: 1000}, 351, 251, false},
 			{"hosted elsewhere", &wirepb.DrawRequest{Organisation: "oak", Shard: 1, Tokens: 1000}, 0, 0, true},
 			{"unknown", &wirepb.DrawRequest{Organisation: "elm", Tokens: 1000}, 0, 0, true},
-			{"load permits", &wirepb.DrawRequest{Organisation: LoadPermits, Tokens: 10000}, 8000, 3000, false},
+			{"load permits", &wirepb.DrawRequest{Organisation: LoadPermitOrganisation, Tokens: 10000}, 8000, 3000, false},
 		}
 		for _, test := range tests {
 			got, err := client.Draw(rig.ctx, test.draw)
@@ -242,7 +242,7 @@
 // that goes first may arrive meanwhile.
 func TestPermitBeforeChoice(t *testing.T) {
 	inRig(t, func(config *Config) { config.Permits = slowPermits{} }, func(rig *rig) {
-		patient := func(request *wirepb.RunRequest) { request.Class = wirepb.Class(model.Patient) }
+		patient := func(request *wirepb.RunRequest) { request.Class = wirepb.Class(conf.Patient) }
 		letter := rig.start(rig.ctx, rig.request(adapter("a"), patient))
 		time.Sleep(100 * time.Millisecond)
 		chat := rig.start(rig.ctx, rig.request(adapter("b")))
--- a/internal/daemon/side/model.go
+++ b/internal/daemon/side/model.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
@@ -73,7 +73,7 @@
 
 // classify tells what an error of the engine means for the request.
 func (generation *generation) classify(ctx context.Context, err error) *fault.Fault {
-	ran := fault.Unknown
+	ran := fault.RunUnknown
 	if generation.began {
 		ran = fault.DidRun
 	}
@@ -101,7 +101,7 @@
 // error is the engine's, the second the caller's.
 func (generation *generation) relay(ctx context.Context) (engineErr, sendErr error) {
 	ticket := generation.ticket
-	stream, err := generation.server.config.Engine.Generate(ctx, Generation{
+	stream, err := generation.server.config.UpstreamClient.Generate(ctx, GenerateRequest{
 		RequestID: ticket.attempt.RequestID, Attempt: ticket.attempt.Number, Organisation: ticket.organisation,
 		Ref: ticket.ref, Class: class(ticket.request.GetClass()), MaxTokens: ticket.maxTokens,
 		ResumeFrom: generation.next, Method: ticket.request.GetMethod(), Path: ticket.request.GetPath(),
@@ -120,7 +120,7 @@
 	for {
 		token, err := stream.Next()
 		if errors.Is(err, io.EOF) {
-			generation.finish = stream.Finish()
+			generation.finish = stream.FinishReason()
 			return nil, nil
 		}
 		if err != nil {
@@ -172,7 +172,7 @@
 // complete ends an answer that the engine finished.
 func (generation *generation) complete() error {
 	ticket := generation.ticket
-	used := model.Tokens(ticket.request.GetPromptTokens() + generation.next)
+	used := conf.Tokens(ticket.request.GetPromptTokens() + generation.next)
 	ticket.debit.Settle(min(used, ticket.cost))
 	generation.server.finish(ticket, ending{ran: fault.DidRun, status: http.StatusOK, confirmed: true})
 	generation.server.count("done")
--- a/internal/daemon/side/partition.go
+++ b/internal/daemon/side/partition.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return 0, err
 	}
-	partition.fold.SkipTo(page.First)
+	partition.fold.SkipTo(page.FirstOffset)
 	for _, record := range page.Records {
 		partition.fold.Apply(record.Offset, record.Time, record.Data)
 	}
--- a/internal/daemon/side/plain.go
+++ b/internal/daemon/side/plain.go
@@ -16,13 +16,13 @@
 // runPlain sends a dispatched call to the plain service once and relays its
 // answer.
 func (server *Server) runPlain(ctx context.Context, ticket *ticket, answer *answer) error {
-	reply, err := server.config.Engine.Call(ctx, Call{
+	reply, err := server.config.UpstreamClient.CallPlain(ctx, PlainRequest{
 		RequestID: ticket.attempt.RequestID, Attempt: ticket.attempt.Number, Organisation: ticket.organisation,
 		Method: ticket.request.GetMethod(), Path: ticket.request.GetPath(),
 		Headers: upstreamHeaders(ticket), Body: ticket.request.GetBody(),
 	})
 	if err != nil {
-		return server.abortPlain(ticket, answer, plainFault(ctx, err, fault.Unknown), nil)
+		return server.abortPlain(ticket, answer, plainFault(ctx, err, fault.RunUnknown), nil)
 	}
 	defer func() { _ = reply.Body.Close() }()
 	if err := answer.started(ticket, reply.Status, callerHeaders(reply.Headers)); err != nil {
@@ -66,7 +66,7 @@
 }
 
 // plainFault tells what an error of the plain service means for the call.
-func plainFault(ctx context.Context, err error, ran fault.Ran) *fault.Fault {
+func plainFault(ctx context.Context, err error, ran fault.Execution) *fault.Fault {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return fault.New(fault.DeadlineExceeded, ran, "the call took longer than its time budget; query its outcome by its id")
--- a/internal/daemon/side/ports.go
+++ b/internal/daemon/side/ports.go
@@ -4,50 +4,52 @@
 	"context"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// Configs gives the current configuration.
-type Configs interface {
+// ConfigSource gives the current configuration.
+type ConfigSource interface {
 	// Current is never nil and never goes back.
-	Current() *model.Config
+	Current() *conf.Config
 	// Changed is closed at the next change.
 	Changed() <-chan struct{}
-	// Hint says that somebody showed this version.
-	Hint(version uint64)
+	// ObserveVersion says that somebody showed this version.
+	ObserveVersion(version uint64)
 	// Isolated says that withdrawals may not reach this process.
 	Isolated() bool
 	// ConfirmedAge is the time since the configuration was known to be current.
 	ConfirmedAge() time.Duration
 }
 
-// Debit is what a request took from its organisation's tokens.
-type Debit interface {
+// Reservation is what a request took from its organisation's tokens.
+type Reservation interface {
 	// Commit counts the request as dispatched now. It reports false when the
 	// tokens have lapsed since they were taken.
 	Commit() bool
 	// Settle returns the tokens that were not used.
-	Settle(used model.Tokens)
+	Settle(used conf.Tokens)
 }
 
 // Limiter debits the tokens of organisations.
 type Limiter interface {
-	// Take waits until it has tokens or ctx ends. Any other error refuses the
+	// Reserve waits until it has tokens or ctx ends. Any other error refuses the
 	// request.
-	Take(ctx context.Context, organisation string, tokens model.Tokens) (Debit, error)
+	Reserve(ctx context.Context, organisation string, tokens conf.Tokens) (Reservation, error)
 }
 
 // Estimator is implemented by a Limiter that knows how long tokens take.
 type Estimator interface {
-	EstimateWait(organisation string, tokens model.Tokens) time.Duration
+	EstimateWait(organisation string, tokens conf.Tokens) time.Duration
 }
 
 // unlimited is the default Limiter.
 type unlimited struct{}
 
-func (unlimited) Take(context.Context, string, model.Tokens) (Debit, error) { return unlimited{}, nil }
-func (unlimited) Commit() bool                                              { return true }
-func (unlimited) Settle(model.Tokens)                                       {}
+func (unlimited) Reserve(context.Context, string, conf.Tokens) (Reservation, error) {
+	return unlimited{}, nil
+}
+func (unlimited) Commit() bool       { return true }
+func (unlimited) Settle(conf.Tokens) {}
 
 // LogRecord is one record of a log stream.
 type LogRecord struct {
@@ -59,8 +61,8 @@
 // LogPage is a run of records. First is the oldest offset that the stream
 // still has; Next is the offset to read from next.
 type LogPage struct {
-	Records     []LogRecord
-	First, Next uint64
+	Records                 []LogRecord
+	FirstOffset, NextOffset uint64
 }
 
 // Log is the platform's log service.
@@ -71,13 +73,13 @@
 
 // Roster knows which instances are leaving.
 type Roster interface {
-	Leaving(upstream string) bool
+	Draining(upstream string) bool
 }
 
 // staying is the default Roster.
 type staying struct{}
 
-func (staying) Leaving(string) bool { return false }
+func (staying) Draining(string) bool { return false }
 
 // Permits bounds adapter loads across the fleet.
 type Permits interface {
--- a/internal/daemon/side/pump.go
+++ b/internal/daemon/side/pump.go
@@ -75,12 +75,12 @@
 // moving reports whether work of another half still runs, in which case new
 // work waits.
 func (server *Server) moving() bool {
-	upstream, ok := server.current().Upstream(server.config.Upstream)
+	upstream, ok := server.current().Upstream(server.config.UpstreamID)
 	if !ok {
 		return true
 	}
 	for ticket := range server.running {
-		if !ticket.half.Shares(upstream.Half) {
+		if !ticket.half.CompatibleWith(upstream.Half) {
 			return true
 		}
 	}
--- a/internal/daemon/side/run.go
+++ b/internal/daemon/side/run.go
@@ -7,7 +7,7 @@
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 	"jacinthfront.dev/jacinthfront/internal/flow/dedup"
 	"jacinthfront.dev/jacinthfront/internal/flow/fairq"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
@@ -66,7 +66,7 @@
 	case dedup.Tombstoned:
 		return fault.New(fault.Cancelled, fault.NotRun, "the attempt was cancelled; send the request anew")
 	case dedup.Duplicate, dedup.AlreadyRan:
-		return fault.New(fault.OutcomeUnknown, fault.Unknown, "the request was dispatched before; query its outcome by its id")
+		return fault.New(fault.OutcomeUnknown, fault.RunUnknown, "the request was dispatched before; query its outcome by its id")
 	case dedup.Accepted:
 	}
 	return nil
@@ -79,11 +79,11 @@
 	if server.current().Version() >= version {
 		return nil
 	}
-	server.config.Configs.Hint(version)
+	server.config.ConfigSource.ObserveVersion(version)
 	timer := time.NewTimer(shorter(freshWait, time.Duration(request.GetWaitBudgetUs())*time.Microsecond))
 	defer timer.Stop()
 	for {
-		changed := server.config.Configs.Changed()
+		changed := server.config.ConfigSource.Changed()
 		if server.current().Version() >= version {
 			return nil
 		}
@@ -130,7 +130,7 @@
 // deadline is when a request has taken as long as it may.
 func (server *Server) deadline(ticket *ticket) time.Time {
 	budget := time.Duration(ticket.request.GetTimeBudgetUs()) * time.Microsecond
-	return ticket.arrived.Add(shorter(budget, server.config.RequestLimit))
+	return ticket.arrived.Add(shorter(budget, server.config.RequestTimeout))
 }
 
 // enqueue admits a ticket to the queue or refuses it on arrival.
@@ -161,13 +161,13 @@
 
 // share returns what the organisation's requests may use.
 func (server *Server) share(name string) fairq.RateLimit {
-	if server.config.FirstCome {
+	if server.config.FirstComeFirstServed {
 		return fairq.RateLimit{}
 	}
 	organisation, _ := server.current().Organisation(name)
 	share := fairq.RateLimit{Rate: organisation.Rate, Burst: organisation.Burst}
 	if estimator, ok := server.config.Limiter.(Estimator); ok {
-		share.EstimateWait = func(tokens model.Tokens) time.Duration { return estimator.EstimateWait(name, tokens) }
+		share.EstimateWait = func(tokens conf.Tokens) time.Duration { return estimator.EstimateWait(name, tokens) }
 	}
 	return share
 }
