--- a/internal/daemon/side/shards.go
+++ b/internal/daemon/side/shards.go
@@ -4,21 +4,21 @@
 	"context"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// LoadPermits is the name under which the fleet's load permits are drawn. One
+// LoadPermitOrganisation is the name under which the fleet's load permits are drawn. One
 // load costs PermitCost tokens, since its rate is configured per 1,000 s.
 const (
-	LoadPermits              = "load-permits"
-	PermitCost  model.Tokens = 1000
+	LoadPermitOrganisation             = "load-permits"
+	PermitCost             conf.Tokens = 1000
 )
 
 // ShardConfig sets up a quota shard. Rate is in tokens per second.
 type ShardConfig struct {
-	Rate     model.Tokens
-	Burst    model.Tokens
+	Rate     conf.Tokens
+	Burst    conf.Tokens
 	Lifetime time.Duration
 	Margin   time.Duration
 	Start    time.Time
@@ -27,16 +27,16 @@
 // Grant is the answer of a Shard to a draw.
 type Grant struct {
 	ID         uint64
-	Tokens     model.Tokens
-	Level      model.Tokens
+	Tokens     conf.Tokens
+	Level      conf.Tokens
 	RetryAfter time.Duration
 }
 
 // Shard is one shard of an organisation's quota.
 type Shard interface {
-	Draw(now time.Time, want, least model.Tokens) (Grant, bool)
-	Return(now time.Time, id uint64, tokens model.Tokens, settled bool) model.Tokens
-	Resize(now time.Time, rate, burst model.Tokens)
+	Draw(now time.Time, want, least conf.Tokens) (Grant, bool)
+	Return(now time.Time, id uint64, tokens conf.Tokens, settled bool) conf.Tokens
+	Resize(now time.Time, rate, burst conf.Tokens)
 }
 
 // Draw implements wirepb.DRPCSideServer.
@@ -56,7 +56,7 @@
 	if !ok {
 		return nil, server.shards.missing(request.GetOrganisation())
 	}
-	grant, _ := shard.Draw(time.Now(), model.Tokens(request.GetTokens()), model.Tokens(request.GetLeast()))
+	grant, _ := shard.Draw(time.Now(), conf.Tokens(request.GetTokens()), conf.Tokens(request.GetLeast()))
 	response.GrantId, response.Tokens = grant.ID, int64(grant.Tokens)
 	response.Level = int64(grant.Level)
 	response.LifetimeUs = server.config.GrantLifetime.Microseconds()
@@ -76,6 +76,6 @@
 	if !ok {
 		return &wirepb.ReturnResponse{}, nil
 	}
-	credited := shard.Return(time.Now(), request.GetGrantId(), model.Tokens(request.GetTokens()), request.GetSettled())
+	credited := shard.Return(time.Now(), request.GetGrantId(), conf.Tokens(request.GetTokens()), request.GetSettled())
 	return &wirepb.ReturnResponse{Credited: int64(credited)}, nil
 }
--- a/internal/daemon/side/side.go
+++ b/internal/daemon/side/side.go
@@ -14,16 +14,16 @@
 	"jacinthfront.dev/jacinthfront/internal/flow/dedup"
 	"jacinthfront.dev/jacinthfront/internal/flow/fairq"
 	"jacinthfront.dev/jacinthfront/internal/flow/slots"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // Config sets up a Server. Upstream, Configs and Engine are required.
 type Config struct {
-	// Upstream is the id of the upstream in the configuration.
-	Upstream string
-	Configs  Configs
-	Engine   Upstream
-	Limiter  Limiter
+	// UpstreamID is the id of the upstream in the configuration.
+	UpstreamID     string
+	ConfigSource   ConfigSource
+	UpstreamClient UpstreamClient
+	Limiter        Limiter
 	// Log keeps idempotency claims; without it, requests with an idempotency
 	// key are refused.
 	Log     Log
@@ -38,19 +38,19 @@
 	Incarnation uint64
 	Queue       fairq.Config
 	Slots       slots.Config
-	Records     dedup.AttemptsConfig
-	// FirstCome serves requests in the order of their arrival, whatever their
+	Attempts    dedup.AttemptsConfig
+	// FirstComeFirstServed serves requests in the order of their arrival, whatever their
 	// organisation and class. It is for comparison.
-	FirstCome bool
+	FirstComeFirstServed bool
 	// MaxRunning bounds the requests at the upstream.
 	MaxRunning int
-	// Partitions is the number of claim streams.
-	Partitions  int
-	ClaimWindow time.Duration
-	// RequestLimit is the longest a request may take.
-	RequestLimit time.Duration
-	// DrainLimit is the longest that a planned stop waits for running work.
-	DrainLimit time.Duration
+	// ClaimPartitions is the number of claim streams.
+	ClaimPartitions int
+	ClaimWindow     time.Duration
+	// RequestTimeout is the longest a request may take.
+	RequestTimeout time.Duration
+	// DrainTimeout is the longest that a planned stop waits for running work.
+	DrainTimeout time.Duration
 	// GrantLifetime and GrantMargin apply to the hosted quota shards.
 	GrantLifetime time.Duration
 	GrantMargin   time.Duration
@@ -100,26 +100,26 @@
 	orDefault(&config.Logger, zap.NewNop())
 	orDefault(&config.Incarnation, uint64(time.Now().UnixMilli()))
 	orDefault(&config.MaxRunning, defaultMaxRunning)
-	orDefault(&config.Partitions, defaultPartitions)
-	orDefault(&config.RequestLimit, defaultRequestLimit)
-	orDefault(&config.DrainLimit, defaultDrainLimit)
+	orDefault(&config.ClaimPartitions, defaultPartitions)
+	orDefault(&config.RequestTimeout, defaultRequestLimit)
+	orDefault(&config.DrainTimeout, defaultDrainLimit)
 	orDefault(&config.GrantLifetime, defaultLifetime)
 	orDefault(&config.GrantMargin, defaultMargin)
-	config.Records.Incarnation = config.Incarnation
+	config.Attempts.Incarnation = config.Incarnation
 	return config
 }
 
 func (config Config) check() error {
 	switch {
-	case config.Upstream == "":
+	case config.UpstreamID == "":
 		return fault.New(fault.Invalid, fault.NotRun, "side: upstream is empty; set it to the id in the configuration")
-	case config.Configs == nil:
+	case config.ConfigSource == nil:
 		return fault.New(fault.Invalid, fault.NotRun, "side: no source of configurations; set Configs")
-	case config.Engine == nil:
+	case config.UpstreamClient == nil:
 		return fault.New(fault.Invalid, fault.NotRun, "side: no client of the upstream; set Engine")
-	case config.DrainLimit <= config.RequestLimit:
+	case config.DrainTimeout <= config.RequestTimeout:
 		return fault.New(fault.Invalid, fault.NotRun,
-			"side: drain limit %v does not exceed request limit %v; raise it", config.DrainLimit, config.RequestLimit)
+			"side: drain limit %v does not exceed request limit %v; raise it", config.DrainTimeout, config.RequestTimeout)
 	}
 	return nil
 }
@@ -178,7 +178,7 @@
 		shards:     newShards(config),
 		queue:      fairq.New[*ticket](config.Queue),
 		table:      slots.New(config.Slots),
-		records:    dedup.NewAttempts(config.Records),
+		records:    dedup.NewAttempts(config.Attempts),
 		flights:    map[flightKey]*flight{},
 		running:    map[*ticket]bool{},
 		taking:     map[string]int{},
@@ -206,6 +206,6 @@
 // Incarnation returns the start of this process as its callers see it.
 func (server *Server) Incarnation() uint64 { return server.config.Incarnation }
 
-func (server *Server) current() *model.Config { return server.config.Configs.Current() }
+func (server *Server) current() *conf.Config { return server.config.ConfigSource.Current() }
 
 func (server *Server) count(name string) { server.config.Metrics.Add(name, 1) }
--- a/internal/daemon/side/status.go
+++ b/internal/daemon/side/status.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // Status is what operators see of a side process.
@@ -22,10 +22,10 @@
 
 // ShardStatus is a hosted quota shard. Rate is in tokens per second.
 type ShardStatus struct {
-	Organisation string       `json:"organisation"`
-	Index        uint32       `json:"index"`
-	Rate         model.Tokens `json:"rate"`
-	Burst        model.Tokens `json:"burst"`
+	Organisation string      `json:"organisation"`
+	Index        uint32      `json:"index"`
+	Rate         conf.Tokens `json:"rate"`
+	Burst        conf.Tokens `json:"burst"`
 }
 
 // Status returns the state of the process.
@@ -33,7 +33,7 @@
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	status := Status{
-		Upstream: server.config.Upstream,
+		Upstream: server.config.UpstreamID,
 		Draining: server.draining,
 		Queued:   server.queue.Len(),
 		Running:  len(server.running),
--- a/internal/daemon/side/succession.go
+++ b/internal/daemon/side/succession.go
@@ -12,16 +12,16 @@
 // bids above its predecessors with its first report only. A higher token in a
 // later report belongs to a successor, so that of two processes at one engine
 // the one that began last stays, also when the other was paused meanwhile.
-func (server *Server) adoptFence(state State) {
+func (server *Server) adoptFence(state EngineState) {
 	switch {
-	case state.Fence <= server.fence:
+	case state.FencingToken <= server.fence:
 	case !server.engine.known:
-		server.fence = state.Fence + 1
+		server.fence = state.FencingToken + 1
 	case !server.succeeded:
 		server.succeeded = true
 		close(server.superseded)
 		server.config.Logger.Error("place: a later side process serves this upstream, stopping",
-			zap.String("upstream", server.config.Upstream), zap.Uint64("own-token", server.fence), zap.Uint64("engine-token", state.Fence))
+			zap.String("upstream", server.config.UpstreamID), zap.Uint64("own-token", server.fence), zap.Uint64("engine-token", state.FencingToken))
 		server.review()
 	}
 }
@@ -60,9 +60,9 @@
 // gateSuccession refuses while the process may have been succeeded.
 func (server *Server) gateSuccession() *fault.Fault {
 	if server.succeeded {
-		return fault.New(fault.Leaving, fault.NotRun, "a later side process serves this upstream; send the request again")
+		return fault.New(fault.Draining, fault.NotRun, "a later side process serves this upstream; send the request again")
 	}
-	if server.guard.unsure(time.Now(), server.config.Configs.ConfirmedAge()) {
+	if server.guard.unsure(time.Now(), server.config.ConfigSource.ConfirmedAge()) {
 		return fault.New(fault.Stale, fault.NotRun,
 			"this side process was paused and checks its configuration; send the request to another upstream").WithRetryAfter(statePoll)
 	}
--- a/internal/daemon/side/succession_test.go
+++ b/internal/daemon/side/succession_test.go
@@ -18,7 +18,7 @@
 	newer := uint64(0)
 	inRig(t, func(config *Config) {
 		newer = config.Incarnation + 90
-		config.Engine.(*fakeEngine).fence = newer
+		config.UpstreamClient.(*fakeEngine).fence = newer
 	}, func(rig *rig) {
 		if got := rig.do(rig.ctx, rig.request()); !got.Done {
 			t.Errorf("after a predecessor with a newer token: %+v", got)
@@ -40,7 +40,7 @@
 			t.Errorf("work for a succeeded process: %+v", got)
 		}
 		_, err := rig.Draw(context.Background(), &wirepb.DrawRequest{Organisation: "oak", Tokens: 1})
-		if refusal, ok := fault.As(err); !ok || refusal.Kind() != fault.Leaving {
+		if refusal, ok := fault.As(err); !ok || refusal.Kind() != fault.Draining {
 			t.Errorf("draw from a succeeded process: %v", err)
 		}
 	})
@@ -50,7 +50,7 @@
 // still uses.
 func TestInheritedAdapters(t *testing.T) {
 	inRig(t, func(config *Config) {
-		engine := config.Engine.(*fakeEngine)
+		engine := config.UpstreamClient.(*fakeEngine)
 		engine.slots = 1
 		engine.loaded[slots.AdapterRef{Adapter: "old", Version: 1}] = true
 		engine.work(1)
--- a/internal/daemon/side/ticket.go
+++ b/internal/daemon/side/ticket.go
@@ -7,7 +7,7 @@
 	"jacinthfront.dev/jacinthfront/internal/flow/dedup"
 	"jacinthfront.dev/jacinthfront/internal/flow/fairq"
 	"jacinthfront.dev/jacinthfront/internal/flow/slots"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
@@ -17,12 +17,12 @@
 	request      *wirepb.RunRequest
 	attempt      dedup.Attempt
 	organisation string
-	route        model.RouteSpec
+	route        conf.RouteSpec
 	ref          slots.AdapterRef
 	plain        bool
 	idempotent   bool
-	maxTokens    model.Tokens
-	cost         model.Tokens
+	maxTokens    conf.Tokens
+	cost         conf.Tokens
 	arrived      time.Time
 	longest      time.Duration
 
@@ -32,9 +32,9 @@
 	committed bool
 	// generation is the engine's at the time of the pin.
 	generation uint64
-	half       model.Half
+	half       conf.Half
 	// debit may be there before the dispatch, when the tokens took a while.
-	debit Debit
+	debit Reservation
 	sent  bool
 	// claim is what this process put on the log for an idempotency key.
 	claim dedup.Claim
@@ -46,7 +46,7 @@
 	firstToken time.Time
 }
 
-func (server *Server) newTicket(request *wirepb.RunRequest, route model.RouteSpec) *ticket {
+func (server *Server) newTicket(request *wirepb.RunRequest, route conf.RouteSpec) *ticket {
 	now := time.Now()
 	ticket := &ticket{
 		request:      request,
@@ -57,7 +57,7 @@
 		ref:          slots.AdapterRef{Adapter: request.GetAdapter(), Version: request.GetAdapterVersion()},
 		idempotent:   request.GetIdempotent() && route.Idempotent && len(request.GetIdempotencyKeyHash()) == 0,
 		arrived:      now,
-		longest:      shorter(time.Duration(request.GetWaitBudgetUs())*time.Microsecond, route.LongestWait),
+		longest:      shorter(time.Duration(request.GetWaitBudgetUs())*time.Microsecond, route.MaxWait),
 		verdict:      make(chan *fault.Fault, 1),
 	}
 	ticket.longest = shorter(ticket.longest, time.Duration(request.GetTimeBudgetUs())*time.Microsecond)
@@ -65,17 +65,17 @@
 		// Work without a key is charged to nobody, whatever the request says.
 		ticket.organisation = ""
 	}
-	ticket.maxTokens = model.Tokens(request.GetMaxTokens())
+	ticket.maxTokens = conf.Tokens(request.GetMaxTokens())
 	if ticket.maxTokens <= 0 {
 		ticket.maxTokens = route.DefaultMaxTokens
 	}
-	ticket.cost = model.Tokens(request.GetPromptTokens()) + ticket.maxTokens
+	ticket.cost = conf.Tokens(request.GetPromptTokens()) + ticket.maxTokens
 	if ticket.plain {
 		ticket.cost = route.Cost
 	}
 	ticket.entry = newEntry(ticket)
-	if server.config.FirstCome {
-		ticket.entry.Organisation, ticket.entry.Class = "", model.Interactive
+	if server.config.FirstComeFirstServed {
+		ticket.entry.Organisation, ticket.entry.Class = "", conf.Interactive
 	}
 	return ticket
 }
@@ -96,11 +96,11 @@
 	return left
 }
 
-func class(class wirepb.Class) model.Class {
+func class(class wirepb.Class) conf.Class {
 	if class == wirepb.Class_CLASS_PATIENT {
-		return model.Patient
+		return conf.Patient
 	}
-	return model.Interactive
+	return conf.Interactive
 }
 
 // keyed reports whether the request has an idempotency key.
--- a/internal/daemon/side/tokens.go
+++ b/internal/daemon/side/tokens.go
@@ -10,13 +10,13 @@
 // take debits the tokens of a committed ticket. It waits for a short time only,
 // since the ticket holds a place at the upstream, and returns no debit when
 // that does not suffice.
-func (server *Server) take(ctx context.Context, ticket *ticket) (Debit, error) {
+func (server *Server) take(ctx context.Context, ticket *ticket) (Reservation, error) {
 	if ticket.organisation == "" || ticket.cost <= 0 {
 		return unlimited{}, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, takeWait)
 	defer cancel()
-	debit, err := server.config.Limiter.Take(ctx, ticket.organisation, ticket.cost)
+	debit, err := server.config.Limiter.Reserve(ctx, ticket.organisation, ticket.cost)
 	if err != nil && ctx.Err() == nil {
 		return nil, fault.Wrap(err, fault.NotRun).WithRan(fault.NotRun)
 	}
@@ -55,7 +55,7 @@
 // gather waits for the tokens of one ticket in the queue on behalf of its
 // organisation, whose other requests wait behind it.
 func (server *Server) gather(ctx context.Context, ticket *ticket) {
-	debit, err := server.config.Limiter.Take(ctx, ticket.organisation, ticket.cost)
+	debit, err := server.config.Limiter.Reserve(ctx, ticket.organisation, ticket.cost)
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	ended := ctx.Err()
--- a/internal/daemon/side/upstream.go
+++ b/internal/daemon/side/upstream.go
@@ -5,28 +5,28 @@
 	"io"
 
 	"jacinthfront.dev/jacinthfront/internal/flow/slots"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// Upstream is the engine or plain service beside this process. Errors may be
+// UpstreamClient is the engine or plain service beside this process. Errors may be
 // faults; one with NotRun says that the upstream did not receive the request.
-type Upstream interface {
-	State(ctx context.Context) (State, error)
+type UpstreamClient interface {
+	State(ctx context.Context) (EngineState, error)
 	Load(ctx context.Context, adapter string, version uint32) error
 	Unload(ctx context.Context, adapter string, version uint32) error
-	Generate(ctx context.Context, generation Generation) (Stream, error)
-	Call(ctx context.Context, call Call) (*Reply, error)
+	Generate(ctx context.Context, generation GenerateRequest) (Stream, error)
+	CallPlain(ctx context.Context, call PlainRequest) (*PlainResponse, error)
 }
 
-// State is what an engine reports of itself.
-type State struct {
+// EngineState is what an engine reports of itself.
+type EngineState struct {
 	// Epoch changes when the engine starts anew.
-	Epoch   string
-	Slots   int
-	Loaded  []slots.AdapterRef
-	Fence   uint64
-	Running int
-	Waiting int
+	Epoch        string
+	Slots        int
+	Loaded       []slots.AdapterRef
+	FencingToken uint64
+	Running      int
+	Waiting      int
 	// Active lists the requests that the engine works on, if Listed is set.
 	Active []string
 	Listed bool
@@ -35,14 +35,14 @@
 // Header is one header of a request or an answer.
 type Header struct{ Name, Value string }
 
-// Generation is a request to an engine.
-type Generation struct {
+// GenerateRequest is a request to an engine.
+type GenerateRequest struct {
 	RequestID    string
 	Attempt      uint32
 	Organisation string
 	Ref          slots.AdapterRef
-	Class        model.Class
-	MaxTokens    model.Tokens
+	Class        conf.Class
+	MaxTokens    conf.Tokens
 	// ResumeFrom is the index of the first token to send.
 	ResumeFrom int64
 	Method     string
@@ -65,13 +65,13 @@
 type Stream interface {
 	// Next returns io.EOF after the engine's end marker only.
 	Next() (Token, error)
-	Finish() string
+	FinishReason() string
 	// Close cancels the request at the engine unless it has ended.
 	Close()
 }
 
-// Call is a request to a plain service.
-type Call struct {
+// PlainRequest is a request to a plain service.
+type PlainRequest struct {
 	RequestID    string
 	Attempt      uint32
 	Organisation string
@@ -81,8 +81,8 @@
 	Body         []byte
 }
 
-// Reply is the answer of a plain service.
-type Reply struct {
+// PlainResponse is the answer of a plain service.
+type PlainResponse struct {
 	Status  int
 	Headers []Header
 	Body    io.ReadCloser
--- a/internal/daemon/side/watch.go
+++ b/internal/daemon/side/watch.go
@@ -20,7 +20,7 @@
 	ticker := time.NewTicker(statePoll)
 	defer ticker.Stop()
 	for {
-		changed := server.config.Configs.Changed()
+		changed := server.config.ConfigSource.Changed()
 		server.follow()
 		select {
 		case <-ctx.Done():
@@ -66,14 +66,14 @@
 
 // poll reads the engine's state. Plain services have none.
 func (server *Server) poll(ctx context.Context) {
-	if upstream, ok := server.current().Upstream(server.config.Upstream); !ok || upstream.Plain {
+	if upstream, ok := server.current().Upstream(server.config.UpstreamID); !ok || upstream.Plain {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	asked := time.Now()
 	before := server.worked(asked)
-	state, err := server.config.Engine.State(ctx)
+	state, err := server.config.UpstreamClient.State(ctx)
 	if err != nil {
 		return
 	}
@@ -90,7 +90,7 @@
 }
 
 // restart takes over the state of an engine that started anew.
-func (server *Server) restart(state State) {
+func (server *Server) restart(state EngineState) {
 	first := !server.engine.known
 	server.engine.generation++
 	server.engine.epoch, server.engine.known = state.Epoch, true
@@ -101,5 +101,5 @@
 		server.inherit(now, state.Loaded)
 	}
 	server.config.Logger.Info("place: engine started anew", zap.String("epoch", state.Epoch),
-		zap.Int("slots", state.Slots), zap.Int("loaded", len(state.Loaded)), zap.String("upstream", server.config.Upstream))
+		zap.Int("slots", state.Slots), zap.Int("loaded", len(state.Loaded)), zap.String("upstream", server.config.UpstreamID))
 }
--- a/internal/daemon/start/entry.go
+++ b/internal/daemon/start/entry.go
@@ -11,14 +11,14 @@
 	"golang.org/x/sync/errgroup"
 	"storj.io/drpc"
 
+	"jacinthfront.dev/jacinthfront/internal/base/metric"
 	"jacinthfront.dev/jacinthfront/internal/base/setup"
-	"jacinthfront.dev/jacinthfront/internal/base/telem"
 	"jacinthfront.dev/jacinthfront/internal/daemon/entry"
 	"jacinthfront.dev/jacinthfront/internal/flow/policy"
 	"jacinthfront.dev/jacinthfront/internal/flow/retry"
 	"jacinthfront.dev/jacinthfront/internal/link/roster"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/creds"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
 )
 
 // Entry starts an entry instance.
@@ -43,31 +43,31 @@
 
 func newEntry(settings setup.Entry, parts *parts) (*entry.Entry, error) {
 	limits := entry.DefaultLimits()
-	limits.Body = settings.Limits.BodyBytes
-	limits.Headers = settings.Limits.HeaderBytes
-	limits.HeaderTime = settings.Limits.HeaderTime
-	limits.BodyTime = settings.Limits.BodyTime
-	limits.InFlight = settings.Limits.InFlight
-	limits.Request = settings.Limits.RequestLimit
-	limits.Drain = settings.Shutdown.DrainLimit
+	limits.MaxBodyBytes = settings.Limits.BodyBytes
+	limits.MaxHeaderBytes = settings.Limits.HeaderBytes
+	limits.HeaderTimeout = settings.Limits.HeaderTime
+	limits.BodyTimeout = settings.Limits.BodyTime
+	limits.MaxInFlight = settings.Limits.InFlight
+	limits.RequestTimeout = settings.Limits.RequestLimit
+	limits.DrainTimeout = settings.Shutdown.DrainLimit
 	budget, err := retry.New(retry.Config{Seed: routeSeed(settings)})
 	if err != nil {
 		return nil, err
 	}
 	return entry.New(entry.Config{
-		Configs: parts.syncer,
-		Roster:  entryRoster{parts},
-		Authenticate: func(config *model.Config, key string) (model.KeySpec, error) {
+		ConfigSource:   parts.syncer,
+		InstanceSource: entryRoster{parts},
+		Authenticate: func(config *conf.Config, key string) (conf.KeySpec, error) {
 			return creds.Authenticate(config, key)
 		},
-		Sides:     sides{parts},
-		NewPolicy: newPolicy(settings, parts),
-		NewHealth: newHealth,
-		Budget:    budget,
-		Admission: newAdmission(settings.Routing.Policy),
-		Logger:    parts.logger,
-		Counters:  telem.Map("entry"),
-		Limits:    limits,
+		SideDialer:  sides{parts},
+		NewPolicy:   newPolicy(settings, parts),
+		NewHealth:   newHealth,
+		RetryBudget: budget,
+		Admission:   newAdmission(settings.Routing.Policy),
+		Logger:      parts.logger,
+		Counters:    metric.Map("entry"),
+		Limits:      limits,
 	})
 }
 
@@ -123,23 +123,23 @@
 }
 
 func entryStatus(ready bool) entryDetail {
-	return entryDetail{Ready: ready, Counters: json.RawMessage(telem.Map("entry").String())}
+	return entryDetail{Ready: ready, Counters: json.RawMessage(metric.Map("entry").String())}
 }
 
 // entryRoster implements entry.Roster.
 type entryRoster struct{ parts *parts }
 
-// Side returns the side process of an upstream.
-func (list entryRoster) Side(upstream string) (entry.Instance, bool) {
-	instance, ok := list.parts.roster.Side(upstream)
-	return entry.Instance{Address: instance.Address, Leaving: instance.Leaving}, ok
+// SideProcess returns the side process of an upstream.
+func (list entryRoster) SideProcess(upstream string) (entry.Instance, bool) {
+	instance, ok := list.parts.roster.SideProcess(upstream)
+	return entry.Instance{Address: instance.Address, Draining: instance.Draining}, ok
 }
 
-// Entries returns the number of live entry instances.
-func (list entryRoster) Entries() int {
+// CountEntries returns the number of live entry instances.
+func (list entryRoster) CountEntries() int {
 	count := 0
 	for _, instance := range list.parts.roster.Instances() {
-		if instance.Role == roster.RoleEntry && !instance.Leaving {
+		if instance.Role == roster.RoleEntry && !instance.Draining {
 			count++
 		}
 	}
--- a/internal/daemon/start/leaving.go
+++ b/internal/daemon/start/leaving.go
@@ -9,15 +9,15 @@
 // leavingList implements side.Roster for one side process.
 type leavingList struct{ parts *parts }
 
-// Leaving reports whether the instance list shows this side process as leaving,
+// Draining reports whether the instance list shows this side process as leaving,
 // or a later one for the same upstream. A process that was paused while its
 // successor started finds out so, even where the upstream ignores fencing
 // tokens and the successor listens on another address.
-func (list leavingList) Leaving(upstream string) bool {
+func (list leavingList) Draining(upstream string) bool {
 	id := list.parts.settings.Instance
-	preferred, ok := list.parts.roster.Side(upstream)
+	preferred, ok := list.parts.roster.SideProcess(upstream)
 	if !ok || preferred.ID == id {
-		return preferred.Leaving
+		return preferred.Draining
 	}
 	instances := list.parts.roster.Instances()
 	index := slices.IndexFunc(instances, func(instance roster.Instance) bool { return instance.ID == id })
@@ -25,5 +25,5 @@
 		return false
 	}
 	own := instances[index]
-	return own.Leaving || preferred.Announced.After(own.Announced)
+	return own.Draining || preferred.AnnouncedAt.After(own.AnnouncedAt)
 }
--- a/internal/daemon/start/limiter.go
+++ b/internal/daemon/start/limiter.go
@@ -10,7 +10,7 @@
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 	"jacinthfront.dev/jacinthfront/internal/daemon/side"
 	"jacinthfront.dev/jacinthfront/internal/flow/quota"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
@@ -34,8 +34,8 @@
 
 // limits is the configured quota of an organisation or of the load permits.
 type limits struct {
-	rate  model.Tokens
-	burst model.Tokens
+	rate  conf.Tokens
+	burst conf.Tokens
 	hosts []string
 }
 
@@ -43,8 +43,8 @@
 	return &limiter{parts: parts, upstream: upstream, wallets: map[string]*walletEntry{}}
 }
 
-// Take waits for tokens of an organisation.
-func (limiter *limiter) Take(ctx context.Context, organisation string, tokens model.Tokens) (side.Debit, error) {
+// Reserve waits for tokens of an organisation.
+func (limiter *limiter) Reserve(ctx context.Context, organisation string, tokens conf.Tokens) (side.Reservation, error) {
 	wallet, err := limiter.wallet(organisation)
 	if err != nil {
 		return nil, err
@@ -62,7 +62,7 @@
 		return nil
 	}
 	for {
-		permit, err := limiter.Take(ctx, side.LoadPermits, side.PermitCost)
+		permit, err := limiter.Reserve(ctx, side.LoadPermitOrganisation, side.PermitCost)
 		if err != nil {
 			return err
 		}
@@ -76,7 +76,7 @@
 }
 
 // EstimateWait returns how long a request of this cost would wait for tokens.
-func (limiter *limiter) EstimateWait(organisation string, tokens model.Tokens) time.Duration {
+func (limiter *limiter) EstimateWait(organisation string, tokens conf.Tokens) time.Duration {
 	wallet, err := limiter.wallet(organisation)
 	if err != nil {
 		return 0
@@ -135,10 +135,10 @@
 
 func (limiter *limiter) limits(organisation string) (limits, bool) {
 	config := limiter.parts.syncer.Current()
-	if organisation == side.LoadPermits {
+	if organisation == side.LoadPermitOrganisation {
 		fleet := config.Fleet()
 		return limits{
-			rate: model.Tokens(fleet.LoadRateMilli), burst: model.Tokens(fleet.LoadBurst) * side.PermitCost, hosts: fleet.LoadShards,
+			rate: conf.Tokens(fleet.LoadRateMilli), burst: conf.Tokens(fleet.LoadBurst) * side.PermitCost, hosts: fleet.LoadShards,
 		}, true
 	}
 	spec, ok := config.Organisation(organisation)
@@ -155,7 +155,7 @@
 func (debit debit) Commit() bool { return debit.wallet.Commit(debit.taken) }
 
 // Settle returns the tokens that were not used.
-func (debit debit) Settle(used model.Tokens) { debit.wallet.Settle(debit.taken, used) }
+func (debit debit) Settle(used conf.Tokens) { debit.wallet.Settle(debit.taken, used) }
 
 // shardSource implements quota.Source for one organisation.
 type shardSource struct {
@@ -164,7 +164,7 @@
 }
 
 // Draw asks a shard for tokens.
-func (source shardSource) Draw(ctx context.Context, shard int, want, least model.Tokens) (quota.Grant, error) {
+func (source shardSource) Draw(ctx context.Context, shard int, want, least conf.Tokens) (quota.Grant, error) {
 	request := &wirepb.DrawRequest{
 		Organisation:  source.organisation,
 		Shard:         uint32(shard),
@@ -176,12 +176,12 @@
 	if err != nil {
 		return quota.Grant{}, err
 	}
-	source.limiter.parts.syncer.Hint(response.GetConfigVersion())
+	source.limiter.parts.syncer.ObserveVersion(response.GetConfigVersion())
 	return quota.Grant{
 		ID:          response.GetGrantId(),
 		Incarnation: response.GetIncarnation(),
-		Tokens:      model.Tokens(response.GetTokens()),
-		Level:       model.Tokens(response.GetLevel()),
+		Tokens:      conf.Tokens(response.GetTokens()),
+		Level:       conf.Tokens(response.GetLevel()),
 		Lifetime:    time.Duration(response.GetLifetimeUs()) * time.Microsecond,
 		RetryAfter:  time.Duration(response.GetRetryAfterUs()) * time.Microsecond,
 	}, nil
@@ -218,7 +218,7 @@
 		return local(source.limiter.own, ctx, request)
 	}
 	parts := source.limiter.parts
-	instance, ok := parts.roster.Side(host)
+	instance, ok := parts.roster.SideProcess(host)
 	if !ok {
 		return none, fault.New(fault.NoUpstream, fault.NotRun, "the instance list has no side process for upstream %s; start it", host)
 	}
--- a/internal/daemon/start/logs.go
+++ b/internal/daemon/start/logs.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return syncer.Page{}, err
 	}
-	result := syncer.Page{First: page.First, Next: page.Next}
+	result := syncer.Page{FirstOffset: page.FirstOffset, NextOffset: page.NextOffset}
 	for _, record := range page.Records {
 		result.Records = append(result.Records, syncer.Record(record))
 	}
@@ -38,7 +38,7 @@
 	if err != nil {
 		return side.LogPage{}, err
 	}
-	result := side.LogPage{First: page.First, Next: page.Next}
+	result := side.LogPage{FirstOffset: page.FirstOffset, NextOffset: page.NextOffset}
 	for _, record := range page.Records {
 		result.Records = append(result.Records, side.LogRecord(record))
 	}
--- a/internal/daemon/start/naive.go
+++ b/internal/daemon/start/naive.go
@@ -7,14 +7,14 @@
 	"jacinthfront.dev/jacinthfront/internal/daemon/side"
 	"jacinthfront.dev/jacinthfront/internal/flow/quota"
 	"jacinthfront.dev/jacinthfront/internal/flow/slots"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // useNaive configures a side process for comparison: first come, first served,
 // eviction of the least recently used adapter, and no tokens of its own. Load
 // permits and the feedback from load times stay as they are.
 func useNaive(config *side.Config) {
-	config.FirstCome = true
+	config.FirstComeFirstServed = true
 	config.Limiter = nil
 	// Use counts that decay at once leave the last use to decide on evictions,
 	// and demands that are late at once leave their age to decide on loads.
@@ -25,7 +25,7 @@
 type staticShares struct{ *quota.StaticLimiter }
 
 // Admit takes tokens from this instance's part.
-func (shares staticShares) Admit(now time.Time, entries int, organisation model.OrganisationSpec, tokens model.Tokens) (time.Duration, bool) {
+func (shares staticShares) Admit(now time.Time, entries int, organisation conf.OrganisationSpec, tokens conf.Tokens) (time.Duration, bool) {
 	return shares.Take(now, entries, organisation, tokens)
 }
 
--- a/internal/daemon/start/operators.go
+++ b/internal/daemon/start/operators.go
@@ -16,11 +16,11 @@
 // serveOperators serves the operator interface until ctx ends.
 func (parts *parts) serveOperators(ctx context.Context, process *Process) error {
 	operators, err := admin.New(admin.Config{
-		Instance: parts.settings.Instance,
-		Store:    parts.syncer,
-		Process:  process,
-		Fleet:    peerFleet{parts},
-		Logger:   parts.logger,
+		Instance:    parts.settings.Instance,
+		ConfigStore: parts.syncer,
+		Process:     process,
+		FleetStatus: peerFleet{parts},
+		Logger:      parts.logger,
 	})
 	if err != nil {
 		return err
@@ -58,7 +58,7 @@
 func (fleet peerFleet) ask(ctx context.Context, instance roster.Instance) admin.InstanceStatus {
 	ctx, cancel := context.WithTimeout(ctx, statusTime)
 	defer cancel()
-	status := admin.InstanceStatus{Instance: instance.ID, Role: instance.Role, Leaving: instance.Leaving}
+	status := admin.InstanceStatus{Instance: instance.ID, Role: instance.Role, Draining: instance.Draining}
 	conn, err := fleet.parts.pool.Get(ctx, instance.Address)
 	if err != nil {
 		status.Error = err.Error()
--- a/internal/daemon/start/parts.go
+++ b/internal/daemon/start/parts.go
@@ -11,8 +11,9 @@
 	"storj.io/drpc"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
+	"jacinthfront.dev/jacinthfront/internal/base/logs"
+	"jacinthfront.dev/jacinthfront/internal/base/metric"
 	"jacinthfront.dev/jacinthfront/internal/base/setup"
-	"jacinthfront.dev/jacinthfront/internal/base/telem"
 	"jacinthfront.dev/jacinthfront/internal/daemon/syncer"
 	"jacinthfront.dev/jacinthfront/internal/link/logsvc"
 	"jacinthfront.dev/jacinthfront/internal/link/roster"
@@ -25,7 +26,7 @@
 	environment Environment
 	settings    setup.Process
 	logger      *zap.Logger
-	certs       *conns.Certs
+	certs       *conns.CertReloader
 	pool        *conns.Pool
 	roster      *roster.Roster
 	log         *logsvc.Client
@@ -52,7 +53,7 @@
 func (parts *parts) prepare() error {
 	var err error
 	if parts.logger == nil {
-		parts.logger, err = telem.NewLogger(telem.LogConfig{
+		parts.logger, err = logs.NewLogger(logs.Config{
 			Level: parts.settings.Log.Level, Text: parts.settings.Log.Format == "text", Instance: parts.settings.Instance,
 		})
 		if err != nil {
@@ -61,11 +62,11 @@
 	}
 	config := conns.Config{Dial: parts.environment.Dial}
 	if files := parts.settings.TLS; files.Enabled() {
-		parts.certs, err = conns.NewCerts(conns.CertFiles{Cert: files.CertFile, Key: files.KeyFile, CA: files.CAFile})
+		parts.certs, err = conns.NewCertReloader(conns.CertFiles{Cert: files.CertFile, Key: files.KeyFile, CA: files.CAFile})
 		if err != nil {
 			return err
 		}
-		config.TLS = parts.certs.Client
+		config.TLS = parts.certs.ClientConfig
 	}
 	parts.pool = conns.New(config)
 	return nil
@@ -111,7 +112,7 @@
 		Retention:      parts.settings.LogRetention,
 	})
 	if err == nil {
-		telem.Map("config").Set(parts.settings.Instance, parts.syncer.Metrics())
+		metric.Map("config").Set(parts.settings.Instance, parts.syncer.Metrics())
 	}
 	return err
 }
@@ -140,7 +141,7 @@
 }
 
 // run serves peers and follows log, peers and instance list until ctx ends.
-func (parts *parts) run(ctx context.Context, group *errgroup.Group, register conns.Register) {
+func (parts *parts) run(ctx context.Context, group *errgroup.Group, register conns.RegisterServices) {
 	group.Go(func() error { return ended(ctx, parts.roster.Run(ctx)) })
 	group.Go(func() error { return ended(ctx, parts.syncer.Run(ctx)) })
 	group.Go(func() error { return ended(ctx, conns.Serve(ctx, parts.peers, parts.serverTLS(), register)) })
@@ -150,7 +151,7 @@
 	if parts.certs == nil {
 		return nil
 	}
-	return parts.certs.Server()
+	return parts.certs.ServerConfig()
 }
 
 // ended drops the errors with which parts report the end of their context.
--- a/internal/daemon/start/side.go
+++ b/internal/daemon/start/side.go
@@ -7,15 +7,15 @@
 	"golang.org/x/sync/errgroup"
 	"storj.io/drpc"
 
+	"jacinthfront.dev/jacinthfront/internal/base/metric"
 	"jacinthfront.dev/jacinthfront/internal/base/setup"
-	"jacinthfront.dev/jacinthfront/internal/base/telem"
 	"jacinthfront.dev/jacinthfront/internal/daemon/side"
 	"jacinthfront.dev/jacinthfront/internal/flow/fairq"
 	"jacinthfront.dev/jacinthfront/internal/flow/quota"
 	"jacinthfront.dev/jacinthfront/internal/flow/slots"
 	"jacinthfront.dev/jacinthfront/internal/link/engine"
 	"jacinthfront.dev/jacinthfront/internal/link/roster"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
@@ -41,25 +41,25 @@
 	return runSide(parts, server, limiter), nil
 }
 
-func newSide(settings setup.Side, parts *parts, limiter *limiter, upstream side.Upstream) (*side.Server, error) {
+func newSide(settings setup.Side, parts *parts, limiter *limiter, upstream side.UpstreamClient) (*side.Server, error) {
 	config := side.Config{
-		Upstream:     settings.Upstream.ID,
-		Configs:      parts.syncer,
-		Engine:       upstream,
-		Limiter:      limiter,
-		Permits:      limiter,
-		Log:          claimLog{parts.log},
-		Roster:       leavingList{parts},
-		NewShard:     newShard,
-		Metrics:      telem.Map("side"),
-		Logger:       parts.logger,
-		Queue:        fairq.Config{MaxRequests: settings.Queue.Requests, MaxTokens: model.Tokens(settings.Queue.Tokens)},
-		Slots:        slots.Config{Seed: settings.Seed},
-		MaxRunning:   settings.Upstream.Concurrency,
-		Partitions:   settings.Claims.Partitions,
-		ClaimWindow:  settings.Claims.Window,
-		RequestLimit: settings.RequestLimit,
-		DrainLimit:   settings.Shutdown.DrainLimit,
+		UpstreamID:      settings.Upstream.ID,
+		ConfigSource:    parts.syncer,
+		UpstreamClient:  upstream,
+		Limiter:         limiter,
+		Permits:         limiter,
+		Log:             claimLog{parts.log},
+		Roster:          leavingList{parts},
+		NewShard:        newShard,
+		Metrics:         metric.Map("side"),
+		Logger:          parts.logger,
+		Queue:           fairq.Config{MaxRequests: settings.Queue.Requests, MaxTokens: conf.Tokens(settings.Queue.Tokens)},
+		Slots:           slots.Config{Seed: settings.Seed},
+		MaxRunning:      settings.Upstream.Concurrency,
+		ClaimPartitions: settings.Claims.Partitions,
+		ClaimWindow:     settings.Claims.Window,
+		RequestTimeout:  settings.RequestLimit,
+		DrainTimeout:    settings.Shutdown.DrainLimit,
 	}
 	if settings.Policy == "naive" {
 		useNaive(&config)
@@ -104,7 +104,7 @@
 type hostedShard struct{ *quota.Shard }
 
 // Draw grants tokens.
-func (hosted hostedShard) Draw(now time.Time, want, least model.Tokens) (side.Grant, bool) {
+func (hosted hostedShard) Draw(now time.Time, want, least conf.Tokens) (side.Grant, bool) {
 	grant, ok := hosted.Shard.Draw(now, want, least)
 	return side.Grant{ID: grant.ID, Tokens: grant.Tokens, Level: grant.Level, RetryAfter: grant.RetryAfter}, ok
 }
--- a/internal/daemon/start/start.go
+++ b/internal/daemon/start/start.go
@@ -10,7 +10,7 @@
 
 	"go.uber.org/zap"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/wire/conns"
 )
 
@@ -57,7 +57,7 @@
 func (process *Process) Status() (role string, detail any) { return process.status() }
 
 // Config returns the configuration in force.
-func (process *Process) Config() *model.Config { return process.parts.syncer.Current() }
+func (process *Process) Config() *conf.Config { return process.parts.syncer.Current() }
 
 // Version returns the number of the configuration in force.
 func (process *Process) Version() uint64 { return process.Config().Version() }
--- a/internal/daemon/start/upstream.go
+++ b/internal/daemon/start/upstream.go
@@ -9,7 +9,7 @@
 	"jacinthfront.dev/jacinthfront/internal/daemon/side"
 	"jacinthfront.dev/jacinthfront/internal/flow/slots"
 	"jacinthfront.dev/jacinthfront/internal/link/engine"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // upstream implements side.Upstream with the HTTP client.
@@ -18,13 +18,13 @@
 }
 
 // State returns what the upstream reports of itself.
-func (upstream upstream) State(ctx context.Context) (side.State, error) {
+func (upstream upstream) State(ctx context.Context) (side.EngineState, error) {
 	state, err := upstream.client.State(ctx)
 	if err != nil {
-		return side.State{}, err
+		return side.EngineState{}, err
 	}
-	result := side.State{
-		Epoch: state.Epoch, Slots: state.Slots, Fence: state.Fence, Running: state.Running, Waiting: state.Waiting,
+	result := side.EngineState{
+		Epoch: state.Incarnation, Slots: state.Slots, FencingToken: state.FencingToken, Running: state.Running, Waiting: state.Waiting,
 	}
 	for _, ref := range state.Loaded {
 		result.Loaded = append(result.Loaded, slots.AdapterRef{Adapter: ref.Adapter, Version: ref.Version})
@@ -49,9 +49,9 @@
 )
 
 // Generate starts or resumes a generation.
-func (upstream upstream) Generate(ctx context.Context, generation side.Generation) (side.Stream, error) {
+func (upstream upstream) Generate(ctx context.Context, generation side.GenerateRequest) (side.Stream, error) {
 	priority := interactivePriority
-	if generation.Class == model.Patient {
+	if generation.Class == conf.Patient {
 		priority = patientPriority
 	}
 	stream, err := upstream.client.Generate(ctx, engine.Request{
@@ -71,15 +71,15 @@
 	return tokenStream{Stream: stream, generation: generation}, nil
 }
 
-// Call sends one call to a plain service.
-func (upstream upstream) Call(ctx context.Context, call side.Call) (*side.Reply, error) {
-	response, err := upstream.client.Call(ctx, engine.PlainRequest{
+// CallPlain sends one call to a plain service.
+func (upstream upstream) CallPlain(ctx context.Context, call side.PlainRequest) (*side.PlainResponse, error) {
+	response, err := upstream.client.CallPlain(ctx, engine.PlainRequest{
 		RequestID: call.RequestID, Method: call.Method, Path: call.Path, Headers: httpHeaders(call.Headers), Body: call.Body,
 	})
 	if err != nil {
 		return nil, err
 	}
-	reply := &side.Reply{Status: response.Status, Body: io.NopCloser(bytes.NewReader(response.Body))}
+	reply := &side.PlainResponse{Status: response.Status, Body: io.NopCloser(bytes.NewReader(response.Body))}
 	for name, values := range response.Headers {
 		for _, value := range values {
 			reply.Headers = append(reply.Headers, side.Header{Name: name, Value: value})
@@ -92,7 +92,7 @@
 // belong to the connection's request and adapter.
 type tokenStream struct {
 	engine.Stream
-	generation side.Generation
+	generation side.GenerateRequest
 }
 
 // Next returns the next token.
--- a/internal/daemon/syncer/differential_test.go
+++ b/internal/daemon/syncer/differential_test.go
@@ -14,9 +14,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"jacinthfront.dev/jacinthfront/internal/state/fold"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
+	"jacinthfront.dev/jacinthfront/internal/state/replay"
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 )
 
@@ -29,7 +29,7 @@
 
 // naive replays all records that the log ever took in order.
 type naive struct {
-	config   *model.Config
+	config   *conf.Config
 	accepted map[string]bool
 	read     int
 	states   [][]byte    // encoded state by version
@@ -38,14 +38,14 @@
 }
 
 func newNaive() *naive {
-	return &naive{config: model.New(), accepted: map[string]bool{}, states: [][]byte{nil}, times: []time.Time{{}}}
+	return &naive{config: conf.New(), accepted: map[string]bool{}, states: [][]byte{nil}, times: []time.Time{{}}}
 }
 
 func (naive *naive) replay(t *testing.T, records []Record) {
 	for _, record := range records[naive.read:] {
 		naive.read++
 		entry, err := codec.DecodeRecord(record.Data)
-		if err != nil || entry.Patch == nil || naive.accepted[entry.Patch.ID] || entry.Patch.Base != naive.config.Version() {
+		if err != nil || entry.Patch == nil || naive.accepted[entry.Patch.ID] || entry.Patch.BaseVersion != naive.config.Version() {
 			continue
 		}
 		next, result := patch.Apply(naive.config, *entry.Patch)
@@ -55,7 +55,7 @@
 		naive.config = next
 		naive.accepted[entry.Patch.ID] = true
 		naive.ids = append(naive.ids, entry.Patch.ID)
-		encoded, err := codec.EncodeState(fold.State{Config: next, Offset: record.Offset, Accepted: naive.ids})
+		encoded, err := codec.EncodeState(replay.State{Config: next, VersionOffset: record.Offset, RecentPatches: naive.ids})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -190,7 +190,7 @@
 	case 4:
 		schedule.outage()
 	case 5:
-		invalid := patch.Patch{ID: fmt.Sprintf("invalid-%d", len(schedule.trace)), Base: member.Current().Version(), Ops: []patch.Op{patch.RemoveAdapter{Name: "none"}}}
+		invalid := patch.Patch{ID: fmt.Sprintf("invalid-%d", len(schedule.trace)), BaseVersion: member.Current().Version(), Ops: []patch.Op{patch.RemoveAdapter{Name: "none"}}}
 		data, err := codec.EncodePatch(invalid)
 		if err != nil {
 			schedule.t.Fatal(err)
--- a/internal/daemon/syncer/exchange.go
+++ b/internal/daemon/syncer/exchange.go
@@ -7,8 +7,8 @@
 
 	"github.com/zeebo/errs"
 
-	"jacinthfront.dev/jacinthfront/internal/state/fold"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
+	"jacinthfront.dev/jacinthfront/internal/state/replay"
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
@@ -18,11 +18,11 @@
 
 // maxRounds bounds the calls of one exchange: the chunks of a snapshot and the
 // patches after it.
-const maxRounds = fold.MaxChunks + 64
+const maxRounds = replay.MaxChunks + 64
 
 // transfer is a snapshot that is being fetched from a peer.
 type transfer struct {
-	chunks []fold.Chunk
+	chunks []replay.Chunk
 }
 
 // syncWith calls a peer until it has nothing newer.
@@ -60,7 +60,7 @@
 	request := &wirepb.SyncRequest{
 		Instance:       syncer.config.Instance,
 		Version:        syncer.fold.Config().Version(),
-		Offset:         syncer.fold.Next(),
+		Offset:         syncer.fold.NextOffset(),
 		ConfirmedAgeUs: ageToWire(syncer.fresh.age()),
 		Address:        syncer.config.Address,
 	}
@@ -86,7 +86,7 @@
 		}
 	}()
 	if micros := response.GetSnapshotTimeUs(); micros > 0 {
-		syncer.log.snapshots.Note(time.UnixMicro(micros))
+		syncer.log.snapshots.RecordComplete(time.UnixMicro(micros))
 	}
 	if response.GetSnapshot() != nil {
 		return true, syncer.takeChunk(response.GetSnapshot(), transfer)
@@ -101,7 +101,7 @@
 func (syncer *Syncer) takePatches(records []*wirepb.PatchRecord) error {
 	for _, wire := range records {
 		record := codec.PatchFromWire(wire)
-		if record.Base != syncer.fold.Config().Version() {
+		if record.BaseVersion != syncer.fold.Config().Version() {
 			// The log or another peer brought this patch meanwhile.
 			continue
 		}
@@ -141,7 +141,7 @@
 	if sha256.Sum256(encoded) != chunk.Digest {
 		return Class.New("the snapshot of version %d from a peer does not match its digest", chunk.Version)
 	}
-	syncer.adopt(encoded, chunk.Next)
+	syncer.adopt(encoded, chunk.ResumeOffset)
 	return nil
 }
 
@@ -156,7 +156,7 @@
 		return true, nil
 	}
 	if version == response.GetVersion() {
-		syncer.fold.Caught(response.GetOffset())
+		syncer.fold.AdvanceTo(response.GetOffset())
 	}
 	if age, ok := ageFromWire(response.GetConfirmedAgeUs()); ok {
 		// The age counts from before the call, so that it is never too small.
--- a/internal/daemon/syncer/follow.go
+++ b/internal/daemon/syncer/follow.go
@@ -7,8 +7,8 @@
 
 	"go.uber.org/zap"
 
-	"jacinthfront.dev/jacinthfront/internal/state/fold"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
+	"jacinthfront.dev/jacinthfront/internal/state/replay"
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 )
 
@@ -21,12 +21,12 @@
 	position  uint64
 	first     uint64
 	reached   bool
-	snapshots fold.Snapshots
+	snapshots replay.SnapshotTracker
 }
 
 // gapped reports whether records expired before they were folded. Until a
 // snapshot or a peer closes the gap, no record may be folded.
-func (syncer *Syncer) gapped() bool { return syncer.fold.Next() < syncer.log.first }
+func (syncer *Syncer) gapped() bool { return syncer.fold.NextOffset() < syncer.log.first }
 
 // followLog reads the log until the context ends.
 func (syncer *Syncer) followLog(ctx context.Context) error {
@@ -54,7 +54,7 @@
 	syncer.mutex.Lock()
 	if !syncer.log.reached {
 		// What a peer already gave need not be read again.
-		syncer.log.position = max(syncer.log.position, syncer.fold.Next())
+		syncer.log.position = max(syncer.log.position, syncer.fold.NextOffset())
 	}
 	from, wait := syncer.log.position, syncer.config.PollWait
 	if !syncer.log.reached {
@@ -77,7 +77,7 @@
 func (syncer *Syncer) foldPage(page Page, from uint64, sent time.Time) error {
 	syncer.mutex.Lock()
 	defer syncer.mutex.Unlock()
-	if page.Next < from {
+	if page.NextOffset < from {
 		return errors.New("the log ends before the records that were read from it")
 	}
 	log := &syncer.log
@@ -86,14 +86,14 @@
 		// A peer closed a gap meanwhile and moved the position.
 		return nil
 	}
-	log.first = max(log.first, page.First)
-	log.position = max(from, page.First)
-	if syncer.gapped() && !log.snapshots.Collect {
+	log.first = max(log.first, page.FirstOffset)
+	log.position = max(from, page.FirstOffset)
+	if syncer.gapped() && !log.snapshots.CollectData {
 		syncer.metrics.Add("gaps", 1)
 		syncer.config.Logger.Warn("config: records expired before they were read; waiting for a snapshot or a peer",
-			zap.Uint64("first", log.first), zap.Uint64("next", syncer.fold.Next()))
+			zap.Uint64("first", log.first), zap.Uint64("next", syncer.fold.NextOffset()))
 	}
-	log.snapshots.Collect = syncer.gapped()
+	log.snapshots.CollectData = syncer.gapped()
 	noted := false
 	for _, record := range page.Records {
 		if record.Offset < log.position {
@@ -111,8 +111,8 @@
 	if noted {
 		syncer.notify()
 	}
-	if log.position >= page.Next && !syncer.gapped() {
-		syncer.fold.Caught(log.position)
+	if log.position >= page.NextOffset && !syncer.gapped() {
+		syncer.fold.AdvanceTo(log.position)
 		syncer.fresh.confirm(sent)
 	}
 	return nil
@@ -136,7 +136,7 @@
 		return true
 	}
 	if !syncer.gapped() {
-		syncer.fold.Skip(record.Offset)
+		syncer.fold.SkipRecord(record.Offset)
 	}
 	return false
 }
@@ -144,7 +144,7 @@
 // foldPatch folds a patch and keeps it for peers when it is accepted. The
 // mutex is held.
 func (syncer *Syncer) foldPatch(offset uint64, record patch.Patch) patch.Result {
-	result, folded := syncer.fold.Patch(offset, record)
+	result, folded := syncer.fold.ApplyPatch(offset, record)
 	if !folded {
 		return result
 	}
@@ -166,9 +166,9 @@
 		syncer.metrics.Add("malformed-snapshots", 1)
 		return false
 	}
-	adopted := syncer.fold.Adopt(state, next)
+	adopted := syncer.fold.InstallState(state, next)
 	if !adopted && state.Config.Version() == syncer.fold.Config().Version() {
-		syncer.fold.Caught(next)
+		syncer.fold.AdvanceTo(next)
 	}
 	if adopted {
 		syncer.metrics.Add("snapshots-adopted", 1)
@@ -182,18 +182,18 @@
 // them. A process that starts thus need not read the whole log. The mutex is
 // held.
 func (syncer *Syncer) skipRead() {
-	if syncer.fold.Next() > syncer.log.position+syncer.config.MaxBehind {
-		syncer.log.position = syncer.fold.Next()
+	if syncer.fold.NextOffset() > syncer.log.position+syncer.config.MaxBehind {
+		syncer.log.position = syncer.fold.NextOffset()
 	}
 }
 
 // closeGap resumes reading at the fold's offset when no records are missing any
 // more. The mutex is held.
 func (syncer *Syncer) closeGap() {
-	if !syncer.log.snapshots.Collect || syncer.gapped() {
+	if !syncer.log.snapshots.CollectData || syncer.gapped() {
 		return
 	}
-	syncer.log.position = max(syncer.log.first, syncer.fold.Next())
-	syncer.log.snapshots.Collect = false
-	syncer.log.snapshots.Discard()
+	syncer.log.position = max(syncer.log.first, syncer.fold.NextOffset())
+	syncer.log.snapshots.CollectData = false
+	syncer.log.snapshots.DiscardData()
 }
--- a/internal/daemon/syncer/freshness.go
+++ b/internal/daemon/syncer/freshness.go
@@ -45,9 +45,9 @@
 	return syncer.fresh.age() > limit && !syncer.peers.answer(time.Now().Add(-limit))
 }
 
-// Hint tells that somebody showed this version. When it is newer, peers are
+// ObserveVersion tells that somebody showed this version. When it is newer, peers are
 // asked at once.
-func (syncer *Syncer) Hint(version uint64) {
+func (syncer *Syncer) ObserveVersion(version uint64) {
 	if version <= syncer.Current().Version() {
 		return
 	}
--- a/internal/daemon/syncer/gap_test.go
+++ b/internal/daemon/syncer/gap_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/fold"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
+	"jacinthfront.dev/jacinthfront/internal/state/replay"
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 )
 
@@ -13,9 +13,9 @@
 // from a snapshot older than the expired records, or from a page that was asked
 // for before a peer closed the gap.
 func TestGap(t *testing.T) {
-	folded := fold.New()
+	folded := replay.New()
 	for version := range uint64(3) {
-		if result, _ := folded.Patch(version, putUpstream(string(rune('a'+version)), version)); result.Kind != patch.Accepted {
+		if result, _ := folded.ApplyPatch(version, putUpstream(string(rune('a'+version)), version)); result.Kind != patch.Accepted {
 			t.Fatal(result)
 		}
 	}
@@ -30,7 +30,7 @@
 		return Record{Offset: offset, Time: time.Now(), Data: data}
 	}
 	chunk := func(offset, next uint64) Record {
-		data, err := codec.EncodeChunk(fold.Split(3, next, encoded)[0])
+		data, err := codec.EncodeChunk(replay.Split(3, next, encoded)[0])
 		return record(offset, data, err)
 	}
 	next, err := codec.EncodePatch(putUpstream("d", 3))
@@ -42,14 +42,14 @@
 		version  uint64
 		position uint64
 	}{
-		{name: "snapshot before the gap", version: 0, position: 61, pages: []Page{{First: 50, Next: 61, Records: []Record{chunk(60, 49)}}}},
-		{name: "snapshot at the gap", version: 3, position: 50, pages: []Page{{First: 50, Next: 61, Records: []Record{chunk(60, 50)}}}},
+		{name: "snapshot before the gap", version: 0, position: 61, pages: []Page{{FirstOffset: 50, NextOffset: 61, Records: []Record{chunk(60, 49)}}}},
+		{name: "snapshot at the gap", version: 3, position: 50, pages: []Page{{FirstOffset: 50, NextOffset: 61, Records: []Record{chunk(60, 50)}}}},
 		{name: "records after the snapshot are read again", version: 3, position: 55, pages: []Page{
-			{First: 50, Next: 62, Records: []Record{chunk(60, 55), patched}},
+			{FirstOffset: 50, NextOffset: 62, Records: []Record{chunk(60, 55), patched}},
 		}},
 		{name: "page asked for before a peer's snapshot", peer: 55, version: 3, position: 55, pages: []Page{
-			{First: 50, Next: 61, Records: []Record{record(60, nil, nil)}},
-			{First: 50, Next: 62, Records: []Record{patched}},
+			{FirstOffset: 50, NextOffset: 61, Records: []Record{record(60, nil, nil)}},
+			{FirstOffset: 50, NextOffset: 62, Records: []Record{patched}},
 		}},
 	}
 	for _, test := range tests {
@@ -63,7 +63,7 @@
 				if err := syncer.foldPage(page, from, time.Now()); err != nil {
 					t.Fatal(err)
 				}
-				from = page.Next
+				from = page.NextOffset
 				if index == 0 && test.peer > 0 {
 					syncer.mutex.Lock()
 					syncer.adopt(encoded, test.peer)
--- a/internal/daemon/syncer/publish.go
+++ b/internal/daemon/syncer/publish.go
@@ -51,7 +51,7 @@
 // Publish appends a patch to the log, reads it back and reports its result. A
 // returned error says that the patch was not appended.
 func (syncer *Syncer) Publish(ctx context.Context, record patch.Patch) (Report, error) {
-	if problem := patch.Check(record); problem != nil {
+	if problem := patch.Validate(record); problem != nil {
 		return syncer.report(record, patch.Result{ID: record.ID, Kind: patch.Invalid, Field: problem.Field, Reason: problem.Reason}), nil
 	}
 	if known := syncer.Result(record.ID); known.Kind != patch.Unknown {
@@ -64,7 +64,7 @@
 		return Report{}, fault.New(fault.Stale, fault.NotRun,
 			"this process has not reached the log for more than %v; publish through another instance or wait for the log", maxPublishAge)
 	}
-	syncer.awaitVersion(ctx, record.Base)
+	syncer.awaitVersion(ctx, record.BaseVersion)
 	// A patch that is void against the current version can only be void later:
 	// nothing is appended for it.
 	if _, result := patch.Apply(syncer.Current(), record); result.Kind != patch.Accepted {
@@ -127,7 +127,7 @@
 	defer cancel()
 	for syncer.Current().Version() < version {
 		changed := syncer.Changed()
-		syncer.Hint(version)
+		syncer.ObserveVersion(version)
 		if syncer.Current().Version() >= version {
 			return
 		}
@@ -186,7 +186,7 @@
 	case patch.Duplicate:
 		report.Advice = fmt.Sprintf("the patch was accepted before as version %d; nothing is to be done", result.Version)
 	case patch.Conflict:
-		report.Changes = syncer.changes(record.Base)
+		report.Changes = syncer.changes(record.BaseVersion)
 		report.Advice = fmt.Sprintf("read version %d, apply your change to it and publish that with base %d and a new id",
 			result.Version, result.Version)
 	case patch.Invalid:
--- a/internal/daemon/syncer/server.go
+++ b/internal/daemon/syncer/server.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/fold"
+	"jacinthfront.dev/jacinthfront/internal/state/replay"
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
@@ -22,7 +22,7 @@
 // serving is the encoded snapshot that peers are fetching.
 type serving struct {
 	mutex  sync.Mutex
-	chunks []fold.Chunk
+	chunks []replay.Chunk
 	used   time.Time
 }
 
@@ -31,10 +31,10 @@
 	syncer.mutex.Lock()
 	response := &wirepb.SyncResponse{
 		Version:        syncer.fold.Config().Version(),
-		Offset:         syncer.fold.Next(),
+		Offset:         syncer.fold.NextOffset(),
 		ConfirmedAgeUs: ageToWire(syncer.fresh.age()),
 	}
-	if newest := syncer.log.snapshots.Newest(); !newest.IsZero() {
+	if newest := syncer.log.snapshots.NewestComplete(); !newest.IsZero() {
 		response.SnapshotTimeUs = newest.UnixMicro()
 	}
 	bridged := syncer.tail.bridges(request.GetVersion())
@@ -72,7 +72,7 @@
 }
 
 // chunk returns the chunk of a snapshot that a caller wants.
-func (syncer *Syncer) chunk(request *wirepb.SyncRequest) (fold.Chunk, error) {
+func (syncer *Syncer) chunk(request *wirepb.SyncRequest) (replay.Chunk, error) {
 	serving := &syncer.serving
 	serving.mutex.Lock()
 	defer serving.mutex.Unlock()
@@ -82,12 +82,12 @@
 	} else if !syncer.servable(serving.chunks) {
 		chunks, err := syncer.encode()
 		if err != nil {
-			return fold.Chunk{}, err
+			return replay.Chunk{}, err
 		}
 		serving.chunks = chunks
 	}
 	if index >= len(serving.chunks) {
-		return fold.Chunk{}, Class.New("snapshot chunk %d of version %d does not exist", index, request.GetSnapshotVersion())
+		return replay.Chunk{}, Class.New("snapshot chunk %d of version %d does not exist", index, request.GetSnapshotVersion())
 	}
 	serving.used = time.Now()
 	return serving.chunks[index], nil
@@ -95,7 +95,7 @@
 
 // servable reports whether the patches after an encoded snapshot are all held,
 // so that a peer can continue from it.
-func (syncer *Syncer) servable(chunks []fold.Chunk) bool {
+func (syncer *Syncer) servable(chunks []replay.Chunk) bool {
 	if len(chunks) == 0 {
 		return false
 	}
@@ -106,15 +106,15 @@
 }
 
 // encode returns the current state as snapshot chunks.
-func (syncer *Syncer) encode() ([]fold.Chunk, error) {
+func (syncer *Syncer) encode() ([]replay.Chunk, error) {
 	syncer.mutex.Lock()
-	state, next := syncer.fold.State(), syncer.fold.Next()
+	state, next := syncer.fold.State(), syncer.fold.NextOffset()
 	syncer.mutex.Unlock()
 	encoded, err := codec.EncodeState(state)
 	if err != nil {
 		return nil, err
 	}
-	return fold.Split(state.Config.Version(), next, encoded), nil
+	return replay.Split(state.Config.Version(), next, encoded), nil
 }
 
 // forget drops an encoded snapshot that no peer has asked for lately.
--- a/internal/daemon/syncer/snapshot.go
+++ b/internal/daemon/syncer/snapshot.go
@@ -7,7 +7,7 @@
 	"github.com/zeebo/xxh3"
 	"go.uber.org/zap"
 
-	"jacinthfront.dev/jacinthfront/internal/state/fold"
+	"jacinthfront.dev/jacinthfront/internal/state/replay"
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 )
 
@@ -53,7 +53,7 @@
 	if version == 0 || syncer.gapped() || !syncer.log.reached {
 		return time.Time{}, false
 	}
-	newest := syncer.log.snapshots.Newest()
+	newest := syncer.log.snapshots.NewestComplete()
 	if newest.IsZero() {
 		// The log may hold one that this process has not seen.
 		newest = syncer.started
@@ -95,14 +95,14 @@
 
 // snapshotWritten reports whether a chunk or a newer complete snapshot is on
 // the log already.
-func (syncer *Syncer) snapshotWritten(chunk fold.Chunk, due time.Time) bool {
+func (syncer *Syncer) snapshotWritten(chunk replay.Chunk, due time.Time) bool {
 	syncer.mutex.Lock()
 	defer syncer.mutex.Unlock()
 	snapshots := &syncer.log.snapshots
-	return snapshots.Written(chunk).After(due) || snapshots.Newest().After(due)
+	return snapshots.LastAppended(chunk).After(due) || snapshots.NewestComplete().After(due)
 }
 
-func (syncer *Syncer) appendChunk(ctx context.Context, chunk fold.Chunk) error {
+func (syncer *Syncer) appendChunk(ctx context.Context, chunk replay.Chunk) error {
 	record, err := codec.EncodeChunk(chunk)
 	if err != nil {
 		return err
--- a/internal/daemon/syncer/syncer.go
+++ b/internal/daemon/syncer/syncer.go
@@ -15,8 +15,8 @@
 	"storj.io/drpc"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/state/fold"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
+	"jacinthfront.dev/jacinthfront/internal/state/replay"
 )
 
 // Stream is the log stream of the configuration.
@@ -32,9 +32,9 @@
 // Page is a part of a log stream. First is the oldest offset that the log still
 // holds, Next the offset that the next record will get.
 type Page struct {
-	Records []Record
-	First   uint64
-	Next    uint64
+	Records     []Record
+	FirstOffset uint64
+	NextOffset  uint64
 }
 
 // LogClient is the platform's log service.
@@ -131,12 +131,12 @@
 	metrics *expvar.Map
 	started time.Time
 
-	current atomic.Pointer[model.Config]
+	current atomic.Pointer[conf.Config]
 
 	mutex   sync.Mutex
 	changed chan struct{}
 	random  *rand.Rand
-	fold    *fold.Fold
+	fold    *replay.Replayer
 	tail    tail
 	log     logState
 	fresh   freshness
@@ -157,7 +157,7 @@
 		started: time.Now(),
 		changed: make(chan struct{}),
 		random:  rand.New(rand.NewPCG(config.Seed, 0)),
-		fold:    fold.New(),
+		fold:    replay.New(),
 		tail:    tail{limit: config.TailBytes},
 		kicks:   make(chan string, 16),
 	}
@@ -175,7 +175,7 @@
 }
 
 // Current returns the newest configuration. It never goes back.
-func (syncer *Syncer) Current() *model.Config { return syncer.current.Load() }
+func (syncer *Syncer) Current() *conf.Config { return syncer.current.Load() }
 
 // Changed returns a channel that is closed at the next change of Current or of
 // a patch's result. Ask for a new one after each change.
--- a/internal/daemon/syncer/syncer_test.go
+++ b/internal/daemon/syncer/syncer_test.go
@@ -12,14 +12,14 @@
 	"github.com/google/go-cmp/cmp"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 )
 
 func putUpstream(id string, base uint64) patch.Patch {
-	return patch.Patch{ID: id, Base: base, Operator: "anna", Ops: []patch.Op{
-		patch.PutUpstream{Upstream: model.UpstreamSpec{ID: id, Service: "advisor", FailureDomain: "one"}},
+	return patch.Patch{ID: id, BaseVersion: base, Operator: "anna", Ops: []patch.Op{
+		patch.PutUpstream{Upstream: conf.UpstreamSpec{ID: id, Service: "advisor", FailureDomain: "one"}},
 	}}
 }
 
@@ -210,7 +210,7 @@
 		time.Sleep(time.Second)
 		world.expect(1, 0)
 		world.network.set("instance-1", false)
-		world.members[1].Hint(1)
+		world.members[1].ObserveVersion(1)
 		time.Sleep(100 * time.Millisecond)
 		world.expect(1, 1)
 	})
@@ -228,7 +228,7 @@
 		steps := []struct {
 			name   string
 			record patch.Patch
-			kind   patch.Kind
+			kind   patch.ResultKind
 			field  string
 			change []Change
 			advice string
--- a/internal/daemon/syncer/world_test.go
+++ b/internal/daemon/syncer/world_test.go
@@ -13,7 +13,7 @@
 	"storj.io/drpc"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
@@ -45,11 +45,11 @@
 func (log *fakeLog) page(from uint64) (Page, <-chan struct{}) {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
-	page := Page{Next: uint64(len(log.records))}
-	for page.First < page.Next && time.Since(log.records[page.First].Time) > log.retention {
-		page.First++
+	page := Page{NextOffset: uint64(len(log.records))}
+	for page.FirstOffset < page.NextOffset && time.Since(log.records[page.FirstOffset].Time) > log.retention {
+		page.FirstOffset++
 	}
-	for offset := max(from, page.First); offset < page.Next && len(page.Records) < 8; offset++ {
+	for offset := max(from, page.FirstOffset); offset < page.NextOffset && len(page.Records) < 8; offset++ {
 		page.Records = append(page.Records, log.records[offset])
 	}
 	return page, log.changed
@@ -124,7 +124,7 @@
 	}
 	offset := link.log.add(data)
 	if loses := link.losing(); loses > 0 && link.log.chance(loses) {
-		return 0, fault.New(fault.LogUnavailable, fault.Unknown, "reply lost")
+		return 0, fault.New(fault.LogUnavailable, fault.RunUnknown, "reply lost")
 	}
 	return offset, nil
 }
@@ -158,7 +158,7 @@
 func (link *link) fail(ctx context.Context, hangs bool) error {
 	if hangs {
 		<-ctx.Done()
-		return fault.New(fault.LogUnavailable, fault.Unknown, "log does not answer")
+		return fault.New(fault.LogUnavailable, fault.RunUnknown, "log does not answer")
 	}
 	return fault.New(fault.LogUnavailable, fault.NotRun, "log is out")
 }
@@ -297,12 +297,12 @@
 // change returns a patch that puts one upstream or adapter.
 func change(random *rand.Rand, id string, base uint64) patch.Patch {
 	name := fmt.Sprintf("name-%d", random.IntN(40))
-	var op patch.Op = patch.PutUpstream{Upstream: model.UpstreamSpec{ID: name, Service: "advisor", FailureDomain: "one"}}
+	var op patch.Op = patch.PutUpstream{Upstream: conf.UpstreamSpec{ID: name, Service: "advisor", FailureDomain: "one"}}
 	switch random.IntN(4) {
 	case 0:
-		op = patch.PutAdapter{Adapter: model.AdapterSpec{Name: name, Service: "advisor", Versions: []uint32{1}, DefaultVersion: 1}}
+		op = patch.PutAdapter{Adapter: conf.AdapterSpec{Name: name, Service: "advisor", Versions: []uint32{1}, DefaultVersion: 1}}
 	case 1:
 		op = patch.RemoveAdapter{Name: name}
 	}
-	return patch.Patch{ID: id, Base: base, Operator: "anna", Ops: []patch.Op{op}}
+	return patch.Patch{ID: id, BaseVersion: base, Operator: "anna", Ops: []patch.Op{op}}
 }
--- a/internal/daemon/watch/watch.go
+++ b/internal/daemon/watch/watch.go
@@ -13,7 +13,7 @@
 
 	"go.uber.org/zap"
 
-	"jacinthfront.dev/jacinthfront/internal/base/telem"
+	"jacinthfront.dev/jacinthfront/internal/base/logs"
 )
 
 // ErrTrimmed means that the store removed records before they were read.
@@ -281,7 +281,7 @@
 		return
 	}
 	watcher.failing = true
-	watcher.config.Logger.Warn("follow: topic cannot be read", zap.String("topic", watcher.config.Name), telem.Error(err))
+	watcher.config.Logger.Warn("follow: topic cannot be read", zap.String("topic", watcher.config.Name), logs.ErrorField(err))
 	if watcher.config.OnFailure != nil {
 		watcher.config.OnFailure()
 	}
--- a/internal/flow/admit/admit.go
+++ b/internal/flow/admit/admit.go
@@ -72,8 +72,8 @@
 	Queued      int
 	UsedTokens  int64
 	TotalTokens int64
-	// Holds reports whether an adapter is loaded.
-	Holds func(lora.Adapter) bool
+	// HasAdapter reports whether an adapter is loaded.
+	HasAdapter func(lora.Adapter) bool
 }
 
 // Request is a request that waits for admission.
@@ -255,7 +255,7 @@
 	var eligible []*waiter
 	for _, entry := range controller.entries {
 		for _, waiter := range entry.waiters {
-			if !waiter.granted && controller.engineState.Holds != nil && controller.engineState.Holds(waiter.Adapter) {
+			if !waiter.granted && controller.engineState.HasAdapter != nil && controller.engineState.HasAdapter(waiter.Adapter) {
 				eligible = append(eligible, waiter)
 			}
 		}
--- a/internal/flow/admit/admit_test.go
+++ b/internal/flow/admit/admit_test.go
@@ -22,7 +22,7 @@
 // adapter.
 func newController() *Controller {
 	controller := New(Config{})
-	controller.Observe(EngineState{TotalTokens: 122_000, Holds: holdsAll})
+	controller.Observe(EngineState{TotalTokens: 122_000, HasAdapter: holdsAll})
 	return controller
 }
 
@@ -105,7 +105,7 @@
 			}
 			unprefilled = max(unprefilled-float64(time.Since(last).Milliseconds())*rate, 0)
 			last = time.Now()
-			controller.Observe(EngineState{Queued: int(unprefilled) / prompt, TotalTokens: 122_000, Holds: holdsAll})
+			controller.Observe(EngineState{Queued: int(unprefilled) / prompt, TotalTokens: 122_000, HasAdapter: holdsAll})
 			controller.SetRequests("entry", twoTokens, waiting)
 			granted, _ := controller.Grant()
 			for _, id := range granted["entry"] {
@@ -139,35 +139,35 @@
 	}{
 		{
 			name: "urgent first", guards: "patient requests admitted before interactive ones",
-			engineConfig: threeTokens, state: EngineState{TotalTokens: 122_000, Holds: holdsAll},
+			engineConfig: threeTokens, state: EngineState{TotalTokens: 122_000, HasAdapter: holdsAll},
 			requests: []Request{{ID: 1, PromptTokens: 4000, Priority: 1}, {ID: 2, PromptTokens: 4000, Priority: 0}},
 			want:     []uint64{2},
 		},
 		{
 			name: "missing adapter passed over", guards: "a request whose adapter is loading holds up the others",
 			engineConfig: threeTokens,
-			state:        EngineState{TotalTokens: 122_000, Holds: func(adapter lora.Adapter) bool { return adapter.Name != "a1" }},
+			state:        EngineState{TotalTokens: 122_000, HasAdapter: func(adapter lora.Adapter) bool { return adapter.Name != "a1" }},
 			requests:     []Request{{ID: 1, PromptTokens: 100, Adapter: lora.Adapter{Name: "a1"}}, {ID: 2, PromptTokens: 100, Adapter: lora.Adapter{Name: "a2"}}},
 			want:         []uint64{2},
 		},
 		{
 			name: "memory", guards: "an engine whose memory is full preempts streams",
-			engineConfig: threeTokens, state: EngineState{UsedTokens: 121_000, TotalTokens: 122_000, Holds: holdsAll},
+			engineConfig: threeTokens, state: EngineState{UsedTokens: 121_000, TotalTokens: 122_000, HasAdapter: holdsAll},
 			requests: requests(1460), want: nil,
 		},
 		{
 			name: "slots", guards: "more requests than an engine runs at once",
-			engineConfig: threeTokens, state: EngineState{Running: 63, TotalTokens: 122_000, Holds: holdsAll},
+			engineConfig: threeTokens, state: EngineState{Running: 63, TotalTokens: 122_000, HasAdapter: holdsAll},
 			requests: requests(100, 100), want: []uint64{1},
 		},
 		{
 			name: "larger than the window", guards: "the largest prompts are never admitted",
-			engineConfig: threeTokens, state: EngineState{TotalTokens: 122_000, Holds: holdsAll},
+			engineConfig: threeTokens, state: EngineState{TotalTokens: 122_000, HasAdapter: holdsAll},
 			requests: requests(20_000), want: []uint64{1},
 		},
 		{
 			name: "no long steps", guards: "prompts are held back although streams of two tokens per event stay within their gap",
-			engineConfig: twoTokens, state: EngineState{TotalTokens: 122_000, Holds: holdsAll},
+			engineConfig: twoTokens, state: EngineState{TotalTokens: 122_000, HasAdapter: holdsAll},
 			requests: requests(1460, 1460, 1460, 1460, 1460, 1460), want: []uint64{1, 2, 3, 4, 5, 6},
 		},
 		{
@@ -395,7 +395,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		here, away := lora.Adapter{Name: "here"}, lora.Adapter{Name: "away"}
 		controller := New(Config{})
-		controller.Observe(EngineState{TotalTokens: 122_000, Holds: func(adapter lora.Adapter) bool { return adapter == here }})
+		controller.Observe(EngineState{TotalTokens: 122_000, HasAdapter: func(adapter lora.Adapter) bool { return adapter == here }})
 		controller.SetRequests("entry", threeTokens, []Request{
 			{ID: 1, Adapter: away, PromptTokens: 5000}, {ID: 2, Adapter: here, PromptTokens: 1000}, {ID: 3, Adapter: here, PromptTokens: 200, Late: true},
 		})
--- a/internal/flow/admit/prefill.go
+++ b/internal/flow/admit/prefill.go
@@ -76,9 +76,9 @@
 	return sum
 }
 
-// NextTurn returns the time after which Grant may admit a request without any
+// NextGrant returns the time after which Grant may admit a request without any
 // other event, or 0 if no request is eligible or no grant is recent.
-func (controller *Controller) NextTurn() time.Duration {
+func (controller *Controller) NextGrant() time.Duration {
 	controller.mutex.Lock()
 	defer controller.mutex.Unlock()
 	queue := controller.queue()
--- a/internal/flow/cordon/cordon.go
+++ b/internal/flow/cordon/cordon.go
@@ -21,8 +21,8 @@
 	// DefaultListingDelay is how long after a mark was made an incarnation that
 	// the instance list names only later may still be the one that made it.
 	DefaultListingDelay = 30 * time.Second
-	// DefaultNewsAge is how long a mark is passed on to other instances.
-	DefaultNewsAge = 2 * time.Second
+	// DefaultAnnouncePeriod is how long a mark is passed on to other instances.
+	DefaultAnnouncePeriod = 2 * time.Second
 	// MaxBackoff bounds the backoff that an upstream can ask for.
 	MaxBackoff = 24 * time.Hour
 )
@@ -31,7 +31,7 @@
 type Config struct {
 	DrainRetention time.Duration
 	ListingDelay   time.Duration
-	NewsAge        time.Duration
+	AnnouncePeriod time.Duration
 }
 
 // Incarnation is one run of an upstream, from its start to its end.
@@ -66,7 +66,7 @@
 func New(config Config) *Set {
 	config.DrainRetention = cmp.Or(config.DrainRetention, DefaultDrainRetention)
 	config.ListingDelay = cmp.Or(config.ListingDelay, DefaultListingDelay)
-	config.NewsAge = cmp.Or(config.NewsAge, DefaultNewsAge)
+	config.AnnouncePeriod = cmp.Or(config.AnnouncePeriod, DefaultAnnouncePeriod)
 	return &Set{config: config, marks: make(map[string]*mark)}
 }
 
@@ -136,9 +136,9 @@
 	return time.UnixMilli(incarnation.StartedAt).After(known.madeAt) || now.Sub(known.madeAt) > set.config.ListingDelay
 }
 
-// Avoided reports whether an upstream must get no requests, and until when; a
+// Cordoned reports whether an upstream must get no requests, and until when; a
 // zero time means for good.
-func (set *Set) Avoided(incarnation Incarnation) (until time.Time, avoided bool) {
+func (set *Set) Cordoned(incarnation Incarnation) (until time.Time, avoided bool) {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
 	known, ok := set.marks[incarnation.ID]
@@ -165,7 +165,7 @@
 	now := time.Now()
 	var recent []Incarnation
 	for id, known := range set.marks {
-		if known.draining && now.Sub(known.madeAt) < set.config.NewsAge {
+		if known.draining && now.Sub(known.madeAt) < set.config.AnnouncePeriod {
 			recent = append(recent, Incarnation{ID: id, StartedAt: known.startedAt})
 		}
 	}
--- a/internal/flow/cordon/cordon_test.go
+++ b/internal/flow/cordon/cordon_test.go
@@ -53,7 +53,7 @@
 				set := New(Config{})
 				began := time.Now()
 				test.do(set)
-				until, got := set.Avoided(Incarnation{ID: "a", StartedAt: began.UnixMilli() + test.startedAfter})
+				until, got := set.Cordoned(Incarnation{ID: "a", StartedAt: began.UnixMilli() + test.startedAfter})
 				if diff := cmp.Diff(test.want, got); diff != "" {
 					t.Errorf("avoided (-want +got):\n%s", diff)
 				}
@@ -85,7 +85,7 @@
 		if diff := cmp.Diff([]Incarnation{firstIncarnation}, set.RecentlyDraining()); diff != "" {
 			t.Errorf("recently draining (-want +got):\n%s", diff)
 		}
-		time.Sleep(DefaultNewsAge)
+		time.Sleep(DefaultAnnouncePeriod)
 		if diff := cmp.Diff([]Incarnation(nil), set.RecentlyDraining()); diff != "" {
 			t.Errorf("later (-want +got):\n%s", diff)
 		}
@@ -156,7 +156,7 @@
 			known.late = true
 		}
 		for id, known := range model {
-			if _, got := set.Avoided(Incarnation{ID: id, StartedAt: known.startedAt}); got != known.refuses() && (!got || !known.late) {
+			if _, got := set.Cordoned(Incarnation{ID: id, StartedAt: known.startedAt}); got != known.refuses() && (!got || !known.late) {
 				return fmt.Sprintf("after step %d (%+v): %s avoided is %v", number, step, id, got)
 			}
 		}
--- a/internal/flow/dedup/attempts.go
+++ b/internal/flow/dedup/attempts.go
@@ -63,7 +63,7 @@
 type AttemptRecord struct {
 	Organisation string
 	Phase        Phase
-	Ran          fault.Ran
+	Ran          fault.Execution
 	Status       uint32
 
 	attempt   Attempt
@@ -163,13 +163,13 @@
 	if limit != Unlimited && attempts.ranBefore(attempt.RequestID) {
 		return false
 	}
-	record.Phase, record.Ran, record.changedAt = Running, fault.Unknown, now
+	record.Phase, record.Ran, record.changedAt = Running, fault.RunUnknown, now
 	return true
 }
 
 // End records the result of an attempt. If it is NotRun, the attempt is refused
 // and never dispatched.
-func (attempts *Attempts) End(now time.Time, attempt Attempt, ran fault.Ran, status uint32) {
+func (attempts *Attempts) End(now time.Time, attempt Attempt, ran fault.Execution, status uint32) {
 	record, ok := attempts.attempts[attempt]
 	if !ok || record.element != nil {
 		return
@@ -190,7 +190,7 @@
 
 // Cancel returns whether the attempt ran. It returns NotRun only if the attempt
 // was not dispatched and now has a tombstone, so that it never will be.
-func (attempts *Attempts) Cancel(now time.Time, attempt Attempt, incarnation uint64) fault.Ran {
+func (attempts *Attempts) Cancel(now time.Time, attempt Attempt, incarnation uint64) fault.Execution {
 	record, known := attempts.attempts[attempt]
 	if !known {
 		return attempts.storeTombstone(now, attempt, incarnation)
@@ -210,12 +210,12 @@
 // storeTombstone stores a tombstone for an attempt that has not arrived. It returns
 // Unknown without storing one if the attempt was sent to another incarnation, which
 // may have run it, or if no further record can be stored.
-func (attempts *Attempts) storeTombstone(now time.Time, attempt Attempt, incarnation uint64) fault.Ran {
+func (attempts *Attempts) storeTombstone(now time.Time, attempt Attempt, incarnation uint64) fault.Execution {
 	if incarnation != attempts.config.Incarnation {
-		return fault.Unknown
+		return fault.RunUnknown
 	}
 	if attempts.Full(now) {
-		return fault.Unknown
+		return fault.RunUnknown
 	}
 	record := &AttemptRecord{attempt: attempt, Phase: Refused, Ran: fault.NotRun, retain: true}
 	attempts.add(record)
--- a/internal/flow/dedup/dedup_test.go
+++ b/internal/flow/dedup/dedup_test.go
@@ -64,12 +64,12 @@
 func TestSecondAttempt(t *testing.T) {
 	tests := []struct {
 		limit    RunLimit
-		ran      fault.Ran
+		ran      fault.Execution
 		verdict  Verdict
 		dispatch bool
 	}{
 		{AtMostOnce, fault.DidRun, AlreadyRan, false},
-		{AtMostOnce, fault.Unknown, AlreadyRan, false},
+		{AtMostOnce, fault.RunUnknown, AlreadyRan, false},
 		{AtMostOnce, fault.NotRun, Accepted, true},
 		{OncePerClaim, fault.DidRun, Accepted, false},
 		{OncePerClaim, fault.NotRun, Accepted, true},
@@ -95,7 +95,7 @@
 	for index := range 11 {
 		want := fault.NotRun
 		if index == 10 {
-			want = fault.Unknown
+			want = fault.RunUnknown
 		}
 		if got := attempts.Cancel(start, Attempt{fmt.Sprint(index), 1}, 7); got != want {
 			t.Errorf("cancel %d: %v, want %v", index, got, want)
--- a/internal/flow/fairq/admission.go
+++ b/internal/flow/fairq/admission.go
@@ -4,17 +4,17 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // RateLimit is an organisation's rate, in tokens per second, and its burst. A zero
 // Rate means no limit.
 type RateLimit struct {
-	Rate  model.Tokens
-	Burst model.Tokens
+	Rate  conf.Tokens
+	Burst conf.Tokens
 	// EstimateWait, if set, estimates how long the organisation waits for an amount
 	// of tokens.
-	EstimateWait func(model.Tokens) time.Duration
+	EstimateWait func(conf.Tokens) time.Duration
 }
 
 // hardLimitFactor is the multiple of MaxRequests that may wait in total, including
@@ -49,13 +49,13 @@
 		return true
 	}
 	percent := 100
-	if entry.Class == model.Patient {
+	if entry.Class == conf.Patient {
 		percent = queue.config.PatientPercent
 	}
 	maxRequests := queue.config.MaxRequests * percent / 100
-	maxTokens := queue.config.MaxTokens * model.Tokens(percent) / 100
+	maxTokens := queue.config.MaxTokens * conf.Tokens(percent) / 100
 	own := queue.organisationQueue(entry.Organisation)
-	requests, tokens, active := 0, model.Tokens(0), 1
+	requests, tokens, active := 0, conf.Tokens(0), 1
 	for _, organisationQueue := range queue.ring {
 		if organisationQueue != own && (organisationQueue.rateLimited() || organisationQueue.empty()) {
 			continue
@@ -64,12 +64,12 @@
 			active++
 		}
 		requests += organisationQueue.requests()
-		tokens += organisationQueue.tokensAhead(model.Patient)
+		tokens += organisationQueue.tokensAhead(conf.Patient)
 	}
 	if requests < maxRequests && (requests == 0 || tokens+entry.Cost <= maxTokens) {
 		return false
 	}
-	return own.requests() >= maxRequests/active || own.tokensAhead(model.Patient)+entry.Cost > maxTokens/model.Tokens(active)
+	return own.requests() >= maxRequests/active || own.tokensAhead(conf.Patient)+entry.Cost > maxTokens/conf.Tokens(active)
 }
 
 // checkRate refuses an entry that the organisation's rate limit cannot serve in
@@ -95,7 +95,7 @@
 
 // accrualWait returns the least time in which a rate limit provides tokens. An
 // organisation that is rate limited has used up its burst.
-func accrualWait(limit RateLimit, tokens model.Tokens, rateLimited bool) time.Duration {
+func accrualWait(limit RateLimit, tokens conf.Tokens, rateLimited bool) time.Duration {
 	if !rateLimited {
 		tokens -= limit.Burst
 	}
@@ -110,9 +110,9 @@
 // upstream. While an organisation's own tokens are served, each other organisation
 // is served at most as many. Rate-limited requests do not count, since others
 // overtake them.
-func (queue *Queue[T]) EstimateWait(now time.Time, organisation string, class model.Class, cost model.Tokens) time.Duration {
+func (queue *Queue[T]) EstimateWait(now time.Time, organisation string, class conf.Class, cost conf.Tokens) time.Duration {
 	own := queue.organisations[organisation]
-	var ahead model.Tokens
+	var ahead conf.Tokens
 	if own != nil {
 		ahead = own.tokensAhead(class)
 	}
--- a/internal/flow/fairq/fairq.go
+++ b/internal/flow/fairq/fairq.go
@@ -7,16 +7,16 @@
 import (
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // Config limits a Queue. Zero fields take their defaults.
 type Config struct {
 	// MaxRequests and MaxTokens limit the requests that wait and their cost.
 	MaxRequests int
-	MaxTokens   model.Tokens
+	MaxTokens   conf.Tokens
 	// Quantum is the deficit that an organisation gains in one round.
-	Quantum model.Tokens
+	Quantum conf.Tokens
 	// PatientPercent is the part of the limits up to which patient requests are
 	// admitted.
 	PatientPercent int
@@ -32,7 +32,7 @@
 	defaultPatientPercent = 75
 	// AdapterLoadCost is the deficit charged to the organisation that causes an
 	// adapter load.
-	AdapterLoadCost model.Tokens = 200
+	AdapterLoadCost conf.Tokens = 200
 )
 
 func (config Config) withDefaults() Config {
@@ -54,8 +54,8 @@
 // Entry is one waiting request.
 type Entry[T any] struct {
 	Organisation string
-	Class        model.Class
-	Cost         model.Tokens
+	Class        conf.Class
+	Cost         conf.Tokens
 	// Arrived is the time from which the wait is counted.
 	Arrived time.Time
 	// MaxWait is how long the entry may wait. In CheckAdmission, 0 means no limit.
@@ -68,7 +68,7 @@
 
 // HighPriority reports whether the entry counts as interactive.
 func (entry *Entry[T]) HighPriority(now time.Time) bool {
-	return entry.Class == model.Interactive || now.Sub(entry.Arrived) >= entry.MaxWait/2
+	return entry.Class == conf.Interactive || now.Sub(entry.Arrived) >= entry.MaxWait/2
 }
 
 // Queued reports whether the entry is in a queue.
@@ -82,7 +82,7 @@
 	ring          []*organisationQueue[T]
 	cursor        int
 	requests      int
-	tokens        model.Tokens
+	tokens        conf.Tokens
 	sequence      uint64
 	throughput    throughput
 }
@@ -96,7 +96,7 @@
 func (queue *Queue[T]) Len() int { return queue.requests }
 
 // Tokens returns the cost of all waiting requests.
-func (queue *Queue[T]) Tokens() model.Tokens { return queue.tokens }
+func (queue *Queue[T]) Tokens() conf.Tokens { return queue.tokens }
 
 // Push adds an entry at the end of its organisation's list for its class. Callers
 // call CheckAdmission first.
@@ -134,7 +134,7 @@
 
 // Charge takes tokens from an organisation's deficit for work that it causes
 // besides its requests.
-func (queue *Queue[T]) Charge(organisation string, tokens model.Tokens) {
+func (queue *Queue[T]) Charge(organisation string, tokens conf.Tokens) {
 	queue.organisationQueue(organisation).deficit -= tokens
 }
 
--- a/internal/flow/fairq/fairq_test.go
+++ b/internal/flow/fairq/fairq_test.go
@@ -10,17 +10,17 @@
 	"github.com/google/go-cmp/cmp"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 var start = time.Unix(1000, 0)
 
 // referenceQueue is deficit round robin over one list, without indexes or sums.
 type referenceQueue struct {
-	quantum model.Tokens
+	quantum conf.Tokens
 	ring    []string
 	cursor  int
-	deficit map[string]model.Tokens
+	deficit map[string]conf.Tokens
 	blocked map[string]time.Time
 	waiting []*Entry[int]
 }
@@ -71,7 +71,7 @@
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		queue := New[int](Config{Quantum: 100})
-		reference := &referenceQueue{quantum: 100, deficit: map[string]model.Tokens{}, blocked: map[string]time.Time{}}
+		reference := &referenceQueue{quantum: 100, deficit: map[string]conf.Tokens{}, blocked: map[string]time.Time{}}
 		now := start
 		var popped []*Entry[int]
 		for step := range 300 {
@@ -80,7 +80,7 @@
 			switch action := random.IntN(20); {
 			case action < 9:
 				entry := &Entry[int]{
-					Organisation: name, Class: model.Class(random.IntN(2)), Cost: model.Tokens(1 + random.IntN(500)),
+					Organisation: name, Class: conf.Class(random.IntN(2)), Cost: conf.Tokens(1 + random.IntN(500)),
 					Arrived: now, MaxWait: time.Duration(1+random.IntN(5)) * time.Second, Value: random.IntN(4),
 				}
 				queue.Push(entry)
@@ -113,7 +113,7 @@
 				slices.SortFunc(reference.waiting, bySequence)
 				reference.deficit[entry.Organisation] += entry.Cost
 			}
-			var tokens model.Tokens
+			var tokens conf.Tokens
 			for _, entry := range reference.waiting {
 				tokens += entry.Cost
 			}
@@ -149,7 +149,7 @@
 	}
 	for _, test := range tests {
 		queue := New[string](Config{})
-		queue.Push(&Entry[string]{Organisation: "oak", Class: model.Patient, Cost: 10, Arrived: start, MaxWait: 10 * time.Second, Value: "patient"})
+		queue.Push(&Entry[string]{Organisation: "oak", Class: conf.Patient, Cost: 10, Arrived: start, MaxWait: 10 * time.Second, Value: "patient"})
 		now := start.Add(test.waited)
 		queue.Push(&Entry[string]{Organisation: "oak", Cost: 10, Arrived: now, MaxWait: time.Second, Value: "interactive"})
 		if diff := cmp.Diff(test.want, drain(queue, now)); diff != "" {
@@ -162,13 +162,13 @@
 // tokens while it has requests waiting, whatever their size.
 func TestFairShares(t *testing.T) {
 	queue := New[string](Config{Quantum: 500})
-	served := map[string]model.Tokens{}
-	for name, cost := range map[string]model.Tokens{"small": 40, "middle": 300, "large": 2500} {
+	served := map[string]conf.Tokens{}
+	for name, cost := range map[string]conf.Tokens{"small": 40, "middle": 300, "large": 2500} {
 		for range 30000 / cost {
 			queue.Push(&Entry[string]{Organisation: name, Cost: cost, Arrived: start, MaxWait: time.Hour})
 		}
 	}
-	for most := model.Tokens(0); most < 25000; {
+	for most := conf.Tokens(0); most < 25000; {
 		entry := queue.Pop(start, always)
 		served[entry.Organisation] += entry.Cost
 		most = max(most, served[entry.Organisation])
@@ -182,7 +182,7 @@
 
 // Guards against wrongful refusals and against a queue without limits.
 func TestAdmit(t *testing.T) {
-	fill := func(queue *Queue[string], name string, class model.Class, count int, cost model.Tokens) {
+	fill := func(queue *Queue[string], name string, class conf.Class, count int, cost conf.Tokens) {
 		for range count {
 			queue.Push(&Entry[string]{Organisation: name, Class: class, Cost: cost, Arrived: start, MaxWait: 10 * time.Second})
 		}
@@ -198,9 +198,9 @@
 	tests := []struct {
 		name    string
 		prepare func(queue *Queue[string])
-		class   model.Class
+		class   conf.Class
 		limit   RateLimit
-		cost    model.Tokens
+		cost    conf.Tokens
 		want    fault.Kind
 	}{
 		{"empty", func(*Queue[string]) {}, 0, limit, 100, ""},
@@ -216,11 +216,11 @@
 			queue.Block("oak", start.Add(time.Second))
 		}, 0, limit, 100, fault.RateExceeded},
 		{"the limiter estimates a longer wait", func(queue *Queue[string]) { fill(queue, "oak", 0, 10, 100) }, 0,
-			RateLimit{Rate: 100, Burst: 5000, EstimateWait: func(model.Tokens) time.Duration { return 11 * time.Second }}, 100, fault.RateExceeded},
+			RateLimit{Rate: 100, Burst: 5000, EstimateWait: func(conf.Tokens) time.Duration { return 11 * time.Second }}, 100, fault.RateExceeded},
 		{"other organisation's tokens", func(queue *Queue[string]) { fill(queue, "ash", 0, 50, 100) }, 0, limit, 100, ""},
 		{"below the bound", func(queue *Queue[string]) { fill(queue, "oak", 0, 99, 1) }, 0, RateLimit{}, 1, ""},
 		{"at the bound", func(queue *Queue[string]) { fill(queue, "oak", 0, 100, 1) }, 0, RateLimit{}, 1, fault.Overloaded},
-		{"patient at its bound", func(queue *Queue[string]) { fill(queue, "oak", 0, 75, 1) }, model.Patient, RateLimit{}, 1, fault.Overloaded},
+		{"patient at its bound", func(queue *Queue[string]) { fill(queue, "oak", 0, 75, 1) }, conf.Patient, RateLimit{}, 1, fault.Overloaded},
 		{"interactive beyond the patient bound", func(queue *Queue[string]) { fill(queue, "oak", 0, 75, 1) }, 0, RateLimit{}, 1, ""},
 		{"full of another organisation's requests", func(queue *Queue[string]) { fill(queue, "ash", 0, 150, 1) }, 0, RateLimit{}, 1, ""},
 		{"full of rate-limited requests", func(queue *Queue[string]) {
@@ -235,7 +235,7 @@
 		{"too many tokens", func(queue *Queue[string]) { fill(queue, "oak", 0, 9, 1000) }, 0, RateLimit{}, 1001, fault.Overloaded},
 		{"expected wait within the maximum", func(queue *Queue[string]) { saturate(queue); fill(queue, "oak", 0, 9, 100) }, 0, RateLimit{}, 100, ""},
 		{"expected wait too long", func(queue *Queue[string]) { saturate(queue); fill(queue, "oak", 0, 11, 100) }, 0, RateLimit{}, 100, fault.Overloaded},
-		{"patient requests do not delay interactive ones", func(queue *Queue[string]) { saturate(queue); fill(queue, "oak", model.Patient, 11, 100) }, 0, RateLimit{}, 100, ""},
+		{"patient requests do not delay interactive ones", func(queue *Queue[string]) { saturate(queue); fill(queue, "oak", conf.Patient, 11, 100) }, 0, RateLimit{}, 100, ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/flow/fairq/organisation.go
+++ b/internal/flow/fairq/organisation.go
@@ -5,15 +5,15 @@
 	"slices"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // organisationQueue holds the waiting entries of one organisation, one list for
 // each class.
 type organisationQueue[T any] struct {
 	entries      [2][]*Entry[T]
-	tokens       [2]model.Tokens
-	deficit      model.Tokens
+	tokens       [2]conf.Tokens
+	deficit      conf.Tokens
 	blockedUntil time.Time
 }
 
@@ -33,11 +33,11 @@
 
 // tokensAhead returns the cost of the entries that go before a new entry of a
 // class.
-func (organisationQueue *organisationQueue[T]) tokensAhead(class model.Class) model.Tokens {
-	if class == model.Interactive {
-		return organisationQueue.tokens[model.Interactive]
+func (organisationQueue *organisationQueue[T]) tokensAhead(class conf.Class) conf.Tokens {
+	if class == conf.Interactive {
+		return organisationQueue.tokens[conf.Interactive]
 	}
-	return organisationQueue.tokens[model.Interactive] + organisationQueue.tokens[model.Patient]
+	return organisationQueue.tokens[conf.Interactive] + organisationQueue.tokens[conf.Patient]
 }
 
 func bySequence[T any](left, right *Entry[T]) int {
--- a/internal/flow/fairq/throughput.go
+++ b/internal/flow/fairq/throughput.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // throughputHalfLife is the half-life of the measured throughput. It spans several
@@ -48,7 +48,7 @@
 }
 
 // recordStart counts a started request if the upstream is saturated.
-func (throughput *throughput) recordStart(now time.Time, cost model.Tokens) {
+func (throughput *throughput) recordStart(now time.Time, cost conf.Tokens) {
 	throughput.advance(now)
 	if !throughput.saturatedSince.IsZero() {
 		throughput.tokens += float64(cost)
@@ -57,7 +57,7 @@
 
 // estimateWait returns how long the tokens ahead take at the measured throughput,
 // or 0 if the upstream is not saturated or the measurement is too short.
-func (throughput *throughput) estimateWait(now time.Time, ahead model.Tokens) time.Duration {
+func (throughput *throughput) estimateWait(now time.Time, ahead conf.Tokens) time.Duration {
 	throughput.advance(now)
 	if ahead == 0 || throughput.saturatedSince.IsZero() || throughput.saturatedSeconds < minSaturatedTime.Seconds() || throughput.tokens <= 0 {
 		return 0
--- a/internal/flow/picker/picker.go
+++ b/internal/flow/picker/picker.go
@@ -64,18 +64,18 @@
 	Usable(service, id string) bool
 }
 
-// Avoided tells which upstreams are draining or in backoff.
-type Avoided interface {
-	// Avoided reports whether an upstream must get no requests, and until when;
+// Cordon tells which upstreams are draining or in backoff.
+type Cordon interface {
+	// Cordoned reports whether an upstream must get no requests, and until when;
 	// a zero time means for good.
-	Avoided(incarnation cordon.Incarnation) (until time.Time, avoided bool)
+	Cordoned(incarnation cordon.Incarnation) (until time.Time, avoided bool)
 }
 
 // Config configures a Picker. Zero values mean the defaults.
 type Config struct {
 	FailureDomain  string
 	Health         Health
-	Avoided        Avoided
+	Cordon         Cordon
 	ReportTTL      time.Duration
 	ReportLag      time.Duration
 	Overcommit     int
--- a/internal/flow/picker/reload_test.go
+++ b/internal/flow/picker/reload_test.go
@@ -18,7 +18,7 @@
 // keeps them in its local cache.
 func evicting(serial uint64, backlog int64, adapters ...lora.Adapter) Report {
 	evicted := report(serial, backlog)
-	evicted.CacheCapacity, evicted.Dropped = 128, adapters
+	evicted.CacheCapacity, evicted.Evicted = 128, adapters
 	return evicted
 }
 
--- a/internal/flow/picker/report.go
+++ b/internal/flow/picker/report.go
@@ -40,7 +40,7 @@
 	// reload from its local cache. Dropped names the evicted adapters, the
 	// latest last; a loader sends it once.
 	CacheCapacity int
-	Dropped       []lora.Adapter
+	Evicted       []lora.Adapter
 	// FreeAdapterSlots is the number of adapter slots that no request uses.
 	FreeAdapterSlots int
 	// QueuedLoads is the number of adapters that are pending at the engine or
@@ -87,8 +87,8 @@
 	} else {
 		upstream.evicted.Update(upstream.report.Resident, report.Resident)
 	}
-	if len(report.Dropped) > 0 {
-		upstream.evicted.Prepend(report.Dropped)
+	if len(report.Evicted) > 0 {
+		upstream.evicted.Prepend(report.Evicted)
 	}
 }
 
--- a/internal/flow/picker/usable.go
+++ b/internal/flow/picker/usable.go
@@ -9,10 +9,10 @@
 // avoided reports whether an upstream is draining or in backoff, and until
 // when.
 func (picker *Picker) avoided(upstream *upstream) (until time.Time, avoided bool) {
-	if picker.config.Avoided == nil {
+	if picker.config.Cordon == nil {
 		return time.Time{}, false
 	}
-	return picker.config.Avoided.Avoided(cordon.Incarnation{ID: upstream.spec.ID, StartedAt: upstream.spec.StartedAt})
+	return picker.config.Cordon.Cordoned(cordon.Incarnation{ID: upstream.spec.ID, StartedAt: upstream.spec.StartedAt})
 }
 
 // usable reports whether requests may be sent to an upstream.
--- a/internal/flow/policy/policy.go
+++ b/internal/flow/policy/policy.go
@@ -7,16 +7,16 @@
 import (
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // Member is an upstream that a Policy may choose.
 type Member struct {
 	ID            string
 	FailureDomain string
-	Half          model.Half
-	// Leaving says that the upstream gets no new requests.
-	Leaving bool
+	Half          conf.Half
+	// Draining says that the upstream gets no new requests.
+	Draining bool
 }
 
 // Request describes a request that needs an upstream.
@@ -25,9 +25,9 @@
 	AdapterHash uint64
 	// PrefixHash is a hash of the beginning of the prompt, or 0.
 	PrefixHash uint64
-	Half       model.Half
+	Half       conf.Half
 	// PromptTokens is the estimated length of the prompt.
-	PromptTokens model.Tokens
+	PromptTokens conf.Tokens
 	// Avoid lists upstreams that are chosen only when no other is usable.
 	Avoid []string
 	// RequiredUpstream is the only upstream that may be chosen. It is empty if
@@ -38,7 +38,7 @@
 // LoadReport is the part of a side process's load report that a Policy uses.
 type LoadReport struct {
 	Incarnation  uint64
-	QueuedTokens model.Tokens
+	QueuedTokens conf.Tokens
 	Queued       uint32
 	Running      uint32
 	Slots        uint32
--- a/internal/flow/policy/roundrobin.go
+++ b/internal/flow/policy/roundrobin.go
@@ -60,7 +60,7 @@
 }
 
 func (roundRobin *RoundRobin) usable(member *Member, request *Request) bool {
-	if member.Leaving || !member.Half.Shares(request.Half) {
+	if member.Draining || !member.Half.CompatibleWith(request.Half) {
 		return false
 	}
 	if request.RequiredUpstream != "" && request.RequiredUpstream != member.ID {
--- a/internal/flow/policy/router_test.go
+++ b/internal/flow/policy/router_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"jacinthfront.dev/jacinthfront/internal/flow/ring"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 var now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -68,7 +68,7 @@
 }
 
 func (setup *setup) leave(position int) {
-	setup.change(position, func(member *Member) { member.Leaving = true })
+	setup.change(position, func(member *Member) { member.Draining = true })
 }
 
 func (setup *setup) moveSouth(position int) {
@@ -248,7 +248,7 @@
 func TestRoundRobin(t *testing.T) {
 	health := ejected{"b": true}
 	policy := NewRoundRobin(health)
-	policy.SetMembers([]Member{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d", Leaving: true}, {ID: "e", Half: "south"}}, 1)
+	policy.SetMembers([]Member{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d", Draining: true}, {ID: "e", Half: "south"}}, 1)
 	var got []string
 	for range 4 {
 		decision, _ := policy.Choose(now, Request{Half: "north", Avoid: nil})
@@ -266,7 +266,7 @@
 	for index := range members {
 		members[index] = Member{ID: fmt.Sprintf("upstream-%d", index), FailureDomain: fmt.Sprint(index % 23)}
 		if index%2 == 0 {
-			members[index].Half = model.Half([]string{"north", "south"}[index/2%2])
+			members[index].Half = conf.Half([]string{"north", "south"}[index/2%2])
 		}
 	}
 	router := newRouter(b, Config{FailureDomain: "3", ExpectedAdapters: 170_000, ExpectedUpstreams: 7200}, members)
--- a/internal/flow/policy/search.go
+++ b/internal/flow/policy/search.go
@@ -49,7 +49,7 @@
 		if !ok || search.count == search.wanted {
 			return
 		}
-		if !search.router.upstreams[index].half.Shares(search.request.Half) {
+		if !search.router.upstreams[index].half.CompatibleWith(search.request.Half) {
 			continue
 		}
 		added := search.add(index)
--- a/internal/flow/policy/upstream.go
+++ b/internal/flow/policy/upstream.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 const (
@@ -33,7 +33,7 @@
 // first, so that they fill few cache lines: decisions access a few random ones
 // of thousands of upstreams.
 type upstream struct {
-	half         model.Half
+	half         conf.Half
 	roundTrip    float64 // in milliseconds
 	reportedAt   int64   // in nanoseconds of Unix time
 	expectedWait time.Duration
@@ -52,7 +52,7 @@
 	draining    bool
 	nextRecent  uint8
 	loadedCount uint8
-	sentTokens  model.Tokens
+	sentTokens  conf.Tokens
 	// recentLoads holds the low halves of the hashes of adapters that this
 	// instance's requests made the upstream load, and recentLoadTimes when the
 	// requests were sent, in nanoseconds of Unix time.
@@ -121,8 +121,8 @@
 	return loadTime, false
 }
 
-func (upstream *upstream) usable(now int64, half model.Half) bool {
-	if upstream.leaving || !upstream.half.Shares(half) {
+func (upstream *upstream) usable(now int64, half conf.Half) bool {
+	if upstream.leaving || !upstream.half.CompatibleWith(half) {
 		return false
 	}
 	return !upstream.draining || time.Duration(now-upstream.reportedAt) > drainingTimeout
--- a/internal/flow/quota/baseline_test.go
+++ b/internal/flow/quota/baseline_test.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // appendLatency is how long an append to the log takes.
@@ -69,7 +69,7 @@
 // staticTransport maps a client's only shard to that of its process.
 type staticTransport struct{ process *process }
 
-func (transport staticTransport) Draw(ctx context.Context, _ int, want, least model.Tokens) (Grant, error) {
+func (transport staticTransport) Draw(ctx context.Context, _ int, want, least conf.Tokens) (Grant, error) {
 	return transport.process.Draw(ctx, transport.process.index, want, least)
 }
 
@@ -94,7 +94,7 @@
 	shard       *Shard
 }
 
-func (transport loggedTransport) Draw(ctx context.Context, _ int, want, least model.Tokens) (Grant, error) {
+func (transport loggedTransport) Draw(ctx context.Context, _ int, want, least conf.Tokens) (Grant, error) {
 	if !transport.platformLog.append(ctx) {
 		return Grant{}, errNoReply
 	}
--- a/internal/flow/quota/checker_test.go
+++ b/internal/flow/quota/checker_test.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // boundChecker records dispatches with their actual use and checks the bound over
@@ -20,22 +20,22 @@
 // event is a use or, if isLimit is set, a change of rate and burst.
 type event struct {
 	at      time.Duration
-	use     model.Tokens
+	use     conf.Tokens
 	isLimit bool
-	rate    model.Tokens
-	burst   model.Tokens
+	rate    conf.Tokens
+	burst   conf.Tokens
 }
 
-func newBoundChecker(start time.Time, rate, burst model.Tokens) *boundChecker {
+func newBoundChecker(start time.Time, rate, burst conf.Tokens) *boundChecker {
 	return &boundChecker{start: start, events: []event{{isLimit: true, rate: rate, burst: burst}}}
 }
 
-func (boundChecker *boundChecker) recordUse(at time.Time, tokens model.Tokens) {
+func (boundChecker *boundChecker) recordUse(at time.Time, tokens conf.Tokens) {
 	boundChecker.record(event{at: at.Sub(boundChecker.start), use: tokens})
 }
 
 // recordLimits records the rate and burst from an instant on.
-func (boundChecker *boundChecker) recordLimits(at time.Time, rate, burst model.Tokens) {
+func (boundChecker *boundChecker) recordLimits(at time.Time, rate, burst conf.Tokens) {
 	boundChecker.record(event{at: at.Sub(boundChecker.start), isLimit: true, rate: rate, burst: burst})
 }
 
@@ -76,10 +76,10 @@
 }
 
 // used returns the sum of all uses.
-func (boundChecker *boundChecker) used() model.Tokens {
+func (boundChecker *boundChecker) used() conf.Tokens {
 	boundChecker.mutex.Lock()
 	defer boundChecker.mutex.Unlock()
-	var sum model.Tokens
+	var sum conf.Tokens
 	for _, event := range boundChecker.events {
 		sum += event.use
 	}
--- a/internal/flow/quota/client.go
+++ b/internal/flow/quota/client.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // ClientConfig configures a Client.
@@ -20,8 +20,8 @@
 	// LocalShards lists the shards hosted by this process; they are asked first.
 	LocalShards []int
 	// Rate and Burst are those of the whole organisation.
-	Rate  model.Tokens
-	Burst model.Tokens
+	Rate  conf.Tokens
+	Burst conf.Tokens
 	// Seed makes the order of shards and the jitter reproducible.
 	Seed uint64
 }
@@ -36,8 +36,8 @@
 	cancel    context.CancelFunc
 
 	mutex      sync.Mutex
-	rate       model.Tokens
-	burst      model.Tokens
+	rate       conf.Tokens
+	burst      conf.Tokens
 	shards     []shardView
 	held       []*heldGrant // with remaining tokens, in order of arrival
 	waiters    []*waiter
@@ -51,7 +51,7 @@
 
 // waiter is a waiting call of Reserve.
 type waiter struct {
-	tokens model.Tokens
+	tokens conf.Tokens
 	ready  chan Reservation
 }
 
@@ -77,7 +77,7 @@
 // the request has ended. The error is a fault of kind RateExceeded if tokens
 // exceed the burst, WaitExceeded if the deadline of ctx passes, Cancelled if ctx
 // is cancelled, and Leaving if the client is closed.
-func (client *Client) Reserve(ctx context.Context, tokens model.Tokens) (Reservation, error) {
+func (client *Client) Reserve(ctx context.Context, tokens conf.Tokens) (Reservation, error) {
 	reservation, waiter, err := client.reserveOrQueue(tokens)
 	if waiter == nil {
 		return reservation, err
@@ -95,7 +95,7 @@
 }
 
 // Resize changes rate and burst. The number of shards never changes.
-func (client *Client) Resize(rate, burst model.Tokens) {
+func (client *Client) Resize(rate, burst conf.Tokens) {
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
 	client.rate, client.burst = rate, burst
@@ -107,7 +107,7 @@
 // EstimateWait returns how long a request of this cost would wait in Reserve. It
 // uses the last known levels and, while requests wait, the rate at which this
 // process was served recently. It tends to underestimate.
-func (client *Client) EstimateWait(tokens model.Tokens) time.Duration {
+func (client *Client) EstimateWait(tokens conf.Tokens) time.Duration {
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
 	now := time.Now()
@@ -140,7 +140,7 @@
 }
 
 // reserveOrQueue serves a call of Reserve at once or queues it.
-func (client *Client) reserveOrQueue(tokens model.Tokens) (Reservation, *waiter, error) {
+func (client *Client) reserveOrQueue(tokens conf.Tokens) (Reservation, *waiter, error) {
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
 	now := time.Now()
@@ -182,7 +182,7 @@
 }
 
 // waitError returns the fault for a call of Reserve that was not served.
-func (client *Client) waitError(ctx context.Context, tokens model.Tokens) error {
+func (client *Client) waitError(ctx context.Context, tokens conf.Tokens) error {
 	switch err := ctx.Err(); {
 	case err == nil:
 		return errShuttingDown()
@@ -196,7 +196,7 @@
 }
 
 func errShuttingDown() error {
-	return fault.New(fault.Leaving, fault.NotRun, "the side process is shutting down; send the request to another upstream")
+	return fault.New(fault.Draining, fault.NotRun, "the side process is shutting down; send the request to another upstream")
 }
 
 // wakeCollector wakes the goroutine that collects tokens.
--- a/internal/flow/quota/client_test.go
+++ b/internal/flow/quota/client_test.go
@@ -12,20 +12,20 @@
 	"github.com/google/go-cmp/cmp"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // fixedShards is a Transport whose shards grant what they have, without accrual.
 type fixedShards struct {
 	mutex       sync.Mutex
-	levels      []model.Tokens
+	levels      []conf.Tokens
 	unreachable bool // no call gets a reply
 	draws       int
 	refunds     []Refund
 	lastID      uint64
 }
 
-func (fixedShards *fixedShards) Draw(_ context.Context, shard int, want, least model.Tokens) (Grant, error) {
+func (fixedShards *fixedShards) Draw(_ context.Context, shard int, want, least conf.Tokens) (Grant, error) {
 	time.Sleep(time.Millisecond)
 	fixedShards.mutex.Lock()
 	defer fixedShards.mutex.Unlock()
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func (fixedShards *fixedShards) setLevels(level model.Tokens) {
+func (fixedShards *fixedShards) setLevels(level conf.Tokens) {
 	fixedShards.mutex.Lock()
 	defer fixedShards.mutex.Unlock()
 	for shard := range fixedShards.levels {
@@ -74,8 +74,8 @@
 	fixedShards.unreachable = true
 }
 
-func newFixedShards(shards int, level model.Tokens) (*fixedShards, *Client) {
-	fixedShards := &fixedShards{levels: make([]model.Tokens, shards)}
+func newFixedShards(shards int, level conf.Tokens) (*fixedShards, *Client) {
+	fixedShards := &fixedShards{levels: make([]conf.Tokens, shards)}
 	fixedShards.setLevels(level)
 	return fixedShards, NewClient(ClientConfig{Transport: fixedShards, ShardCount: shards, Rate: 1000, Burst: 8000, Seed: 1})
 }
@@ -92,8 +92,8 @@
 func TestReserveFaults(t *testing.T) {
 	tests := []struct {
 		name   string
-		tokens model.Tokens
-		level  model.Tokens
+		tokens conf.Tokens
+		level  conf.Tokens
 		cancel bool
 		closed bool
 		want   fault.Kind
@@ -103,7 +103,7 @@
 		{name: "above the burst", tokens: 8001, level: 1000, want: fault.RateExceeded},
 		{name: "too few tokens", tokens: 3000, level: 300, want: fault.WaitExceeded},
 		{name: "caller cancelled", tokens: 3000, level: 300, cancel: true, want: fault.Cancelled},
-		{name: "closed while waiting", tokens: 3000, level: 300, closed: true, want: fault.Leaving},
+		{name: "closed while waiting", tokens: 3000, level: 300, closed: true, want: fault.Draining},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -133,9 +133,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		fixedShards, client := newFixedShards(8, 10)
 		var mutex sync.Mutex
-		var served []model.Tokens
+		var served []conf.Tokens
 		var group sync.WaitGroup
-		for _, tokens := range []model.Tokens{4000, 5, 7} {
+		for _, tokens := range []conf.Tokens{4000, 5, 7} {
 			group.Go(func() {
 				if _, err := client.Reserve(t.Context(), tokens); err != nil {
 					t.Errorf("Reserve(%d): %v", tokens, err)
@@ -148,7 +148,7 @@
 		}
 		time.Sleep(2 * time.Second)
 		mutex.Lock()
-		if diff := cmp.Diff([]model.Tokens(nil), served); diff != "" {
+		if diff := cmp.Diff([]conf.Tokens(nil), served); diff != "" {
 			t.Errorf("served before the first (-want +got):\n%s", diff)
 		}
 		mutex.Unlock()
@@ -298,7 +298,7 @@
 // localTransport reaches one shard in the same process.
 type localTransport struct{ shard *Shard }
 
-func (transport localTransport) Draw(_ context.Context, _ int, want, least model.Tokens) (Grant, error) {
+func (transport localTransport) Draw(_ context.Context, _ int, want, least conf.Tokens) (Grant, error) {
 	grant, _ := transport.shard.Draw(time.Now().Add(24*365*20*time.Hour), want, least)
 	return grant, nil
 }
--- a/internal/flow/quota/cluster_test.go
+++ b/internal/flow/quota/cluster_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 var errNoReply = errors.New("no reply")
@@ -22,8 +22,8 @@
 	mutex        sync.Mutex
 	random       *rand.Rand
 	processes    []*process
-	rate         model.Tokens
-	burst        model.Tokens
+	rate         conf.Tokens
+	burst        conf.Tokens
 	// hosts is the index of the process that hosts each shard, or -1.
 	hosts    []int
 	messages int // remote requests and replies
@@ -167,7 +167,7 @@
 }
 
 // Draw implements Transport.
-func (process *process) Draw(ctx context.Context, shard int, want, least model.Tokens) (Grant, error) {
+func (process *process) Draw(ctx context.Context, shard int, want, least conf.Tokens) (Grant, error) {
 	return call(ctx, process, shard, func(host *Shard, now time.Time) Grant {
 		grant, _ := host.Draw(now, want, least)
 		return grant
--- a/internal/flow/quota/collect.go
+++ b/internal/flow/quota/collect.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 const (
@@ -21,15 +21,15 @@
 // drawRequest is one draw from a shard.
 type drawRequest struct {
 	shard int
-	want  model.Tokens
-	least model.Tokens
+	want  conf.Tokens
+	least conf.Tokens
 }
 
 // candidate is a shard that may be asked, with the tokens that it is expected to
 // grant.
 type candidate struct {
 	shard    int
-	estimate model.Tokens
+	estimate conf.Tokens
 	score    float64
 }
 
@@ -85,8 +85,8 @@
 // expectedTokens returns how many tokens the pending draws are expected to bring,
 // and the earliest time at which one of them is overdue, at most maxCollectWait
 // ahead.
-func (client *Client) expectedTokens(now time.Time) (model.Tokens, time.Time) {
-	var sum model.Tokens
+func (client *Client) expectedTokens(now time.Time) (conf.Tokens, time.Time) {
+	var sum conf.Tokens
 	until := now.Add(maxCollectWait)
 	for index := range client.shards {
 		shardView := &client.shards[index]
@@ -105,9 +105,9 @@
 // ordered by level with some randomness, which spreads clients over the shards.
 // A shard whose level is at least staleAfter old is assumed to be full, because
 // other clients may have refunded tokens to it.
-func (client *Client) candidates(now time.Time, staleAfter time.Duration) ([]candidate, model.Tokens) {
+func (client *Client) candidates(now time.Time, staleAfter time.Duration) ([]candidate, conf.Tokens) {
 	var list []candidate
-	var total model.Tokens
+	var total conf.Tokens
 	for index := range client.shards {
 		shardView := &client.shards[index]
 		estimate := shardView.estimate(now, client.contention.accrualShare)
@@ -131,7 +131,7 @@
 // chooseDraws picks the shards to ask, all at once. The last one picked is also
 // asked for what the later waiting requests and the recent demand are likely to
 // need, up to half of what it has beyond its part of the missing tokens.
-func (client *Client) chooseDraws(now time.Time, candidates []candidate, missing model.Tokens) []drawRequest {
+func (client *Client) chooseDraws(now time.Time, candidates []candidate, missing conf.Tokens) []drawRequest {
 	var draws []drawRequest
 	usefulTokens := (missing + usefulDivisor - 1) / usefulDivisor
 	for pass := range 2 {
@@ -154,9 +154,9 @@
 
 // prefetchTokens returns how many tokens to draw beyond those of the first
 // waiting request.
-func (client *Client) prefetchTokens(now time.Time) model.Tokens {
+func (client *Client) prefetchTokens(now time.Time) conf.Tokens {
 	ahead := client.demand.prefetchTokens(now)
-	var queued model.Tokens
+	var queued conf.Tokens
 	for _, waiter := range client.waiters[1:] {
 		queued += waiter.tokens
 	}
@@ -168,8 +168,8 @@
 // they are at least half of what the first waiting request needs and stay
 // spendable during the wait: if every process kept small parts, none could serve
 // a request.
-func (client *Client) waitForAccrual(now time.Time, missing model.Tokens, drawPending bool) time.Duration {
-	rate := max(1, model.Tokens(float64(client.rate)*client.contention.accrualShare))
+func (client *Client) waitForAccrual(now time.Time, missing conf.Tokens, drawPending bool) time.Duration {
+	rate := max(1, conf.Tokens(float64(client.rate)*client.contention.accrualShare))
 	wait := jitter(client.random, max(minCollectWait, min(maxCollectWait, accrualTime(missing, rate))))
 	client.contention.recordShortage()
 	available := client.available(now)
--- a/internal/flow/quota/compare_test.go
+++ b/internal/flow/quota/compare_test.go
@@ -11,7 +11,7 @@
 	"testing/synctest"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 var fullComparison = flag.Bool("compare", false, "run TestComparison over 20 min with a log outage of 10 min")
@@ -22,12 +22,12 @@
 	name      string
 	processes int
 	latency   time.Duration
-	rates     []model.Tokens
+	rates     []conf.Tokens
 }
 
 var deployments = []deployment{
-	{"bonsai", 16, time.Millisecond, []model.Tokens{2400, 1500, 1200, 600, 300}},
-	{"gourd", 12, 500 * time.Microsecond, []model.Tokens{2000, 1200, 900, 450, 250}},
+	{"bonsai", 16, time.Millisecond, []conf.Tokens{2400, 1500, 1200, 600, 300}},
+	{"gourd", 12, 500 * time.Microsecond, []conf.Tokens{2000, 1200, 900, 450, 250}},
 }
 
 // overloading is the organisation whose demand is five times its rate.
@@ -73,7 +73,7 @@
 	wrongful, offered int
 	addedWaits        []time.Duration
 	messages, appends int
-	used              model.Tokens
+	used              conf.Tokens
 }
 
 // Guards against shards being worse than simpler designs: use above the bound, or
--- a/internal/flow/quota/demand.go
+++ b/internal/flow/quota/demand.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 const (
@@ -27,20 +27,20 @@
 // demand is an exponentially decayed sum of the tokens that were requested.
 type demand struct {
 	sum         float64
-	lastRequest model.Tokens
+	lastRequest conf.Tokens
 	updated     time.Time
 }
 
-func (demand *demand) record(now time.Time, tokens model.Tokens) {
+func (demand *demand) record(now time.Time, tokens conf.Tokens) {
 	demand.sum = demand.sum*decayFactor(now.Sub(demand.updated), demandTimeConstant) + float64(tokens)
 	demand.lastRequest, demand.updated = tokens, now
 }
 
 // prefetchTokens returns how many tokens to draw in advance: the demand expected
 // within prefetchHorizon, or 0 if that is less than the last request.
-func (demand *demand) prefetchTokens(now time.Time) model.Tokens {
+func (demand *demand) prefetchTokens(now time.Time) conf.Tokens {
 	rate := demand.sum * decayFactor(now.Sub(demand.updated), demandTimeConstant) / demandTimeConstant.Seconds()
-	tokens := model.Tokens(rate * prefetchHorizon.Seconds())
+	tokens := conf.Tokens(rate * prefetchHorizon.Seconds())
 	if tokens < demand.lastRequest {
 		return 0
 	}
@@ -73,7 +73,7 @@
 }
 
 // recordServed records that a waiting request received its tokens.
-func (contention *contention) recordServed(now time.Time, tokens model.Tokens) {
+func (contention *contention) recordServed(now time.Time, tokens conf.Tokens) {
 	elapsed := now.Sub(contention.updated)
 	factor := decayFactor(elapsed, serviceTimeConstant)
 	contention.servedTokens = contention.servedTokens*factor + float64(tokens)
@@ -99,11 +99,11 @@
 
 // serviceRate returns the rate at which waiting requests are served: the
 // measured rate once it covers half a second, otherwise the configured rate.
-func (contention *contention) serviceRate(rate model.Tokens) model.Tokens {
+func (contention *contention) serviceRate(rate conf.Tokens) conf.Tokens {
 	if contention.waitingSeconds < 0.5 {
 		return rate
 	}
-	return max(1, min(rate, model.Tokens(contention.servedTokens/contention.waitingSeconds)))
+	return max(1, min(rate, conf.Tokens(contention.servedTokens/contention.waitingSeconds)))
 }
 
 // decayFactor returns the factor by which an average with a time constant decays
@@ -113,7 +113,7 @@
 }
 
 // accrualTime returns how long tokens take to accrue, at most RefundWindow.
-func accrualTime(tokens, rate model.Tokens) time.Duration {
+func accrualTime(tokens, rate conf.Tokens) time.Duration {
 	seconds := float64(tokens) / float64(max(1, rate))
 	return time.Duration(min(seconds, RefundWindow.Seconds()) * float64(time.Second))
 }
--- a/internal/flow/quota/reservation.go
+++ b/internal/flow/quota/reservation.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // dispatchMargin is the least remaining lifetime with which a grant is spent. It
@@ -17,11 +17,11 @@
 	grant   Grant
 	expires time.Time
 	// remaining is what may still be spent or refunded unspent.
-	remaining model.Tokens
+	remaining conf.Tokens
 	// refundTotal is the total that has become refundable so far, and
 	// acknowledged the part of it whose refund the shard has acknowledged.
-	refundTotal  model.Tokens
-	acknowledged model.Tokens
+	refundTotal  conf.Tokens
+	acknowledged conf.Tokens
 	// uncommittedParts counts the parts of reservations that may still be
 	// dispatched. The grant is settled only when there are none.
 	uncommittedParts int
@@ -44,7 +44,7 @@
 
 type reservedPart struct {
 	held   *heldGrant
-	tokens model.Tokens
+	tokens conf.Tokens
 }
 
 // Commit counts the request as dispatched now; the caller sends it directly
@@ -66,7 +66,7 @@
 
 // Settle refunds the tokens that a request has not used when it ends. A request
 // that was not dispatched used 0. Only the first call for a reservation counts.
-func (client *Client) Settle(reservation Reservation, used model.Tokens) {
+func (client *Client) Settle(reservation Reservation, used conf.Tokens) {
 	if reservation.state == nil {
 		return
 	}
@@ -111,8 +111,8 @@
 }
 
 // available returns the tokens that may be spent now.
-func (client *Client) available(now time.Time) model.Tokens {
-	var sum model.Tokens
+func (client *Client) available(now time.Time) conf.Tokens {
+	var sum conf.Tokens
 	for _, heldGrant := range client.held {
 		if heldGrant.spendable(now) {
 			sum += heldGrant.remaining
@@ -123,7 +123,7 @@
 
 // reserveHeld reserves tokens from the held grants, oldest first. The available
 // tokens must suffice.
-func (client *Client) reserveHeld(now time.Time, tokens model.Tokens) Reservation {
+func (client *Client) reserveHeld(now time.Time, tokens conf.Tokens) Reservation {
 	state := &reservationState{}
 	for _, heldGrant := range client.held {
 		if tokens == 0 {
--- a/internal/flow/quota/schedule_test.go
+++ b/internal/flow/quota/schedule_test.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // schedule is one simulated run of a cluster, derived from its seed.
@@ -16,8 +16,8 @@
 	duration  time.Duration
 	shards    int
 	processes int
-	rate      model.Tokens
-	burst     model.Tokens
+	rate      conf.Tokens
+	burst     conf.Tokens
 	latency   time.Duration
 	lossRate  float64
 	slowRate  float64
@@ -38,8 +38,8 @@
 type request struct {
 	at      time.Duration
 	process int
-	cost    model.Tokens
-	used    model.Tokens
+	cost    conf.Tokens
+	used    conf.Tokens
 	length  time.Duration
 }
 
@@ -48,8 +48,8 @@
 	kind    faultKind
 	process int
 	length  time.Duration
-	rate    model.Tokens
-	burst   model.Tokens
+	rate    conf.Tokens
+	burst   conf.Tokens
 }
 
 type faultKind int
@@ -64,14 +64,14 @@
 func newSchedule(seed uint64, duration time.Duration) schedule {
 	random := rand.New(rand.NewPCG(seed, 3))
 	processes := 3 + random.IntN(12)
-	rate := model.Tokens(500 + random.Int64N(20000))
+	rate := conf.Tokens(500 + random.Int64N(20000))
 	schedule := schedule{
 		seed:      seed,
 		duration:  duration,
 		processes: processes,
 		shards:    min(8, processes),
 		rate:      rate,
-		burst:     rate + model.Tokens(random.Int64N(3*int64(rate))),
+		burst:     rate + conf.Tokens(random.Int64N(3*int64(rate))),
 		latency:   time.Duration(1+random.IntN(30)) * 100 * time.Microsecond,
 		lossRate:  float64(random.IntN(3)) * 0.1 * random.Float64(),
 		slowRate:  float64(random.IntN(2)) * 0.02,
@@ -128,8 +128,8 @@
 		schedule.requests = append(schedule.requests, request{
 			at:      at,
 			process: process % schedule.processes,
-			cost:    min(schedule.burst/2, 1+model.Tokens(cost)),
-			used:    min(schedule.burst/2, 1+model.Tokens(used)),
+			cost:    min(schedule.burst/2, 1+conf.Tokens(cost)),
+			used:    min(schedule.burst/2, 1+conf.Tokens(used)),
 			length:  time.Duration(random.ExpFloat64() * float64(meanLength)),
 		})
 	}
@@ -146,10 +146,10 @@
 		})
 	}
 	for at := duration / 4; at < duration && random.IntN(2) == 0; at += duration / 3 {
-		rate := model.Tokens(500 + random.Int64N(20000))
+		rate := conf.Tokens(500 + random.Int64N(20000))
 		schedule.faults = append(schedule.faults, injectedFault{
 			at: at, kind: resize, length: 2 * time.Second,
-			rate: rate, burst: max(schedule.burst, rate+model.Tokens(random.Int64N(int64(rate)))),
+			rate: rate, burst: max(schedule.burst, rate+conf.Tokens(random.Int64N(int64(rate)))),
 		})
 	}
 	slices.SortFunc(schedule.faults, func(a, b injectedFault) int { return cmp.Compare(a.at, b.at) })
--- a/internal/flow/quota/shard.go
+++ b/internal/flow/quota/shard.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 const (
@@ -22,7 +22,7 @@
 	// grants are dropped first; refunds of them credit nothing.
 	maxIssuedGrants = 1 << 16
 	// maxBurst keeps a level in nano-tokens within an int64.
-	maxBurst model.Tokens = 9_000_000_000
+	maxBurst conf.Tokens = 9_000_000_000
 )
 
 // nanoTokens counts billionths of a token, so that a rate in tokens per second
@@ -34,8 +34,8 @@
 // ShardConfig configures a Shard.
 type ShardConfig struct {
 	// Rate and Burst are the shard's part of the organisation's; see SplitPart.
-	Rate  model.Tokens
-	Burst model.Tokens
+	Rate  conf.Tokens
+	Burst conf.Tokens
 	// Lifetime and Margin default to DefaultGrantLifetime and DefaultGrantMargin.
 	Lifetime time.Duration
 	Margin   time.Duration
@@ -49,9 +49,9 @@
 	// Incarnation identifies the process that issued the grant. A Transport sets
 	// it; a Shard leaves it 0.
 	Incarnation uint64
-	Tokens      model.Tokens
+	Tokens      conf.Tokens
 	// Level is what the shard has left.
-	Level model.Tokens
+	Level conf.Tokens
 	// Lifetime is how long the grant may be spent, counted from before the client
 	// sent the draw.
 	Lifetime time.Duration
@@ -84,8 +84,8 @@
 // issuedGrant is what a shard keeps of a grant that it issued.
 type issuedGrant struct {
 	end         time.Duration // when it ended, or will end at the latest; since start
-	tokens      model.Tokens
-	refunded    model.Tokens
+	tokens      conf.Tokens
+	refunded    conf.Tokens
 	outstanding bool
 }
 
@@ -112,10 +112,10 @@
 
 // SplitPart returns part index, from 0, of a rate or burst that is divided into
 // count parts. The parts add up to total.
-func SplitPart(total model.Tokens, index, count int) model.Tokens {
-	parts := model.Tokens(count)
+func SplitPart(total conf.Tokens, index, count int) conf.Tokens {
+	parts := conf.Tokens(count)
 	part := total / parts
-	if model.Tokens(index) < total%parts {
+	if conf.Tokens(index) < total%parts {
 		part++
 	}
 	return part
@@ -124,12 +124,12 @@
 // Draw grants up to want tokens and reports whether it granted any. If fewer than
 // least are available, it grants nothing and sets RetryAfter. A least above the
 // burst counts as the burst.
-func (shard *Shard) Draw(now time.Time, want, least model.Tokens) (Grant, bool) {
+func (shard *Shard) Draw(now time.Time, want, least conf.Tokens) (Grant, bool) {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
 	shard.advance(now)
-	least = max(1, min(least, model.Tokens(shard.burst/nanosPerToken)))
-	available := model.Tokens(shard.level / nanosPerToken)
+	least = max(1, min(least, conf.Tokens(shard.burst/nanosPerToken)))
+	available := conf.Tokens(shard.level / nanosPerToken)
 	granted := min(want, available)
 	if granted < least || len(shard.grants) >= maxIssuedGrants {
 		return Grant{Level: available, Lifetime: shard.lifetime, RetryAfter: shard.retryAfter(least)}, false
@@ -145,7 +145,7 @@
 // tokens is the total refunded for this grant so far, so that a repeated refund
 // credits nothing. settled states that nothing of the grant will be spent any
 // more, which ends its time as outstanding.
-func (shard *Shard) Return(now time.Time, id uint64, tokens model.Tokens, settled bool) model.Tokens {
+func (shard *Shard) Return(now time.Time, id uint64, tokens conf.Tokens, settled bool) conf.Tokens {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
 	shard.advance(now)
@@ -169,7 +169,7 @@
 
 // Resize changes rate and burst. A level above the new burst is cut; grants
 // already issued stay valid.
-func (shard *Shard) Resize(now time.Time, rate, burst model.Tokens) {
+func (shard *Shard) Resize(now time.Time, rate, burst conf.Tokens) {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
 	shard.advance(now)
@@ -179,21 +179,21 @@
 }
 
 // Level returns the available tokens and the outstanding ones.
-func (shard *Shard) Level(now time.Time) (level, outstanding model.Tokens) {
+func (shard *Shard) Level(now time.Time) (level, outstanding conf.Tokens) {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
 	shard.advance(now)
-	return model.Tokens(shard.level / nanosPerToken), model.Tokens(shard.outstanding / nanosPerToken)
+	return conf.Tokens(shard.level / nanosPerToken), conf.Tokens(shard.outstanding / nanosPerToken)
 }
 
 // creditLateRefund credits a refund of a grant that ended at end, as far as the
 // headroom since then allows.
-func (shard *Shard) creditLateRefund(end time.Duration, tokens model.Tokens) model.Tokens {
+func (shard *Shard) creditLateRefund(end time.Duration, tokens conf.Tokens) conf.Tokens {
 	if shard.updated-end > RefundWindow {
 		return 0
 	}
 	headroom := min(shard.headroom(), shard.headroomHistory.minSince(end))
-	credited := min(tokens, model.Tokens(max(0, headroom)/nanosPerToken))
+	credited := min(tokens, conf.Tokens(max(0, headroom)/nanosPerToken))
 	if credited > 0 {
 		shard.headroomHistory.reduceSince(end, nanoTokens(credited)*nanosPerToken)
 		shard.level += nanoTokens(credited) * nanosPerToken
@@ -269,7 +269,7 @@
 
 // retryAfter returns the time until the level reaches least if no other client
 // draws.
-func (shard *Shard) retryAfter(least model.Tokens) time.Duration {
+func (shard *Shard) retryAfter(least conf.Tokens) time.Duration {
 	if shard.rate == 0 {
 		return RefundWindow
 	}
@@ -294,6 +294,6 @@
 
 func (shard *Shard) headroom() nanoTokens { return shard.burst - shard.level - shard.outstanding }
 
-func nanoLimits(rate, burst model.Tokens) (nanoTokens, nanoTokens) {
+func nanoLimits(rate, burst conf.Tokens) (nanoTokens, nanoTokens) {
 	return nanoTokens(max(0, rate)), nanoTokens(max(0, min(burst, maxBurst))) * nanosPerToken
 }
--- a/internal/flow/quota/shard_test.go
+++ b/internal/flow/quota/shard_test.go
@@ -8,12 +8,12 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 var epoch = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func newTestShard(rate, burst model.Tokens) *Shard {
+func newTestShard(rate, burst conf.Tokens) *Shard {
 	return NewShard(ShardConfig{Rate: rate, Burst: burst, Start: epoch})
 }
 
@@ -25,12 +25,12 @@
 	type step struct {
 		at          time.Duration
 		call        string // draw, back, settle, resize
-		tokens      model.Tokens
-		least       model.Tokens
+		tokens      conf.Tokens
+		least       conf.Tokens
 		grant       uint64 // number of the grant, from 0
-		want        model.Tokens
-		level       model.Tokens
-		outstanding model.Tokens
+		want        conf.Tokens
+		level       conf.Tokens
+		outstanding conf.Tokens
 	}
 	tests := []struct {
 		name  string
@@ -126,11 +126,11 @@
 func TestShardRetryAfter(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 0))
-		shard := newTestShard(1+model.Tokens(random.Int64N(1000)), 2000)
+		shard := newTestShard(1+conf.Tokens(random.Int64N(1000)), 2000)
 		now := epoch
 		for range 20 {
 			now = now.Add(time.Duration(random.Int64N(int64(800 * time.Millisecond))))
-			least := 1 + model.Tokens(random.Int64N(2000))
+			least := 1 + conf.Tokens(random.Int64N(2000))
 			grant, ok := shard.Draw(now, least, least)
 			if ok {
 				continue
@@ -152,7 +152,7 @@
 // and late, just before it draws everything again, and restarts and resizes the
 // shard.
 func TestShardBound(t *testing.T) {
-	var late model.Tokens
+	var late conf.Tokens
 	for seed := range uint64(3000) {
 		adversary := newAdversary(seed)
 		adversary.run()
@@ -170,10 +170,10 @@
 	random       *rand.Rand
 	boundChecker *boundChecker
 	shard        *Shard
-	rate, burst  model.Tokens
+	rate, burst  conf.Tokens
 	now          time.Time
 	grants       []*adversaryGrant
-	lateCredits  model.Tokens // credited after the end of a grant
+	lateCredits  conf.Tokens // credited after the end of a grant
 }
 
 // adversaryGrant is a grant with the tokens that its requests did not use.
@@ -181,12 +181,12 @@
 	id               uint64
 	expires          time.Time
 	dispatched       time.Time
-	unused, returned model.Tokens
+	unused, returned conf.Tokens
 }
 
 func newAdversary(seed uint64) *adversary {
 	random := rand.New(rand.NewPCG(seed, 1))
-	rate, burst := 1+model.Tokens(random.Int64N(1000)), 1000+model.Tokens(random.Int64N(3000))
+	rate, burst := 1+conf.Tokens(random.Int64N(1000)), 1000+conf.Tokens(random.Int64N(3000))
 	return &adversary{
 		random: random, rate: rate, burst: burst, now: epoch,
 		boundChecker: newBoundChecker(epoch, rate, burst), shard: newTestShard(rate, burst),
@@ -218,7 +218,7 @@
 // draw draws everything and spends it now or at the end of the grant's lifetime.
 func (adversary *adversary) draw() {
 	for range 1 + adversary.random.IntN(2) {
-		grant, ok := adversary.shard.Draw(adversary.now, 1+model.Tokens(adversary.random.Int64N(int64(2*adversary.burst))), 0)
+		grant, ok := adversary.shard.Draw(adversary.now, 1+conf.Tokens(adversary.random.Int64N(int64(2*adversary.burst))), 0)
 		if !ok {
 			return
 		}
@@ -228,10 +228,10 @@
 		}
 		used := grant.Tokens
 		if adversary.random.IntN(2) == 0 {
-			used = model.Tokens(adversary.random.Int64N(int64(used) + 1))
+			used = conf.Tokens(adversary.random.Int64N(int64(used) + 1))
 		}
 		adversaryGrant.unused = grant.Tokens - used
-		first := used / 2 * model.Tokens(adversary.random.IntN(2))
+		first := used / 2 * conf.Tokens(adversary.random.IntN(2))
 		adversary.boundChecker.recordUse(adversary.now, first)
 		adversary.boundChecker.recordUse(adversaryGrant.dispatched, used-first)
 		adversary.grants = append(adversary.grants, adversaryGrant)
@@ -244,7 +244,7 @@
 		if adversary.random.IntN(3) > 0 {
 			continue
 		}
-		part := model.Tokens(adversary.random.Int64N(int64(grant.unused) + 1))
+		part := conf.Tokens(adversary.random.Int64N(int64(grant.unused) + 1))
 		if adversary.random.IntN(2) == 0 {
 			part = grant.unused
 		}
@@ -260,8 +260,8 @@
 }
 
 func (adversary *adversary) resize() {
-	burst := 1000 + model.Tokens(adversary.random.Int64N(3000))
-	adversary.rate = 1 + model.Tokens(adversary.random.Int64N(1000))
+	burst := 1000 + conf.Tokens(adversary.random.Int64N(3000))
+	adversary.rate = 1 + conf.Tokens(adversary.random.Int64N(1000))
 	adversary.shard.Resize(adversary.now, adversary.rate, burst)
 	adversary.boundChecker.recordLimits(adversary.now, adversary.rate, max(adversary.burst, burst))
 	adversary.now = adversary.now.Add(DefaultGrantLifetime + DefaultGrantMargin)
@@ -271,9 +271,9 @@
 
 // Guards against parts that don't add up to the total.
 func TestPart(t *testing.T) {
-	for _, total := range []model.Tokens{0, 1, 7, 8, 1001} {
+	for _, total := range []conf.Tokens{0, 1, 7, 8, 1001} {
 		for count := 1; count <= 8; count++ {
-			var sum model.Tokens
+			var sum conf.Tokens
 			for index := range count {
 				sum += SplitPart(total, index, count)
 			}
--- a/internal/flow/quota/shardview.go
+++ b/internal/flow/quota/shardview.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 const (
@@ -25,17 +25,17 @@
 // shardView is what a client knows of one shard.
 type shardView struct {
 	local bool
-	rate  model.Tokens
-	burst model.Tokens
+	rate  conf.Tokens
+	burst conf.Tokens
 	// level is what the shard had at the time updated, and retryLevel what it will
 	// have at retryAt if no other client draws.
-	level      model.Tokens
+	level      conf.Tokens
 	updated    time.Time
-	retryLevel model.Tokens
+	retryLevel conf.Tokens
 	retryAt    time.Time
 
 	drawPending    bool
-	expectedTokens model.Tokens
+	expectedTokens conf.Tokens
 	expectedBy     time.Time
 	roundTrip      time.Duration
 	failures       int
@@ -55,7 +55,7 @@
 	return shardView
 }
 
-func (shardView *shardView) resize(rate, burst model.Tokens, index, count int) {
+func (shardView *shardView) resize(rate, burst conf.Tokens, index, count int) {
 	shardView.rate = SplitPart(rate, index, count)
 	shardView.burst = SplitPart(burst, index, count)
 	shardView.level = min(shardView.level, shardView.burst)
@@ -63,7 +63,7 @@
 
 // estimate returns the tokens that the shard would grant now, if other clients
 // leave accrualShare of its accrual.
-func (shardView *shardView) estimate(now time.Time, accrualShare float64) model.Tokens {
+func (shardView *shardView) estimate(now time.Time, accrualShare float64) conf.Tokens {
 	switch {
 	case !shardView.drawable(now):
 		return 0
@@ -72,11 +72,11 @@
 	}
 	level, since := shardView.level, shardView.updated
 	if !shardView.retryAt.IsZero() {
-		level += model.Tokens(float64(shardView.retryLevel-shardView.level) * accrualShare)
+		level += conf.Tokens(float64(shardView.retryLevel-shardView.level) * accrualShare)
 		since = shardView.retryAt
 	}
 	accrued := min(float64(shardView.burst), now.Sub(since).Seconds()*float64(shardView.rate)*accrualShare)
-	return min(shardView.burst, level+model.Tokens(accrued))
+	return min(shardView.burst, level+conf.Tokens(accrued))
 }
 
 // drawable reports whether the shard may be asked.
@@ -85,7 +85,7 @@
 }
 
 // recordReply records a reply to a draw of at least least tokens.
-func (shardView *shardView) recordReply(sentAt, now time.Time, grant Grant, least model.Tokens) {
+func (shardView *shardView) recordReply(sentAt, now time.Time, grant Grant, least conf.Tokens) {
 	shardView.failures = 0
 	shardView.roundTrip += (now.Sub(sentAt) - shardView.roundTrip) / 4
 	shardView.level, shardView.updated = grant.Level, now
@@ -103,14 +103,14 @@
 }
 
 // beginDraw records the start of a draw.
-func (shardView *shardView) beginDraw(now time.Time, want model.Tokens) {
+func (shardView *shardView) beginDraw(now time.Time, want conf.Tokens) {
 	shardView.drawPending = true
 	shardView.expectedTokens = want
 	shardView.expectedBy = now.Add(max(minReplyTimeout, min(maxReplyTimeout, 4*shardView.roundTrip)))
 }
 
 // recordReturn records tokens that are being refunded.
-func (shardView *shardView) recordReturn(tokens model.Tokens) {
+func (shardView *shardView) recordReturn(tokens conf.Tokens) {
 	shardView.level = min(shardView.burst, shardView.level+tokens)
 	shardView.retryLevel = max(shardView.retryLevel, shardView.level)
 }
--- a/internal/flow/quota/static.go
+++ b/internal/flow/quota/static.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // StaticLimiter divides rates and bursts evenly over the entry instances, each of
@@ -25,7 +25,7 @@
 func NewStaticLimiter() *StaticLimiter { return &StaticLimiter{buckets: map[string]*instanceBucket{}} }
 
 // Take takes tokens, or returns how long the missing tokens take to accrue.
-func (staticLimiter *StaticLimiter) Take(now time.Time, instances int, organisation model.OrganisationSpec, tokens model.Tokens) (time.Duration, bool) {
+func (staticLimiter *StaticLimiter) Take(now time.Time, instances int, organisation conf.OrganisationSpec, tokens conf.Tokens) (time.Duration, bool) {
 	staticLimiter.mutex.Lock()
 	defer staticLimiter.mutex.Unlock()
 	rate, burst := float64(organisation.Rate)/float64(instances), float64(organisation.Burst)/float64(instances)
--- a/internal/flow/quota/static_test.go
+++ b/internal/flow/quota/static_test.go
@@ -4,18 +4,18 @@
 	"testing"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // Guards against a baseline that admits more than the instance's part of the
 // rate, which would make the comparison with shards unfair.
 func TestStatic(t *testing.T) {
-	organisation := model.OrganisationSpec{Name: "a", Rate: 300, Burst: 600}
+	organisation := conf.OrganisationSpec{Name: "a", Rate: 300, Burst: 600}
 	start := time.Unix(1000, 0)
 	tests := []struct {
 		name   string
 		after  time.Duration
-		tokens model.Tokens
+		tokens conf.Tokens
 		want   bool
 		wait   time.Duration
 	}{
--- a/internal/flow/quota/transport.go
+++ b/internal/flow/quota/transport.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // Transport carries draws and refunds to the shards of one organisation, which
@@ -12,7 +12,7 @@
 	// Draw draws tokens from a shard. A refusal is a Grant without tokens and
 	// with RetryAfter; an error means that the outcome is unknown. Draw returns
 	// soon after ctx ends.
-	Draw(ctx context.Context, shard int, want, least model.Tokens) (Grant, error)
+	Draw(ctx context.Context, shard int, want, least conf.Tokens) (Grant, error)
 	// Return refunds tokens of a grant. It may be repeated after an error.
 	Return(ctx context.Context, shard int, refund Refund) error
 }
@@ -22,6 +22,6 @@
 	ID          uint64
 	Incarnation uint64
 	// Tokens is the total refunded for the grant so far.
-	Tokens  model.Tokens
+	Tokens  conf.Tokens
 	Settled bool
 }
--- a/internal/flow/slots/plan.go
+++ b/internal/flow/slots/plan.go
@@ -5,13 +5,13 @@
 	"slices"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // Demand describes the requests that wait for an adapter.
 type Demand struct {
 	Ref             AdapterRef
-	Class           model.Class
+	Class           conf.Class
 	WaitingRequests int
 	// OldestArrival is when the request that has waited the longest arrived.
 	OldestArrival time.Time
--- a/internal/flow/slots/slots_test.go
+++ b/internal/flow/slots/slots_test.go
@@ -12,7 +12,7 @@
 
 	compare "github.com/google/go-cmp/cmp"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 var start = time.Unix(1000, 0)
@@ -174,7 +174,7 @@
 				var demands []Demand
 				for _, index := range random.Perm(9)[:random.IntN(5)] {
 					demands = append(demands, Demand{
-						Ref: ref(fmt.Sprint(index)), Class: model.Class(random.IntN(2)), WaitingRequests: 1 + random.IntN(3),
+						Ref: ref(fmt.Sprint(index)), Class: conf.Class(random.IntN(2)), WaitingRequests: 1 + random.IntN(3),
 						OldestArrival: now.Add(-time.Duration(random.IntN(3000)) * time.Millisecond),
 					})
 				}
--- a/internal/link/gossip/gossip.go
+++ b/internal/link/dgram/dgram.go
@@ -1,6 +1,6 @@
-// Package gossip sends and receives the datagrams between entry instances and
+// Package dgram sends and receives the datagrams between entry instances and
 // loaders. A datagram that is lost is replaced by the next one.
-package gossip
+package dgram
 
 import (
 	"context"
--- a/internal/link/engine/engine.go
+++ b/internal/link/engine/engine.go
@@ -63,16 +63,16 @@
 
 // State is what an engine reports of itself. Running and Waiting lag.
 type State struct {
-	// Epoch changes each time the engine restarts.
-	Epoch   string       `json:"epoch"`
-	Slots   int          `json:"slots"`
-	Loaded  []AdapterRef `json:"loaded"`
-	Loading []AdapterRef `json:"loading"`
-	// Fence is the highest fencing token seen, 0 if tokens are ignored.
-	Fence   uint64 `json:"fence"`
-	Role    string `json:"role"`
-	Running int    `json:"running"`
-	Waiting int    `json:"waiting"`
+	// Incarnation changes each time the engine restarts.
+	Incarnation string       `json:"epoch"`
+	Slots       int          `json:"slots"`
+	Loaded      []AdapterRef `json:"loaded"`
+	Loading     []AdapterRef `json:"loading"`
+	// FencingToken is the highest fencing token seen, 0 if tokens are ignored.
+	FencingToken uint64 `json:"fence"`
+	Role         string `json:"role"`
+	Running      int    `json:"running"`
+	Waiting      int    `json:"waiting"`
 }
 
 // New returns a Client.
@@ -94,8 +94,8 @@
 	if err := client.order(ctx, http.MethodGet, "/v1/state", nil, &state); err != nil {
 		return State{}, err
 	}
-	if state.Epoch == "" {
-		return State{}, fault.New(fault.UpstreamFailed, fault.Unknown, "the state names no epoch; check that %s is an engine", client.url)
+	if state.Incarnation == "" {
+		return State{}, fault.New(fault.UpstreamFailed, fault.RunUnknown, "the state names no epoch; check that %s is an engine", client.url)
 	}
 	return state, nil
 }
--- a/internal/link/engine/engine_test.go
+++ b/internal/link/engine/engine_test.go
@@ -73,7 +73,7 @@
 // outcome is the part of a fault on which callers act.
 type outcome struct {
 	Kind fault.Kind
-	Ran  fault.Ran
+	Ran  fault.Execution
 }
 
 // outcomeOf returns the outcome of a call.
@@ -118,8 +118,8 @@
 					got, err := read(stream)
 					want := model.Answer("a", 3, test.prompt, test.request.MaxTokens)
 					_, finish := model.AnswerLength("a", 3, test.prompt, test.request.MaxTokens)
-					if diff := cmp.Diff(want, got); diff != "" || !errors.Is(err, io.EOF) || stream.Finish() != finish {
-						t.Errorf("error %v, finish %q, answer (-want +got):\n%s", err, stream.Finish(), diff)
+					if diff := cmp.Diff(want, got); diff != "" || !errors.Is(err, io.EOF) || stream.FinishReason() != finish {
+						t.Errorf("error %v, finish %q, answer (-want +got):\n%s", err, stream.FinishReason(), diff)
 					}
 				})
 			})
@@ -191,10 +191,10 @@
 	}{
 		{name: "not loaded", change: func(request *Request) { request.Version = 4 }, want: outcome{fault.LoadFailed, fault.NotRun}},
 		{name: "engine restarted", control: model.Control{Restart: &model.Restart{}}, want: outcome{fault.LoadFailed, fault.NotRun}},
-		{name: "engine down", control: model.Control{Restart: &model.Restart{DownFor: plat.Duration(time.Second)}}, want: outcome{fault.UpstreamFailed, fault.Unknown}},
+		{name: "engine down", control: model.Control{Restart: &model.Restart{DownFor: plat.Duration(time.Second)}}, want: outcome{fault.UpstreamFailed, fault.RunUnknown}},
 		{name: "refusing", control: model.Control{Calls: &plat.Fault{Mode: model.ModeRefusing}}, want: outcome{fault.Overloaded, fault.NotRun}},
-		{name: "cut before", control: model.Control{Calls: &plat.Fault{Mode: model.ModeCutBefore}}, want: outcome{fault.UpstreamFailed, fault.Unknown}},
-		{name: "frozen", control: model.Control{Freeze: plat.Duration(time.Minute)}, timeout: time.Second, want: outcome{fault.DeadlineExceeded, fault.Unknown}},
+		{name: "cut before", control: model.Control{Calls: &plat.Fault{Mode: model.ModeCutBefore}}, want: outcome{fault.UpstreamFailed, fault.RunUnknown}},
+		{name: "frozen", control: model.Control{Freeze: plat.Duration(time.Minute)}, timeout: time.Second, want: outcome{fault.DeadlineExceeded, fault.RunUnknown}},
 		{name: "queue full", config: func(config *model.Config) { config.WaitLimit = 0 }, want: outcome{fault.Overloaded, fault.NotRun}},
 		{name: "nothing to resume", change: func(request *Request) { request.ResumeFrom = 3 }, want: outcome{fault.UnknownRequest, fault.NotRun}},
 		{name: "no limit", change: func(request *Request) { request.MaxTokens = 0 }, want: outcome{fault.BadRequest, fault.NotRun}},
--- a/internal/link/engine/exchange.go
+++ b/internal/link/engine/exchange.go
@@ -86,7 +86,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(data, answer); err != nil {
-		return fault.New(fault.UpstreamFailed, fault.Unknown, "answer of %s is not valid: %v; check that %s is an engine", path, err, client.url)
+		return fault.New(fault.UpstreamFailed, fault.RunUnknown, "answer of %s is not valid: %v; check that %s is an engine", path, err, client.url)
 	}
 	return nil
 }
@@ -95,7 +95,7 @@
 func readBounded(ctx context.Context, body io.Reader, limit int64) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(body, limit+1))
 	if err != nil {
-		return nil, transportFault(ctx, err, fault.Unknown)
+		return nil, transportFault(ctx, err, fault.RunUnknown)
 	}
 	if int64(len(data)) > limit {
 		return nil, fault.New(fault.UpstreamFailed, fault.DidRun, "the answer is larger than %d bytes; ask for less", limit)
@@ -105,15 +105,15 @@
 
 // effect returns the effect of an exchange that failed. It did not run only if a
 // connection was asked for and never came.
-func effect(unsent *atomic.Bool) fault.Ran {
+func effect(unsent *atomic.Bool) fault.Execution {
 	if unsent.Load() {
 		return fault.NotRun
 	}
-	return fault.Unknown
+	return fault.RunUnknown
 }
 
 // transportFault describes an exchange that ended without a complete answer.
-func transportFault(ctx context.Context, err error, ran fault.Ran) *fault.Fault {
+func transportFault(ctx context.Context, err error, ran fault.Execution) *fault.Fault {
 	kind := fault.UpstreamFailed
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
@@ -127,7 +127,7 @@
 // statusFault describes an answer other than 200 from an engine. By its
 // protocol, an answer below 500 and a 503 mean that the order had no effect.
 func statusFault(response *http.Response) error {
-	kind, ran := fault.UpstreamFailed, fault.Unknown
+	kind, ran := fault.UpstreamFailed, fault.RunUnknown
 	switch response.StatusCode {
 	case http.StatusConflict:
 		kind, ran = fault.LoadFailed, fault.NotRun
--- a/internal/link/engine/plain.go
+++ b/internal/link/engine/plain.go
@@ -25,9 +25,9 @@
 	Body    []byte
 }
 
-// Call sends one call to a plain service. An answer of any status is a response;
+// CallPlain sends one call to a plain service. An answer of any status is a response;
 // a fault means that no complete answer came.
-func (client *Client) Call(ctx context.Context, request PlainRequest) (*PlainResponse, error) {
+func (client *Client) CallPlain(ctx context.Context, request PlainRequest) (*PlainResponse, error) {
 	if !strings.HasPrefix(request.Path, "/") {
 		return nil, fault.New(fault.BadRequest, fault.NotRun, "path %q does not begin with a slash; correct the call", request.Path)
 	}
--- a/internal/link/engine/plain_test.go
+++ b/internal/link/engine/plain_test.go
@@ -32,10 +32,10 @@
 		{name: "answered", method: "POST", status: 200, effects: 1},
 		{name: "failed before the effect", method: "POST", fault: &plat.Fault{Mode: plain.ModeFailBefore}, status: 503},
 		{name: "failed after the effect", method: "POST", fault: &plat.Fault{Mode: plain.ModeFailAfter}, status: 500, effects: 1},
-		{name: "cut before the effect", method: "POST", fault: &plat.Fault{Mode: plain.ModeCutBefore}, want: outcome{fault.UpstreamFailed, fault.Unknown}},
-		{name: "cut after the effect", method: "POST", fault: &plat.Fault{Mode: plain.ModeCutAfter}, want: outcome{fault.UpstreamFailed, fault.Unknown}, effects: 1},
-		{name: "GET cut after the effect", method: "GET", fault: &plat.Fault{Mode: plain.ModeCutAfter}, want: outcome{fault.UpstreamFailed, fault.Unknown}, effects: 1},
-		{name: "late", method: "POST", fault: &plat.Fault{Mode: plain.ModeDelay, Delay: plat.Duration(time.Minute)}, timeout: time.Second, want: outcome{fault.DeadlineExceeded, fault.Unknown}, effects: 1},
+		{name: "cut before the effect", method: "POST", fault: &plat.Fault{Mode: plain.ModeCutBefore}, want: outcome{fault.UpstreamFailed, fault.RunUnknown}},
+		{name: "cut after the effect", method: "POST", fault: &plat.Fault{Mode: plain.ModeCutAfter}, want: outcome{fault.UpstreamFailed, fault.RunUnknown}, effects: 1},
+		{name: "GET cut after the effect", method: "GET", fault: &plat.Fault{Mode: plain.ModeCutAfter}, want: outcome{fault.UpstreamFailed, fault.RunUnknown}, effects: 1},
+		{name: "late", method: "POST", fault: &plat.Fault{Mode: plain.ModeDelay, Delay: plat.Duration(time.Minute)}, timeout: time.Second, want: outcome{fault.DeadlineExceeded, fault.RunUnknown}, effects: 1},
 		{name: "nobody listens", method: "POST", url: "http://gone:80", want: outcome{fault.UpstreamFailed, fault.NotRun}},
 		{name: "late before the call", method: "POST", timeout: -1, want: outcome{fault.DeadlineExceeded, fault.NotRun}},
 	}
@@ -49,7 +49,7 @@
 				defer service.Close()
 				serve(t, service, func(client *Client) {
 					headers := http.Header{"Idempotency-Key": {"k"}, "X-Organisation": {"kiln"}}
-					if _, err := client.Call(t.Context(), PlainRequest{RequestID: "r0", Method: "POST", Path: "/first", Headers: headers}); err != nil {
+					if _, err := client.CallPlain(t.Context(), PlainRequest{RequestID: "r0", Method: "POST", Path: "/first", Headers: headers}); err != nil {
 						t.Fatal(err)
 					}
 					if err := service.Control(plain.Control{Calls: test.fault}); err != nil {
@@ -64,7 +64,7 @@
 						client.url = test.url
 					}
 					call := PlainRequest{RequestID: "r1", Method: test.method, Path: "/orders?urgent=1", Headers: headers, Body: []byte("12 planks")}
-					response, err := client.Call(ctx, call)
+					response, err := client.CallPlain(ctx, call)
 					if diff := cmp.Diff(test.want, outcomeOf(t, err)); diff != "" {
 						t.Errorf("outcome (-want +got):\n%s\n%v", diff, err)
 					}
@@ -91,7 +91,7 @@
 	})
 	synctest.Test(t, func(t *testing.T) {
 		serve(t, handler, func(client *Client) {
-			_, err := client.Call(t.Context(), PlainRequest{RequestID: "r1", Method: "GET", Path: "/large"})
+			_, err := client.CallPlain(t.Context(), PlainRequest{RequestID: "r1", Method: "GET", Path: "/large"})
 			if diff := cmp.Diff(outcome{fault.UpstreamFailed, fault.DidRun}, outcomeOf(t, err)); diff != "" {
 				t.Error(diff)
 			}
--- a/internal/link/engine/stream.go
+++ b/internal/link/engine/stream.go
@@ -30,8 +30,8 @@
 	// Next returns the next token, and io.EOF after the engine's end event. A
 	// stream that ends without an end event is a fault.
 	Next() (Token, error)
-	// Finish returns the reason for the end, empty before it.
-	Finish() string
+	// FinishReason returns the reason for the end, empty before it.
+	FinishReason() string
 	// Close frees the connection. It may be called more than once, and while
 	// Next waits.
 	Close()
@@ -78,8 +78,8 @@
 	return token, err
 }
 
-// Finish implements Stream.
-func (stream *sseStream) Finish() string { return stream.finish }
+// FinishReason implements Stream.
+func (stream *sseStream) FinishReason() string { return stream.finish }
 
 // Close implements Stream.
 func (stream *sseStream) Close() { _ = stream.body.Close() }
--- a/internal/link/hop/body.go
+++ b/internal/link/http1/body.go
@@ -1,4 +1,4 @@
-package hop
+package http1
 
 import (
 	"io"
--- a/internal/link/hop/hop.go
+++ b/internal/link/http1/http1.go
@@ -1,8 +1,8 @@
-// Package hop sends single HTTP/1.1 requests to upstreams over pooled
+// Package http1 sends single HTTP/1.1 requests to upstreams over pooled
 // connections. Unlike a general client it never sends a request twice, says
 // whether any byte of it was sent, and takes a connection out of use as soon as
 // it carries bytes that belong to no request.
-package hop
+package http1
 
 import (
 	"bufio"
@@ -79,9 +79,9 @@
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is the length of the body, or -1 if it is not announced.
-	Length int64
-	Body   io.ReadCloser
+	// ContentLength is the length of the body, or -1 if it is not announced.
+	ContentLength int64
+	Body          io.ReadCloser
 }
 
 // Pool holds connections to upstreams. Its methods may be called concurrently.
@@ -137,9 +137,9 @@
 	return &Pool{config: config, idle: make(map[string][]*conn)}
 }
 
-// Opened returns how many connections were opened, and how many requests used
+// Stats returns how many connections were opened, and how many requests used
 // one again.
-func (pool *Pool) Opened() (opened, reused uint64) {
+func (pool *Pool) Stats() (opened, reused uint64) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	return pool.opened, pool.reused
@@ -166,7 +166,7 @@
 		return nil, Broken.Wrap(fmt.Errorf("no answer from %s: %w", address, err))
 	}
 	body := &body{pool: pool, address: address, conn: used, response: response, stop: stop, written: written}
-	return &Response{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength, Body: body}, nil
+	return &Response{Status: response.StatusCode, Header: response.Header, ContentLength: response.ContentLength, Body: body}, nil
 }
 
 // Close closes the unused connections.
--- a/internal/link/hop/pool.go
+++ b/internal/link/http1/pool.go
@@ -1,4 +1,4 @@
-package hop
+package http1
 
 import (
 	"bufio"
@@ -63,8 +63,8 @@
 	}
 }
 
-// Trim closes the connections whose time has passed.
-func (pool *Pool) Trim() {
+// CloseExpired closes the connections whose time has passed.
+func (pool *Pool) CloseExpired() {
 	now := time.Now()
 	var old []*conn
 	pool.mutex.Lock()
--- a/internal/link/logsvc/exchange.go
+++ b/internal/link/logsvc/exchange.go
@@ -52,25 +52,25 @@
 	}
 	data, err := io.ReadAll(io.LimitReader(response.Body, limit+1))
 	if err != nil {
-		return nil, transportFault(ctx, err, fault.Unknown)
+		return nil, transportFault(ctx, err, fault.RunUnknown)
 	}
 	if int64(len(data)) > limit {
-		return nil, fault.New(fault.LogUnavailable, fault.Unknown, "the log answered with more than %d bytes; ask for fewer records", limit)
+		return nil, fault.New(fault.LogUnavailable, fault.RunUnknown, "the log answered with more than %d bytes; ask for fewer records", limit)
 	}
 	return data, nil
 }
 
 // effect returns the effect of an exchange that failed. It did not run only if a
 // connection was asked for and never came.
-func effect(unsent *atomic.Bool) fault.Ran {
+func effect(unsent *atomic.Bool) fault.Execution {
 	if unsent.Load() {
 		return fault.NotRun
 	}
-	return fault.Unknown
+	return fault.RunUnknown
 }
 
 // transportFault describes an exchange that ended without a complete answer.
-func transportFault(ctx context.Context, err error, ran fault.Ran) error {
+func transportFault(ctx context.Context, err error, ran fault.Execution) error {
 	kind := fault.LogUnavailable
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
@@ -91,7 +91,7 @@
 		kind = fault.BodyTooLarge
 	case status == http.StatusTooManyRequests, status == http.StatusServiceUnavailable:
 	case status >= http.StatusInternalServerError, status < http.StatusBadRequest:
-		ran = fault.Unknown
+		ran = fault.RunUnknown
 	default:
 		kind = fault.Invalid
 	}
--- a/internal/link/logsvc/logsvc.go
+++ b/internal/link/logsvc/logsvc.go
@@ -46,9 +46,9 @@
 // holds; a First above the offset asked for means that records have expired.
 // Next is the offset that the next appended record gets.
 type Page struct {
-	First   uint64   `json:"first"`
-	Next    uint64   `json:"next"`
-	Records []Record `json:"records"`
+	FirstOffset uint64   `json:"first"`
+	NextOffset  uint64   `json:"next"`
+	Records     []Record `json:"records"`
 }
 
 // New returns a Client.
@@ -75,7 +75,7 @@
 		Offset *uint64 `json:"offset"`
 	}
 	if err := json.Unmarshal(data, &answer); err != nil || answer.Offset == nil {
-		return 0, fault.New(fault.LogUnavailable, fault.Unknown, "the log's answer to an append names no offset; check that %s is the log service", client.url)
+		return 0, fault.New(fault.LogUnavailable, fault.RunUnknown, "the log's answer to an append names no offset; check that %s is the log service", client.url)
 	}
 	return *answer.Offset, nil
 }
@@ -97,9 +97,9 @@
 
 // check refuses a page whose records are out of order, which would corrupt a fold.
 func (page Page) check(from uint64) error {
-	expected := max(from, page.First)
+	expected := max(from, page.FirstOffset)
 	for _, record := range page.Records {
-		if record.Offset != expected || record.Offset >= page.Next {
+		if record.Offset != expected || record.Offset >= page.NextOffset {
 			return fault.New(fault.LogUnavailable, fault.NotRun, "the log returned offset %d where %d was due; report it to the platform", record.Offset, expected)
 		}
 		expected++
--- a/internal/link/logsvc/logsvc_test.go
+++ b/internal/link/logsvc/logsvc_test.go
@@ -40,7 +40,7 @@
 // outcome is the part of a fault on which callers act.
 type outcome struct {
 	Kind       fault.Kind
-	Ran        fault.Ran
+	Ran        fault.Execution
 	RetryAfter bool
 }
 
@@ -71,11 +71,11 @@
 	}{
 		{name: "accepted", want: outcome{}, records: 2},
 		{name: "nobody listens", url: "http://gone:80", want: outcome{fault.LogUnavailable, fault.NotRun, false}, records: 1},
-		{name: "reply lost", fault: &plat.Fault{Mode: plat.ModeLostReplies}, want: outcome{fault.LogUnavailable, fault.Unknown, false}, records: 2},
-		{name: "cut before the effect", fault: &plat.Fault{Mode: plat.ModeDown}, want: outcome{fault.LogUnavailable, fault.Unknown, false}, records: 1},
+		{name: "reply lost", fault: &plat.Fault{Mode: plat.ModeLostReplies}, want: outcome{fault.LogUnavailable, fault.RunUnknown, false}, records: 2},
+		{name: "cut before the effect", fault: &plat.Fault{Mode: plat.ModeDown}, want: outcome{fault.LogUnavailable, fault.RunUnknown, false}, records: 1},
 		{name: "refused", fault: &plat.Fault{Mode: plat.ModeRefusing}, want: outcome{fault.LogUnavailable, fault.NotRun, true}, records: 1},
 		{name: "record too large", size: MaxRecord + 1, want: outcome{fault.BodyTooLarge, fault.NotRun, false}, records: 1},
-		{name: "deadline", fault: &plat.Fault{Mode: plat.ModeSlow, Delay: plat.Duration(time.Minute)}, timeout: time.Second, want: outcome{fault.DeadlineExceeded, fault.Unknown, false}, records: 1},
+		{name: "deadline", fault: &plat.Fault{Mode: plat.ModeSlow, Delay: plat.Duration(time.Minute)}, timeout: time.Second, want: outcome{fault.DeadlineExceeded, fault.RunUnknown, false}, records: 1},
 		{name: "deadline before the call", timeout: -1, want: outcome{fault.DeadlineExceeded, fault.NotRun, false}, records: 1},
 	}
 	for _, test := range tests {
@@ -145,7 +145,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			want := Page{Next: 1, Records: []Record{{Data: []byte("late"), Time: begin.Add(3 * time.Second)}}}
+			want := Page{NextOffset: 1, Records: []Record{{Data: []byte("late"), Time: begin.Add(3 * time.Second)}}}
 			if diff := cmp.Diff(want, got); diff != "" {
 				t.Error(diff)
 			}
@@ -167,7 +167,7 @@
 				time.Sleep(48 * time.Hour)
 			}
 			page, err := client.Read(t.Context(), "config", 0, 0)
-			if err != nil || page.First != 2 || page.Next != 5 || len(page.Records) != 3 {
+			if err != nil || page.FirstOffset != 2 || page.NextOffset != 5 || len(page.Records) != 3 {
 				t.Errorf("page %+v, error %v; want offsets 2 to 4", page, err)
 			}
 		})
--- a/internal/link/roster/roster.go
+++ b/internal/link/roster/roster.go
@@ -126,9 +126,9 @@
 // Instances returns the list. The caller must not change it.
 func (roster *Roster) Instances() []Instance { return roster.view.Load().instances }
 
-// Side returns the side process of an upstream. Of several, one that stays is
+// SideProcess returns the side process of an upstream. Of several, one that stays is
 // preferred, then the one that was added last.
-func (roster *Roster) Side(upstream string) (Instance, bool) {
+func (roster *Roster) SideProcess(upstream string) (Instance, bool) {
 	instance, ok := roster.view.Load().sides[upstream]
 	return instance, ok
 }
--- a/internal/link/roster/roster_test.go
+++ b/internal/link/roster/roster_test.go
@@ -56,7 +56,7 @@
 				t.Fatal(err)
 			}
 			time.Sleep(1600 * time.Millisecond)
-			if instance, ok := roster.Side("u1"); !ok || instance.Leaving {
+			if instance, ok := roster.SideProcess("u1"); !ok || instance.Draining {
 				t.Fatalf("side process %+v, %v; want a live one", instance, ok)
 			}
 			leaving.State = plat.StateLeaving
@@ -68,7 +68,7 @@
 				t.Fatal(err)
 			}
 			time.Sleep(10 * time.Second)
-			if instance, ok := roster.Side("u1"); !ok || !instance.Leaving {
+			if instance, ok := roster.SideProcess("u1"); !ok || !instance.Draining {
 				t.Errorf("side process %+v, %v during an outage; want the leaving one", instance, ok)
 			}
 			if age, ok := roster.Age(); !ok || age < 9*time.Second {
@@ -111,7 +111,7 @@
 					if err := roster.Poll(t.Context()); err != nil {
 						t.Fatal(err)
 					}
-					if got, ok := roster.Side("u1"); got.ID != test.want || ok != (test.want != "") {
+					if got, ok := roster.SideProcess("u1"); got.ID != test.want || ok != (test.want != "") {
 						t.Errorf("side process %q, %v; want %q", got.ID, ok, test.want)
 					}
 				})
--- a/internal/link/roster/view.go
+++ b/internal/link/roster/view.go
@@ -19,9 +19,9 @@
 	Upstream      string
 	Address       string
 	FailureDomain string
-	Leaving       bool
-	// Announced is when the platform added the instance.
-	Announced time.Time
+	Draining      bool
+	// AnnouncedAt is when the platform added the instance.
+	AnnouncedAt time.Time
 }
 
 // update is an answer of the platform. Unless it is complete, it holds what has
@@ -88,7 +88,7 @@
 	for _, changed := range update.Instances {
 		byID[changed.ID] = Instance{
 			ID: changed.ID, Role: changed.Role, Upstream: changed.Upstream, Address: changed.Address,
-			FailureDomain: changed.FailureDomain, Leaving: changed.State == stateLeaving, Announced: changed.Announced,
+			FailureDomain: changed.FailureDomain, Draining: changed.State == stateLeaving, AnnouncedAt: changed.Announced,
 		}
 	}
 	next.index(byID)
@@ -102,14 +102,14 @@
 		view.instances = append(view.instances, instance)
 	}
 	slices.SortFunc(view.instances, func(a, b Instance) int {
-		return cmp.Or(a.Announced.Compare(b.Announced), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(a.AnnouncedAt.Compare(b.AnnouncedAt), cmp.Compare(a.ID, b.ID))
 	})
 	view.sides = make(map[string]Instance)
 	for _, instance := range view.instances {
 		if instance.Role != RoleSide {
 			continue
 		}
-		if known, ok := view.sides[instance.Upstream]; ok && instance.Leaving && !known.Leaving {
+		if known, ok := view.sides[instance.Upstream]; ok && instance.Draining && !known.Draining {
 			continue
 		}
 		view.sides[instance.Upstream] = instance
--- a/internal/state/model/model.go
+++ b/internal/state/conf/conf.go
@@ -1,7 +1,7 @@
-// Package model holds the numbered configuration: organisations, keys, routes,
+// Package conf holds the numbered configuration: organisations, keys, routes,
 // adapters, upstreams and halves. A Config is immutable; an Editor derives the
 // next one.
-package model
+package conf
 
 import (
 	"fmt"
@@ -14,8 +14,8 @@
 // Half names one half of a splitting company. Empty means both halves.
 type Half string
 
-// Shares reports whether work of one half may run at the other.
-func (half Half) Shares(other Half) bool {
+// CompatibleWith reports whether work of one half may run at the other.
+func (half Half) CompatibleWith(other Half) bool {
 	return half == "" || other == "" || half == other
 }
 
@@ -65,11 +65,11 @@
 	// Plain marks a route to a plain service; the others run on an adapter.
 	Plain bool
 	// PathPrefix and Methods select the calls of a plain service.
-	PathPrefix  string
-	Methods     []string
-	Class       Class
-	LongestWait time.Duration
-	Idempotent  bool
+	PathPrefix string
+	Methods    []string
+	Class      Class
+	MaxWait    time.Duration
+	Idempotent bool
 	// Open admits calls without a key.
 	Open             bool
 	DefaultMaxTokens Tokens
--- a/internal/state/model/editor.go
+++ b/internal/state/conf/editor.go
@@ -1,4 +1,4 @@
-package model
+package conf
 
 import "maps"
 
--- a/internal/state/creds/creds.go
+++ b/internal/state/creds/creds.go
@@ -10,7 +10,7 @@
 	"strings"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // Prefix starts every key.
@@ -26,14 +26,14 @@
 
 // Keys looks a key up by its id.
 type Keys interface {
-	Key(id string) (model.KeySpec, bool)
+	Key(id string) (conf.KeySpec, bool)
 }
 
 // Issue generates a key for an organisation. The key itself is returned once
 // and kept nowhere; the spec holds only its salted digest.
-func Issue(organisation string) (string, model.KeySpec) {
+func Issue(organisation string) (string, conf.KeySpec) {
 	id, secret, salt := random(idSize), random(secretSize), random(saltSize)
-	spec := model.KeySpec{
+	spec := conf.KeySpec{
 		ID:           hex.EncodeToString(id),
 		Organisation: organisation,
 		Salt:         salt,
@@ -80,34 +80,34 @@
 }
 
 // Digest returns the HMAC-SHA-256 of the secret under the salt.
-func Digest(salt, secret []byte) [model.DigestSize]byte {
+func Digest(salt, secret []byte) [conf.DigestSize]byte {
 	mac := hmac.New(sha256.New, salt)
 	mac.Write(secret)
-	return [model.DigestSize]byte(mac.Sum(nil))
+	return [conf.DigestSize]byte(mac.Sum(nil))
 }
 
 // Check compares a secret with the digest of a key in constant time.
-func Check(spec model.KeySpec, secret []byte) bool {
+func Check(spec conf.KeySpec, secret []byte) bool {
 	digest := Digest(spec.Salt, secret)
 	return hmac.Equal(digest[:], spec.Digest[:])
 }
 
 // absent stands for a key that is not configured, so that an unknown id costs
 // as much time as a wrong secret.
-var absent = model.KeySpec{Salt: make([]byte, saltSize)}
+var absent = conf.KeySpec{Salt: make([]byte, saltSize)}
 
 // Authenticate returns the configured key that was presented.
-func Authenticate(keys Keys, presented string) (model.KeySpec, error) {
+func Authenticate(keys Keys, presented string) (conf.KeySpec, error) {
 	id, secret, ok := Parse(presented)
 	if !ok {
-		return model.KeySpec{}, refuse()
+		return conf.KeySpec{}, refuse()
 	}
 	spec, known := keys.Key(id)
 	if !known {
 		spec = absent
 	}
 	if !Check(spec, secret) || !known {
-		return model.KeySpec{}, refuse()
+		return conf.KeySpec{}, refuse()
 	}
 	return spec, nil
 }
--- a/internal/state/creds/creds_test.go
+++ b/internal/state/creds/creds_test.go
@@ -4,12 +4,12 @@
 	"strings"
 	"testing"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-type keys map[string]model.KeySpec
+type keys map[string]conf.KeySpec
 
-func (keys keys) Key(id string) (model.KeySpec, bool) {
+func (keys keys) Key(id string) (conf.KeySpec, bool) {
 	spec, ok := keys[id]
 	return spec, ok
 }
--- a/internal/state/fleet/fleet.go
+++ b/internal/state/fleet/fleet.go
@@ -86,8 +86,8 @@
 	return true
 }
 
-// Has reports whether an upstream is in the list.
-func (list *List) Has(id string) bool {
+// Contains reports whether an upstream is in the list.
+func (list *List) Contains(id string) bool {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
 	_, ok := list.upstreams[id]
@@ -108,9 +108,9 @@
 	list.stamp++
 }
 
-// Replace records a complete reading of the list: what is not in it was
+// ReplaceAll records a complete reading of the list: what is not in it was
 // removed.
-func (list *List) Replace(upstreams []Upstream) {
+func (list *List) ReplaceAll(upstreams []Upstream) {
 	present := make(map[string]bool, len(upstreams))
 	for _, upstream := range upstreams {
 		present[upstream.ID] = true
@@ -123,15 +123,15 @@
 	}
 }
 
-// Down records that the list cannot be read.
-func (list *List) Down() {
+// MarkUnavailable records that the list cannot be read.
+func (list *List) MarkUnavailable() {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
 	list.down = true
 }
 
-// Up records that the list was read.
-func (list *List) Up() {
+// MarkAvailable records that the list was read.
+func (list *List) MarkAvailable() {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
 	if list.down {
@@ -140,9 +140,9 @@
 	}
 }
 
-// Expire removes the lapsed entries whose time to return has passed, and
+// RemoveExpired removes the lapsed entries whose time to return has passed, and
 // returns their ids.
-func (list *List) Expire() []string {
+func (list *List) RemoveExpired() []string {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
 	if list.down || len(list.lapsed) == 0 || time.Since(list.upAt) < list.config.Return {
@@ -172,8 +172,8 @@
 	return upstreams
 }
 
-// Stamp returns a number that grows with each change.
-func (list *List) Stamp() uint64 {
+// Generation returns a number that grows with each change.
+func (list *List) Generation() uint64 {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
 	return list.stamp
--- a/internal/state/fleet/fleet_test.go
+++ b/internal/state/fleet/fleet_test.go
@@ -24,17 +24,17 @@
 		list.Set(Upstream{ID: "i-1"})
 		list.Set(Upstream{ID: "i-2"})
 		list.Set(Upstream{ID: "i-3", Draining: true})
-		list.Down()
+		list.MarkUnavailable()
 		time.Sleep(10 * time.Second)
-		list.Up()
-		list.Replace(nil)
+		list.MarkAvailable()
+		list.ReplaceAll(nil)
 		if diff := cmp.Diff([]string{"i-1", "i-2"}, ids(list)); diff != "" {
 			t.Errorf("after the return (-want +got):\n%s", diff)
 		}
 		time.Sleep(time.Second)
 		list.Set(Upstream{ID: "i-2"})
 		time.Sleep(time.Second)
-		if diff := cmp.Diff([]string{"i-1"}, list.Expire()); diff != "" {
+		if diff := cmp.Diff([]string{"i-1"}, list.RemoveExpired()); diff != "" {
 			t.Errorf("expired (-want +got):\n%s", diff)
 		}
 		if diff := cmp.Diff([]string{"i-2"}, ids(list)); diff != "" {
@@ -64,16 +64,16 @@
 func TestLapsed(t *testing.T) {
 	list := New(Config{})
 	list.Set(Upstream{ID: "i-1"})
-	list.Down()
+	list.MarkUnavailable()
 	list.Remove("i-1")
-	if !list.Has("i-1") || !list.Lapsed("i-1") {
+	if !list.Contains("i-1") || !list.Lapsed("i-1") {
 		t.Error("an entry that lapsed in an outage is not kept as such")
 	}
 	list.Set(Upstream{ID: "i-1"})
-	if !list.Has("i-1") || list.Lapsed("i-1") {
+	if !list.Contains("i-1") || list.Lapsed("i-1") {
 		t.Error("an entry that came back counts as lapsed")
 	}
-	if list.Has("i-2") || list.Lapsed("i-2") {
+	if list.Contains("i-2") || list.Lapsed("i-2") {
 		t.Error("an entry that never was is known")
 	}
 }
--- a/internal/state/patch/apply.go
+++ b/internal/state/patch/apply.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // MaxOps bounds the operations of one patch.
@@ -14,8 +14,8 @@
 
 // draft is a configuration while a patch is applied to it.
 type draft struct {
-	base   *model.Config
-	editor *model.Editor
+	base   *conf.Config
+	editor *conf.Editor
 	// created lists the organisations that the patch adds, ended the upstreams
 	// whose shards get new hosts.
 	created []string
@@ -24,22 +24,22 @@
 	topology bool
 }
 
-func (draft *draft) now() *model.Config { return draft.editor.Current() }
+func (draft *draft) now() *conf.Config { return draft.editor.Current() }
 
 // Apply applies a patch to the configuration of its base version. It returns
 // the new configuration when the patch is accepted, otherwise the base. The
 // outcome depends on nothing but its arguments, so that every process folds a
 // record to the same result.
-func Apply(config *model.Config, patch Patch) (*model.Config, Result) {
+func Apply(config *conf.Config, patch Patch) (*conf.Config, Result) {
 	result := Result{ID: patch.ID, Version: config.Version()}
-	if problem := Check(patch); problem != nil {
+	if problem := Validate(patch); problem != nil {
 		return config, problem.result(result)
 	}
-	if patch.Base > config.Version() {
+	if patch.BaseVersion > config.Version() {
 		return config, refuse("base", "version %d does not exist yet; use the current version %d",
-			patch.Base, config.Version()).result(result)
+			patch.BaseVersion, config.Version()).result(result)
 	}
-	if patch.Base != config.Version() {
+	if patch.BaseVersion != config.Version() {
 		result.Kind = Conflict
 		return config, result
 	}
@@ -59,8 +59,8 @@
 	return result
 }
 
-// Check refuses a patch that no configuration admits.
-func Check(patch Patch) *Problem {
+// Validate refuses a patch that no configuration admits.
+func Validate(patch Patch) *Problem {
 	if patch.ID == "" || len(patch.ID) > maxIDLength || !printable(patch.ID) {
 		return refuse("id", "must be 1 to %d printable characters without spaces", maxIDLength)
 	}
--- a/internal/state/patch/names.go
+++ b/internal/state/patch/names.go
@@ -4,14 +4,14 @@
 	"strings"
 	"unicode/utf8"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 const (
 	// maxNameLength bounds names, which are kept for every adapter.
 	maxNameLength = 128
 	// maxTokens keeps rate × time within 64 bits for more than a day.
-	maxTokens model.Tokens = 1_000_000_000_000
+	maxTokens conf.Tokens = 1_000_000_000_000
 )
 
 func printable(text string) bool {
--- a/internal/state/patch/organisation.go
+++ b/internal/state/patch/organisation.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/creds"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
 )
 
 // minSaltSize is the least salt length in bytes that makes equal secrets have
@@ -81,7 +81,7 @@
 	if len(op.Key.Salt) < minSaltSize || len(op.Key.Salt) > 4*minSaltSize {
 		return refuse("salt", "has %d bytes; it must have %d to %d", len(op.Key.Salt), minSaltSize, 4*minSaltSize)
 	}
-	if op.Key.Digest == ([model.DigestSize]byte{}) {
+	if op.Key.Digest == ([conf.DigestSize]byte{}) {
 		return refuse("digest", "is empty; issue keys with 'key issue'")
 	}
 	return nil
--- a/internal/state/patch/patch.go
+++ b/internal/state/patch/patch.go
@@ -5,25 +5,25 @@
 import (
 	"fmt"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // Patch is a change against one numbered version.
 type Patch struct {
-	ID       string
-	Base     uint64
-	Operator string
+	ID          string
+	BaseVersion uint64
+	Operator    string
 	// Force admits a patch that leaves a half without an upstream.
 	Force bool
 	Ops   []Op
 }
 
-// Kind is the result of a patch.
-type Kind uint8
+// ResultKind is the result of a patch.
+type ResultKind uint8
 
 const (
 	// Unknown means that the patch has not been read back from the log.
-	Unknown Kind = iota
+	Unknown ResultKind = iota
 	// Accepted means that the patch is in force as Result.Version.
 	Accepted
 	// Conflict means that the patch's base is not the current version.
@@ -37,7 +37,7 @@
 var kindNames = [...]string{"unknown", "accepted", "conflict", "invalid", "duplicate"}
 
 // String returns the kind as written in answers and logs.
-func (kind Kind) String() string {
+func (kind ResultKind) String() string {
 	if int(kind) < len(kindNames) {
 		return kindNames[kind]
 	}
@@ -45,13 +45,13 @@
 }
 
 // MarshalText implements encoding.TextMarshaler.
-func (kind Kind) MarshalText() ([]byte, error) { return []byte(kind.String()), nil }
+func (kind ResultKind) MarshalText() ([]byte, error) { return []byte(kind.String()), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (kind *Kind) UnmarshalText(text []byte) error {
+func (kind *ResultKind) UnmarshalText(text []byte) error {
 	for index, name := range kindNames {
 		if name == string(text) {
-			*kind = Kind(index)
+			*kind = ResultKind(index)
 			return nil
 		}
 	}
@@ -61,7 +61,7 @@
 // Result reports what became of a patch.
 type Result struct {
 	ID   string
-	Kind Kind
+	Kind ResultKind
 	// Version is the version that the patch created, or the current version
 	// when it was void.
 	Version uint64
@@ -118,23 +118,23 @@
 // The operations.
 type (
 	// PutOrganisation adds or replaces an organisation.
-	PutOrganisation struct{ Organisation model.OrganisationSpec }
+	PutOrganisation struct{ Organisation conf.OrganisationSpec }
 	// RemoveOrganisation removes an organisation that nothing refers to.
 	RemoveOrganisation struct{ Name string }
 	// PutKey adds a key.
-	PutKey struct{ Key model.KeySpec }
+	PutKey struct{ Key conf.KeySpec }
 	// WithdrawKey removes a key.
 	WithdrawKey struct{ ID string }
 	// PutRoute adds or replaces a route.
-	PutRoute struct{ Route model.RouteSpec }
+	PutRoute struct{ Route conf.RouteSpec }
 	// RemoveRoute removes a route.
 	RemoveRoute struct{ Name string }
 	// PutAdapter adds or replaces an adapter.
-	PutAdapter struct{ Adapter model.AdapterSpec }
+	PutAdapter struct{ Adapter conf.AdapterSpec }
 	// RemoveAdapter removes an adapter.
 	RemoveAdapter struct{ Name string }
 	// PutUpstream adds or replaces an upstream.
-	PutUpstream struct{ Upstream model.UpstreamSpec }
+	PutUpstream struct{ Upstream conf.UpstreamSpec }
 	// RemoveUpstream removes an upstream. With Ended the operator attests that
 	// its side process has ended, and its shards are given to other upstreams.
 	RemoveUpstream struct {
@@ -142,7 +142,7 @@
 		Ended bool
 	}
 	// PutFleet replaces the settings that the whole fleet shares.
-	PutFleet struct{ Fleet model.FleetSpec }
+	PutFleet struct{ Fleet conf.FleetSpec }
 )
 
 // Kind implements Op.
--- a/internal/state/patch/patch_test.go
+++ b/internal/state/patch/patch_test.go
@@ -9,23 +9,23 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 func upstream(id, half string) PutUpstream {
-	return PutUpstream{model.UpstreamSpec{ID: id, Service: "advisor", Half: model.Half(half), FailureDomain: "one"}}
+	return PutUpstream{conf.UpstreamSpec{ID: id, Service: "advisor", Half: conf.Half(half), FailureDomain: "one"}}
 }
 
 func organisation(name, half string) PutOrganisation {
-	return PutOrganisation{model.OrganisationSpec{Name: name, Half: model.Half(half), Rate: 100, Burst: 200}}
+	return PutOrganisation{conf.OrganisationSpec{Name: name, Half: conf.Half(half), Rate: 100, Burst: 200}}
 }
 
 func route(name, service string) PutRoute {
-	return PutRoute{model.RouteSpec{Name: name, Service: service, LongestWait: time.Second, DefaultMaxTokens: 64}}
+	return PutRoute{conf.RouteSpec{Name: name, Service: service, MaxWait: time.Second, DefaultMaxTokens: 64}}
 }
 
-func adapter(name string, change func(*model.AdapterSpec)) PutAdapter {
-	spec := model.AdapterSpec{Name: name, Organisation: "looms", Service: "advisor", Versions: []uint32{1, 3}, DefaultVersion: 3}
+func adapter(name string, change func(*conf.AdapterSpec)) PutAdapter {
+	spec := conf.AdapterSpec{Name: name, Organisation: "looms", Service: "advisor", Versions: []uint32{1, 3}, DefaultVersion: 3}
 	if change != nil {
 		change(&spec)
 	}
@@ -33,15 +33,15 @@
 }
 
 func key(id, organisation string) PutKey {
-	return PutKey{model.KeySpec{ID: id, Organisation: organisation, Salt: bytes.Repeat([]byte{1}, 16), Digest: [32]byte{1}}}
+	return PutKey{conf.KeySpec{ID: id, Organisation: organisation, Salt: bytes.Repeat([]byte{1}, 16), Digest: [32]byte{1}}}
 }
 
 const keyID = "0123456789abcdef"
 
 // base is a configuration with two halves, each with an upstream and an
 // organisation.
-func base(t *testing.T) *model.Config {
-	config, result := Apply(model.New(), Patch{ID: "base", Ops: []Op{
+func base(t *testing.T) *conf.Config {
+	config, result := Apply(conf.New(), Patch{ID: "base", Ops: []Op{
 		organisation("looms", "east"), organisation("kilns", "west"), route("letters", "advisor"),
 		upstream("up-1", "east"), upstream("up-2", "west"), adapter("felt", nil), key(keyID, "looms"),
 	}})
@@ -60,7 +60,7 @@
 		ops   []Op
 		force bool
 		base  uint64
-		kind  Kind
+		kind  ResultKind
 		field string
 	}{
 		{name: "adapter", ops: []Op{adapter("new", nil)}, kind: Accepted},
@@ -72,27 +72,27 @@
 		{name: "same object twice", ops: []Op{adapter("a", nil), RemoveAdapter{"a"}}, kind: Invalid, field: "ops[1].remove-adapter"},
 		{name: "name with @", ops: []Op{adapter("a@1", nil)}, kind: Invalid, field: "ops[0].put-adapter.name"},
 		{name: "long name", ops: []Op{adapter(longName, nil)}, kind: Invalid, field: "ops[0].put-adapter.name"},
-		{name: "burst below rate", ops: []Op{PutOrganisation{model.OrganisationSpec{Name: "new", Rate: 100, Burst: 99}}}, kind: Invalid, field: "ops[0].put-organisation.burst"},
-		{name: "burst equal to rate", ops: []Op{PutOrganisation{model.OrganisationSpec{Name: "new", Rate: 100, Burst: 100}}}, kind: Accepted},
-		{name: "no rate", ops: []Op{PutOrganisation{model.OrganisationSpec{Name: "new", Burst: 99}}}, kind: Invalid, field: "ops[0].put-organisation.rate"},
-		{name: "shards given", ops: []Op{PutOrganisation{model.OrganisationSpec{Name: "new", Rate: 1, Burst: 1, Shards: []string{"up-1"}}}}, kind: Invalid, field: "ops[0].put-organisation.shards"},
+		{name: "burst below rate", ops: []Op{PutOrganisation{conf.OrganisationSpec{Name: "new", Rate: 100, Burst: 99}}}, kind: Invalid, field: "ops[0].put-organisation.burst"},
+		{name: "burst equal to rate", ops: []Op{PutOrganisation{conf.OrganisationSpec{Name: "new", Rate: 100, Burst: 100}}}, kind: Accepted},
+		{name: "no rate", ops: []Op{PutOrganisation{conf.OrganisationSpec{Name: "new", Burst: 99}}}, kind: Invalid, field: "ops[0].put-organisation.rate"},
+		{name: "shards given", ops: []Op{PutOrganisation{conf.OrganisationSpec{Name: "new", Rate: 1, Burst: 1, Shards: []string{"up-1"}}}}, kind: Invalid, field: "ops[0].put-organisation.shards"},
 		{name: "key of unknown organisation", ops: []Op{key("aaaaaaaaaaaaaaaa", "none")}, kind: Invalid, field: "ops[0].put-key.organisation"},
 		{name: "key id used twice", ops: []Op{key(keyID, "kilns")}, kind: Invalid, field: "ops[0].put-key.id"},
-		{name: "key without digest", ops: []Op{PutKey{model.KeySpec{ID: keyID, Salt: make([]byte, 16)}}}, kind: Invalid, field: "ops[0].put-key.digest"},
-		{name: "key with short salt", ops: []Op{PutKey{model.KeySpec{ID: keyID, Salt: make([]byte, 15), Digest: [32]byte{1}}}}, kind: Invalid, field: "ops[0].put-key.salt"},
+		{name: "key without digest", ops: []Op{PutKey{conf.KeySpec{ID: keyID, Salt: make([]byte, 16)}}}, kind: Invalid, field: "ops[0].put-key.digest"},
+		{name: "key with short salt", ops: []Op{PutKey{conf.KeySpec{ID: keyID, Salt: make([]byte, 15), Digest: [32]byte{1}}}}, kind: Invalid, field: "ops[0].put-key.salt"},
 		{name: "unknown key withdrawn", ops: []Op{WithdrawKey{"aaaaaaaaaaaaaaaa"}}, kind: Invalid, field: "ops[0].withdraw-key"},
 		{name: "key withdrawn", ops: []Op{WithdrawKey{keyID}}, kind: Accepted},
 		{name: "organisation with key", ops: []Op{RemoveAdapter{"felt"}, RemoveOrganisation{"looms"}}, kind: Invalid, field: "ops[1].remove-organisation"},
 		{name: "organisation with adapter", ops: []Op{WithdrawKey{keyID}, RemoveOrganisation{"looms"}}, kind: Invalid, field: "ops[1].remove-organisation"},
 		{name: "organisation with nothing", ops: []Op{RemoveOrganisation{"looms"}, WithdrawKey{keyID}, RemoveAdapter{"felt"}}, kind: Accepted},
-		{name: "adapter of unknown organisation", ops: []Op{adapter("a", func(spec *model.AdapterSpec) { spec.Organisation = "none" })}, kind: Invalid, field: "ops[0].put-adapter.organisation"},
-		{name: "adapter of unknown service", ops: []Op{adapter("a", func(spec *model.AdapterSpec) { spec.Service = "none" })}, kind: Invalid, field: "ops[0].put-adapter.service"},
-		{name: "adapter with equal versions", ops: []Op{adapter("a", func(spec *model.AdapterSpec) { spec.Versions = []uint32{1, 1} })}, kind: Invalid, field: "ops[0].put-adapter.versions"},
-		{name: "adapter with unknown default", ops: []Op{adapter("a", func(spec *model.AdapterSpec) { spec.DefaultVersion = 2 })}, kind: Invalid, field: "ops[0].put-adapter.default-version"},
-		{name: "route without wait", ops: []Op{PutRoute{model.RouteSpec{Name: "r", Service: "advisor", DefaultMaxTokens: 1}}}, kind: Invalid, field: "ops[0].put-route.longest-wait"},
-		{name: "route with unknown class", ops: []Op{PutRoute{model.RouteSpec{Name: "r", Service: "advisor", Class: 9}}}, kind: Invalid, field: "ops[0].put-route.class"},
-		{name: "plain route to model service", ops: []Op{PutRoute{model.RouteSpec{Name: "r", Service: "advisor", Plain: true, PathPrefix: "/", LongestWait: time.Second}}}, kind: Invalid, field: "ops[0].put-route.plain"},
-		{name: "plain route without prefix", ops: []Op{PutRoute{model.RouteSpec{Name: "r", Service: "counter", Plain: true, LongestWait: time.Second}}}, kind: Invalid, field: "ops[0].put-route.path-prefix"},
+		{name: "adapter of unknown organisation", ops: []Op{adapter("a", func(spec *conf.AdapterSpec) { spec.Organisation = "none" })}, kind: Invalid, field: "ops[0].put-adapter.organisation"},
+		{name: "adapter of unknown service", ops: []Op{adapter("a", func(spec *conf.AdapterSpec) { spec.Service = "none" })}, kind: Invalid, field: "ops[0].put-adapter.service"},
+		{name: "adapter with equal versions", ops: []Op{adapter("a", func(spec *conf.AdapterSpec) { spec.Versions = []uint32{1, 1} })}, kind: Invalid, field: "ops[0].put-adapter.versions"},
+		{name: "adapter with unknown default", ops: []Op{adapter("a", func(spec *conf.AdapterSpec) { spec.DefaultVersion = 2 })}, kind: Invalid, field: "ops[0].put-adapter.default-version"},
+		{name: "route without wait", ops: []Op{PutRoute{conf.RouteSpec{Name: "r", Service: "advisor", DefaultMaxTokens: 1}}}, kind: Invalid, field: "ops[0].put-route.longest-wait"},
+		{name: "route with unknown class", ops: []Op{PutRoute{conf.RouteSpec{Name: "r", Service: "advisor", Class: 9}}}, kind: Invalid, field: "ops[0].put-route.class"},
+		{name: "plain route to model service", ops: []Op{PutRoute{conf.RouteSpec{Name: "r", Service: "advisor", Plain: true, PathPrefix: "/", MaxWait: time.Second}}}, kind: Invalid, field: "ops[0].put-route.plain"},
+		{name: "plain route without prefix", ops: []Op{PutRoute{conf.RouteSpec{Name: "r", Service: "counter", Plain: true, MaxWait: time.Second}}}, kind: Invalid, field: "ops[0].put-route.path-prefix"},
 		{name: "route to unserved service", ops: []Op{route("r", "none")}, kind: Invalid, field: "ops"},
 		{name: "last upstream of a half", ops: []Op{RemoveUpstream{ID: "up-1"}}, kind: Invalid, field: "ops"},
 		{name: "last upstream of a half, forced", ops: []Op{RemoveUpstream{ID: "up-1"}}, force: true, kind: Accepted},
@@ -100,8 +100,8 @@
 		{name: "upstream of both halves", ops: []Op{upstream("up-3", ""), RemoveUpstream{ID: "up-1"}}, kind: Accepted},
 		{name: "organisation in a half without upstream", ops: []Op{organisation("looms", "south")}, kind: Invalid, field: "ops"},
 		{name: "unknown upstream removed", ops: []Op{RemoveUpstream{ID: "none", Ended: true}}, kind: Invalid, field: "ops[0].remove-upstream.id"},
-		{name: "load burst below rate", ops: []Op{PutFleet{model.FleetSpec{LoadRateMilli: 3000, LoadBurst: 2}}}, kind: Invalid, field: "ops[0].put-fleet.load-burst"},
-		{name: "fleet", ops: []Op{PutFleet{model.FleetSpec{LoadRateMilli: 3000, LoadBurst: 8}}}, kind: Accepted},
+		{name: "load burst below rate", ops: []Op{PutFleet{conf.FleetSpec{LoadRateMilli: 3000, LoadBurst: 2}}}, kind: Invalid, field: "ops[0].put-fleet.load-burst"},
+		{name: "fleet", ops: []Op{PutFleet{conf.FleetSpec{LoadRateMilli: 3000, LoadBurst: 8}}}, kind: Accepted},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -110,7 +110,7 @@
 			if test.base == 0 {
 				test.base = 8
 			}
-			next, result := Apply(config, Patch{ID: "patch", Base: test.base, Force: test.force, Ops: test.ops})
+			next, result := Apply(config, Patch{ID: "patch", BaseVersion: test.base, Force: test.force, Ops: test.ops})
 			if diff := cmp.Diff([]string{test.kind.String(), test.field}, []string{result.Kind.String(), result.Field}); diff != "" {
 				t.Fatalf("%v (-want +got):\n%s", result, diff)
 			}
@@ -125,10 +125,10 @@
 // upstream, or that move without the operator's word that it has ended, which
 // would let two hosts grant from one shard.
 func TestShards(t *testing.T) {
-	config := model.New()
+	config := conf.New()
 	step := func(force bool, ops ...Op) Result {
 		t.Helper()
-		next, result := Apply(config, Patch{ID: "patch", Base: config.Version(), Force: force, Ops: ops})
+		next, result := Apply(config, Patch{ID: "patch", BaseVersion: config.Version(), Force: force, Ops: ops})
 		config = next
 		return result
 	}
--- a/internal/state/patch/service.go
+++ b/internal/state/patch/service.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 const (
@@ -20,11 +20,11 @@
 	if problem := firstProblem(checkName("name", route.Name), checkName("service", route.Service)); problem != nil {
 		return problem
 	}
-	if route.Class > model.Patient {
+	if route.Class > conf.Patient {
 		return refuse("class", "%d is unknown; write interactive or patient", route.Class)
 	}
-	if route.LongestWait <= 0 || route.LongestWait > maxLongestWait || route.LongestWait%time.Microsecond != 0 {
-		return refuse("longest-wait", "%v must be more than 0 and at most %v, in whole microseconds", route.LongestWait, maxLongestWait)
+	if route.MaxWait <= 0 || route.MaxWait > maxLongestWait || route.MaxWait%time.Microsecond != 0 {
+		return refuse("longest-wait", "%v must be more than 0 and at most %v, in whole microseconds", route.MaxWait, maxLongestWait)
 	}
 	if route.DefaultMaxTokens < 0 || route.DefaultMaxTokens > maxTokens {
 		return refuse("default-max-tokens", "%d must be 0 to %d", route.DefaultMaxTokens, maxTokens)
@@ -38,7 +38,7 @@
 	return checkPlainRoute(route)
 }
 
-func checkModelRoute(route model.RouteSpec) *Problem {
+func checkModelRoute(route conf.RouteSpec) *Problem {
 	if route.PathPrefix != "" || len(route.Methods) > 0 || route.Cost != 0 {
 		return refuse("plain", "is false, but path-prefix, methods and cost are for plain services; leave them out or set plain")
 	}
@@ -48,7 +48,7 @@
 	return nil
 }
 
-func checkPlainRoute(route model.RouteSpec) *Problem {
+func checkPlainRoute(route conf.RouteSpec) *Problem {
 	if !strings.HasPrefix(route.PathPrefix, "/") || len(route.PathPrefix) > maxNameLength || !printable(route.PathPrefix) {
 		return refuse("path-prefix", "%q must start with / and have at most %d printable characters", route.PathPrefix, maxNameLength)
 	}
--- a/internal/state/patch/shards.go
+++ b/internal/state/patch/shards.go
@@ -6,7 +6,7 @@
 
 	"github.com/zeebo/xxh3"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // MaxShards bounds the quota shards of one organisation.
@@ -96,13 +96,13 @@
 	})
 }
 
-func firstHosts(config *model.Config, set string) []string {
+func firstHosts(config *conf.Config, set string) []string {
 	ranked := rank(config, set)
 	return slices.Clone(ranked[:min(MaxShards, len(ranked))])
 }
 
 // rank orders the upstreams by rendezvous hash for a shard set.
-func rank(config *model.Config, set string) []string {
+func rank(config *conf.Config, set string) []string {
 	type scored struct {
 		id    string
 		score uint64
--- a/internal/state/patch/upstream.go
+++ b/internal/state/patch/upstream.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 func (op PutUpstream) check() *Problem {
@@ -84,7 +84,7 @@
 
 // served is a half and a service that its organisations may call.
 type served struct {
-	half    model.Half
+	half    conf.Half
 	service string
 }
 
@@ -101,8 +101,8 @@
 	return nil
 }
 
-func unserved(config *model.Config) []served {
-	halves := map[model.Half]bool{}
+func unserved(config *conf.Config) []served {
+	halves := map[conf.Half]bool{}
 	for organisation := range config.AllOrganisations() {
 		halves[organisation.Half] = true
 	}
@@ -127,7 +127,7 @@
 
 func hasUpstream(hosts map[served]bool, wanted served) bool {
 	for host := range hosts {
-		if host.service == wanted.service && host.half.Shares(wanted.half) {
+		if host.service == wanted.service && host.half.CompatibleWith(wanted.half) {
 			return true
 		}
 	}
