--- a/internal/state/fold/chunk.go
+++ b/internal/state/replay/chunk.go
@@ -1,4 +1,4 @@
-package fold
+package replay
 
 import (
 	"bytes"
@@ -20,10 +20,10 @@
 	Digest [sha256.Size]byte
 	Index  uint32
 	Count  uint32
-	// Next is the offset from which a reader of the snapshot resumes: the
+	// ResumeOffset is the offset from which a reader of the snapshot resumes: the
 	// writer had folded all records before it.
-	Next uint64
-	Data []byte
+	ResumeOffset uint64
+	Data         []byte
 }
 
 // Valid reports whether the chunk's numbers agree with each other.
@@ -43,7 +43,7 @@
 		start := int(index) * ChunkSize
 		end := min(start+ChunkSize, len(encoded))
 		chunks = append(chunks, Chunk{
-			Version: version, Digest: digest, Index: index, Count: count, Next: next, Data: encoded[start:end],
+			Version: version, Digest: digest, Index: index, Count: count, ResumeOffset: next, Data: encoded[start:end],
 		})
 	}
 	return chunks
@@ -53,12 +53,12 @@
 // dropped when another version's chunk arrives.
 const maxSets = 4
 
-// Snapshots watches the snapshot chunks on the log. It keeps their data only
+// SnapshotTracker watches the snapshot chunks on the log. It keeps their data only
 // while Collect is set.
-type Snapshots struct {
-	Collect bool
-	sets    []*set
-	newest  time.Time
+type SnapshotTracker struct {
+	CollectData bool
+	sets        []*set
+	newest      time.Time
 }
 
 type set struct {
@@ -72,37 +72,37 @@
 // Add records a chunk that was appended at a time. When it completes a
 // snapshot whose data was collected, Add returns the encoded State and the
 // offset from which to resume.
-func (snapshots *Snapshots) Add(chunk Chunk, appended time.Time) (encoded []byte, next uint64, ok bool) {
+func (snapshots *SnapshotTracker) Add(chunk Chunk, appended time.Time) (encoded []byte, next uint64, ok bool) {
 	if !chunk.Valid() {
 		return nil, 0, false
 	}
 	set := snapshots.set(chunk)
-	set.next = max(set.next, chunk.Next)
+	set.next = max(set.next, chunk.ResumeOffset)
 	set.times[chunk.Index] = appended
 	if age := oldest(set.times); age.After(snapshots.newest) {
 		snapshots.newest = age
 	}
-	if !snapshots.Collect {
+	if !snapshots.CollectData {
 		return nil, 0, false
 	}
 	set.data[chunk.Index] = bytes.Clone(chunk.Data)
 	return set.assemble()
 }
 
-// Newest returns when the oldest chunk of the newest complete snapshot was
+// NewestComplete returns when the oldest chunk of the newest complete snapshot was
 // appended, or the zero time when no complete snapshot was seen.
-func (snapshots *Snapshots) Newest() time.Time { return snapshots.newest }
+func (snapshots *SnapshotTracker) NewestComplete() time.Time { return snapshots.newest }
 
-// Note records that another process saw a complete snapshot of this time.
-func (snapshots *Snapshots) Note(newest time.Time) {
+// RecordComplete records that another process saw a complete snapshot of this time.
+func (snapshots *SnapshotTracker) RecordComplete(newest time.Time) {
 	if newest.After(snapshots.newest) {
 		snapshots.newest = newest
 	}
 }
 
-// Written returns when a chunk of the same snapshot was last appended, or the
+// LastAppended returns when a chunk of the same snapshot was last appended, or the
 // zero time.
-func (snapshots *Snapshots) Written(chunk Chunk) time.Time {
+func (snapshots *SnapshotTracker) LastAppended(chunk Chunk) time.Time {
 	for _, set := range snapshots.sets {
 		if set.holds(chunk) {
 			return set.times[chunk.Index]
@@ -111,14 +111,14 @@
 	return time.Time{}
 }
 
-// Discard drops the collected data.
-func (snapshots *Snapshots) Discard() {
+// DiscardData drops the collected data.
+func (snapshots *SnapshotTracker) DiscardData() {
 	for _, set := range snapshots.sets {
 		clear(set.data)
 	}
 }
 
-func (snapshots *Snapshots) set(chunk Chunk) *set {
+func (snapshots *SnapshotTracker) set(chunk Chunk) *set {
 	for _, set := range snapshots.sets {
 		if set.holds(chunk) {
 			return set
--- a/internal/state/fold/recent.go
+++ b/internal/state/replay/recent.go
@@ -1,4 +1,4 @@
-package fold
+package replay
 
 import "jacinthfront.dev/jacinthfront/internal/state/patch"
 
@@ -20,13 +20,13 @@
 
 func (recent *recent) add(id string, version uint64) {
 	recent.versions[id] = version
-	if len(recent.ids) < Remembered {
+	if len(recent.ids) < MaxRecentPatches {
 		recent.ids = append(recent.ids, id)
 		return
 	}
 	delete(recent.versions, recent.ids[recent.head])
 	recent.ids[recent.head] = id
-	recent.head = (recent.head + 1) % Remembered
+	recent.head = (recent.head + 1) % MaxRecentPatches
 }
 
 func (recent *recent) list() []string {
--- a/internal/state/fold/fold.go
+++ b/internal/state/replay/replay.go
@@ -1,34 +1,34 @@
-// Package fold folds the records of the configuration's log stream in order
+// Package replay folds the records of the configuration's log stream in order
 // into numbered versions.
-package fold
+package replay
 
 import (
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 )
 
-// Remembered is the number of accepted patches whose ids are kept, so that a
+// MaxRecentPatches is the number of accepted patches whose ids are kept, so that a
 // second append of one of them is void as a duplicate. A later second append
 // is void by its base version.
-const Remembered = 4096
+const MaxRecentPatches = 4096
 
 // State is the outcome of folding the log up to the patch that created a
 // version. It depends on the accepted patches alone: void records leave no
 // trace in it, so that a process that learnt the accepted patches from a peer
 // has the same state as one that read the log.
 type State struct {
-	Config *model.Config
-	// Offset is the log offset of the patch that created the version.
-	Offset uint64
-	// Accepted lists the ids of the last accepted patches, the oldest first.
+	Config *conf.Config
+	// VersionOffset is the log offset of the patch that created the version.
+	VersionOffset uint64
+	// RecentPatches lists the ids of the last accepted patches, the oldest first.
 	// The last one created the version.
-	Accepted []string
+	RecentPatches []string
 }
 
-// Fold is a State that advances with the log. It is not safe for concurrent
+// Replayer is a State that advances with the log. It is not safe for concurrent
 // use.
-type Fold struct {
-	config   *model.Config
+type Replayer struct {
+	config   *conf.Config
 	offset   uint64
 	next     uint64
 	accepted *recent
@@ -36,22 +36,22 @@
 }
 
 // New returns the state before the first record.
-func New() *Fold {
-	return &Fold{config: model.New(), accepted: newRecent(), void: newResults()}
+func New() *Replayer {
+	return &Replayer{config: conf.New(), accepted: newRecent(), void: newResults()}
 }
 
 // Config returns the current version.
-func (fold *Fold) Config() *model.Config { return fold.config }
+func (fold *Replayer) Config() *conf.Config { return fold.config }
 
-// Next returns the offset of the first record that is not folded.
-func (fold *Fold) Next() uint64 { return fold.next }
+// NextOffset returns the offset of the first record that is not folded.
+func (fold *Replayer) NextOffset() uint64 { return fold.next }
 
-// Offset returns the offset of the patch that created the current version.
-func (fold *Fold) Offset() uint64 { return fold.offset }
+// VersionOffset returns the offset of the patch that created the current version.
+func (fold *Replayer) VersionOffset() uint64 { return fold.offset }
 
-// Patch folds the patch record at an offset. A record at an offset that was
+// ApplyPatch folds the patch record at an offset. A record at an offset that was
 // folded before changes nothing and reports false.
-func (fold *Fold) Patch(offset uint64, record patch.Patch) (patch.Result, bool) {
+func (fold *Replayer) ApplyPatch(offset uint64, record patch.Patch) (patch.Result, bool) {
 	if offset < fold.next {
 		fold.passed(record)
 		return fold.Result(record.ID), false
@@ -73,51 +73,51 @@
 
 // passed notes the result of a void record that lies before the state, because
 // the accepted patches after it were learnt from a peer first.
-func (fold *Fold) passed(record patch.Patch) {
-	if fold.Result(record.ID).Kind != patch.Unknown || record.Base+Remembered < fold.config.Version() {
+func (fold *Replayer) passed(record patch.Patch) {
+	if fold.Result(record.ID).Kind != patch.Unknown || record.BaseVersion+MaxRecentPatches < fold.config.Version() {
 		return
 	}
 	result := patch.Result{ID: record.ID, Kind: patch.Conflict, Version: fold.config.Version()}
-	if problem := patch.Check(record); problem != nil {
+	if problem := patch.Validate(record); problem != nil {
 		result.Kind, result.Field, result.Reason = patch.Invalid, problem.Field, problem.Reason
 	}
 	fold.void.add(result)
 }
 
-// Skip passes over a record that is no patch or is malformed.
-func (fold *Fold) Skip(offset uint64) {
+// SkipRecord passes over a record that is no patch or is malformed.
+func (fold *Replayer) SkipRecord(offset uint64) {
 	fold.next = max(fold.next, offset+1)
 }
 
-// Caught records that the version is still the newest when all records before
+// AdvanceTo records that the version is still the newest when all records before
 // next are folded.
-func (fold *Fold) Caught(next uint64) { fold.next = max(fold.next, next) }
+func (fold *Replayer) AdvanceTo(next uint64) { fold.next = max(fold.next, next) }
 
-// Adopt replaces the state by a newer one that holds until the record before
+// InstallState replaces the state by a newer one that holds until the record before
 // next. It reports false when the state is not newer.
-func (fold *Fold) Adopt(state State, next uint64) bool {
+func (fold *Replayer) InstallState(state State, next uint64) bool {
 	if state.Config.Version() <= fold.config.Version() {
 		return false
 	}
 	fold.config = state.Config
-	fold.offset = state.Offset
-	fold.next = max(fold.next, next, state.Offset+1)
+	fold.offset = state.VersionOffset
+	fold.next = max(fold.next, next, state.VersionOffset+1)
 	fold.accepted = newRecent()
-	first := state.Config.Version() - uint64(len(state.Accepted)) + 1
-	for index, id := range state.Accepted {
+	first := state.Config.Version() - uint64(len(state.RecentPatches)) + 1
+	for index, id := range state.RecentPatches {
 		fold.accepted.add(id, first+uint64(index))
 	}
 	return true
 }
 
 // State returns the state for a snapshot.
-func (fold *Fold) State() State {
-	return State{Config: fold.config, Offset: fold.offset, Accepted: fold.accepted.list()}
+func (fold *Replayer) State() State {
+	return State{Config: fold.config, VersionOffset: fold.offset, RecentPatches: fold.accepted.list()}
 }
 
 // Result returns what is known of a patch. The first outcome of an id counts,
 // which is the one that its operator was told.
-func (fold *Fold) Result(id string) patch.Result {
+func (fold *Replayer) Result(id string) patch.Result {
 	if version, ok := fold.accepted.version(id); ok {
 		return patch.Result{ID: id, Kind: patch.Accepted, Version: version}
 	}
--- a/internal/state/fold/fold_test.go
+++ b/internal/state/replay/replay_test.go
@@ -1,4 +1,4 @@
-package fold
+package replay
 
 import (
 	"bytes"
@@ -8,20 +8,20 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 )
 
 func put(id string, base uint64) patch.Patch {
-	return patch.Patch{ID: id, Base: base, Ops: []patch.Op{
-		patch.PutUpstream{Upstream: model.UpstreamSpec{ID: "up-1", Service: "advisor", FailureDomain: "one"}},
+	return patch.Patch{ID: id, BaseVersion: base, Ops: []patch.Op{
+		patch.PutUpstream{Upstream: conf.UpstreamSpec{ID: "up-1", Service: "advisor", FailureDomain: "one"}},
 	}}
 }
 
-func accepted(t *testing.T, count int) *Fold {
+func accepted(t *testing.T, count int) *Replayer {
 	folded := New()
 	for version := range uint64(count) {
-		if result, ok := folded.Patch(version, put(fmt.Sprint("patch-", version+1), version)); !ok || result.Kind != patch.Accepted {
+		if result, ok := folded.ApplyPatch(version, put(fmt.Sprint("patch-", version+1), version)); !ok || result.Kind != patch.Accepted {
 			t.Fatal(result, ok)
 		}
 	}
@@ -31,7 +31,7 @@
 // Guards against a patch that applies twice or reports another result than its
 // first one, and against results that are kept without bound.
 func TestPatch(t *testing.T) {
-	folded := accepted(t, Remembered+10)
+	folded := accepted(t, MaxRecentPatches+10)
 	version := folded.Config().Version()
 	future := put("future", version+1)
 	tests := []struct {
@@ -52,20 +52,20 @@
 		{name: "accepted", offset: 5004, record: put("next", version), want: patch.Result{ID: "next", Kind: patch.Accepted, Version: version + 1}, ok: true},
 	}
 	for _, test := range tests {
-		got, ok := folded.Patch(test.offset, test.record)
+		got, ok := folded.ApplyPatch(test.offset, test.record)
 		if diff := cmp.Diff(test.want, got); diff != "" || ok != test.ok {
 			t.Errorf("%s: folded %v (-want +got):\n%s", test.name, ok, diff)
 		}
 	}
-	folded.Patch(5005, put("late", version+2))
+	folded.ApplyPatch(5005, put("late", version+2))
 	if got := folded.Result("late"); got.Kind != patch.Conflict || got.Version != version {
 		t.Errorf("got %v for a void patch that was appended again, want its first result", got)
 	}
-	if got := len(folded.State().Accepted); got != Remembered {
-		t.Errorf("%d ids are remembered, want %d", got, Remembered)
+	if got := len(folded.State().RecentPatches); got != MaxRecentPatches {
+		t.Errorf("%d ids are remembered, want %d", got, MaxRecentPatches)
 	}
 	for offset := range uint64(3 * maxResults) {
-		folded.Patch(6000+offset, put(fmt.Sprint("void-", offset), 0))
+		folded.ApplyPatch(6000+offset, put(fmt.Sprint("void-", offset), 0))
 	}
 	if got := len(folded.void.byID); got != maxResults {
 		t.Errorf("%d results of void patches are kept, want %d", got, maxResults)
@@ -75,14 +75,14 @@
 // Guards against a version that goes back, and against a snapshot that loses
 // the ids which make duplicates void.
 func TestAdopt(t *testing.T) {
-	newer, older := accepted(t, Remembered+5), accepted(t, 7)
-	if newer.Adopt(older.State(), 9999) || newer.Config().Version() != Remembered+5 || newer.Next() != Remembered+5 {
-		t.Errorf("an older state was adopted: version %d, next %d", newer.Config().Version(), newer.Next())
+	newer, older := accepted(t, MaxRecentPatches+5), accepted(t, 7)
+	if newer.InstallState(older.State(), 9999) || newer.Config().Version() != MaxRecentPatches+5 || newer.NextOffset() != MaxRecentPatches+5 {
+		t.Errorf("an older state was adopted: version %d, next %d", newer.Config().Version(), newer.NextOffset())
 	}
-	if !older.Adopt(newer.State(), 9000) || older.Config().Version() != Remembered+5 || older.Next() != 9000 {
-		t.Errorf("a newer state was not adopted: version %d, next %d", older.Config().Version(), older.Next())
+	if !older.InstallState(newer.State(), 9000) || older.Config().Version() != MaxRecentPatches+5 || older.NextOffset() != 9000 {
+		t.Errorf("a newer state was not adopted: version %d, next %d", older.Config().Version(), older.NextOffset())
 	}
-	if diff := cmp.Diff(newer.State().Accepted, older.State().Accepted); diff != "" {
+	if diff := cmp.Diff(newer.State().RecentPatches, older.State().RecentPatches); diff != "" {
 		t.Errorf("ids differ (-want +got):\n%s", diff)
 	}
 	if got := older.Result("patch-6"); got.Version != 6 || got.Kind != patch.Accepted {
@@ -121,7 +121,7 @@
 	start := time.Unix(1000, 0)
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			snapshots := Snapshots{Collect: true}
+			snapshots := SnapshotTracker{CollectData: true}
 			var got []byte
 			var next uint64
 			for index, chunk := range test.chunks {
@@ -136,12 +136,12 @@
 			if test.newest >= 0 {
 				want = start.Add(time.Duration(test.newest) * time.Second)
 			}
-			if got := snapshots.Newest(); !got.Equal(want) {
+			if got := snapshots.NewestComplete(); !got.Equal(want) {
 				t.Errorf("got a newest snapshot of %v, want %v", got, want)
 			}
 		})
 	}
-	snapshots := Snapshots{Collect: true}
+	snapshots := SnapshotTracker{CollectData: true}
 	for _, chunk := range []Chunk{damaged, first[1], first[2]} {
 		if _, _, ok := snapshots.Add(chunk, start); ok {
 			t.Error("a damaged snapshot was taken")
--- a/internal/state/table/table.go
+++ b/internal/state/routes/routes.go
@@ -1,7 +1,7 @@
-// Package table holds one version of the routing configuration: which request
+// Package routes holds one version of the routing configuration: which request
 // goes to which service, for which organisation, and within which limits. A
 // Table never changes; a new version is a new Table.
-package table
+package routes
 
 import (
 	"cmp"
@@ -11,46 +11,46 @@
 	"time"
 )
 
-// Repeat says what may be repeated of a request.
-type Repeat uint8
+// Semantics says what may be repeated of a request.
+type Semantics uint8
 
 const (
 	// Idempotent requests may run more than once.
-	Idempotent Repeat = iota
+	Idempotent Semantics = iota
 	// AtMostOnce requests must not run twice.
 	AtMostOnce
 )
 
-// Share is one of the services of a route with its part of the requests.
-type Share struct {
+// WeightedService is one of the services of a route with its part of the requests.
+type WeightedService struct {
 	Service string
 	Weight  float64
 }
 
 // Route sends the requests of a host and path prefix to services.
 type Route struct {
-	Name   string
-	Host   string
-	Prefix string
-	Repeat Repeat
-	// Stream marks answers that are a series of events.
-	Stream bool
+	Name      string
+	Host      string
+	Prefix    string
+	Semantics Semantics
+	// Streaming marks answers that are a series of events.
+	Streaming bool
 	// Resumable streams may go on at another upstream.
 	Resumable bool
 	// Timeout is the longest time that a caller is kept waiting.
 	Timeout time.Duration
-	// Target is the response-time goal, up to the first event of a stream.
-	Target time.Duration
-	// TargetGap is the longest pause between events that meets the goal.
-	TargetGap time.Duration
-	// Silence is the pause after which callers give up a stream, also before its
+	// ResponseGoal is the response-time goal, up to the first event of a stream.
+	ResponseGoal time.Duration
+	// EventGapGoal is the longest pause between events that meets the goal.
+	EventGapGoal time.Duration
+	// CallerStreamTimeout is the pause after which callers give up a stream, also before its
 	// first event; 0 if it is not known.
-	Silence time.Duration
+	CallerStreamTimeout time.Duration
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
-	Services []Share
-	// Attempts is the largest number of upstreams that one request may run on.
-	Attempts int
+	Services []WeightedService
+	// MaxAttempts is the largest number of upstreams that one request may run on.
+	MaxAttempts int
 	// Open routes need no key.
 	Open bool
 }
@@ -58,9 +58,9 @@
 // Model is a base model with its adapters.
 type Model struct {
 	Name string
-	// Megabytes is the size of the weights.
-	Megabytes float64
-	Adapters  int
+	// WeightMegabytes is the size of the weights.
+	WeightMegabytes float64
+	Adapters        int
 }
 
 // Engine describes the model engines of a service.
@@ -69,10 +69,10 @@
 	Slots        int
 	Models       []Model
 	AdapterSlots int
-	// Tokens is the engine's memory for requests and cached prompts.
-	Tokens int64
-	// Megabytes is the engine's memory for weights.
-	Megabytes float64
+	// KVTokens is the engine's memory for requests and cached prompts.
+	KVTokens int64
+	// WeightMegabytes is the engine's memory for weights.
+	WeightMegabytes float64
 	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int
 }
@@ -80,9 +80,9 @@
 // Service is a group of interchangeable upstreams.
 type Service struct {
 	Name string
-	// Connections is the largest number of connections that an upstream
+	// MaxConnections is the largest number of connections that an upstream
 	// accepts from all callers together.
-	Connections int
+	MaxConnections int
 	// Engine is nil for plain services.
 	Engine *Engine
 }
@@ -93,10 +93,10 @@
 	Keys []string
 	// Priority goes before the route's priority where it is set.
 	Priority *int
-	// InTokens means that Rate and Burst count tokens in place of requests.
-	InTokens bool
-	// PlainCost is the cost in tokens of a request that names no tokens.
-	PlainCost float64
+	// RateInTokens means that Rate and Burst count tokens in place of requests.
+	RateInTokens bool
+	// DefaultTokenCost is the cost in tokens of a request that names no tokens.
+	DefaultTokenCost float64
 	// Rate is the units per second; 0 means no limit.
 	Rate  float64
 	Burst float64
@@ -182,24 +182,24 @@
 	return organisation, ok
 }
 
-// TargetGap returns the shortest goal for pauses between events among the
+// ShortestEventGapGoal returns the shortest goal for pauses between events among the
 // routes to a service, or 0 if none has one.
-func (table *Table) TargetGap(service string) time.Duration {
+func (table *Table) ShortestEventGapGoal(service string) time.Duration {
 	var shortest time.Duration
 	for _, route := range table.config.Routes {
-		if route.TargetGap <= 0 || shortest > 0 && route.TargetGap >= shortest {
+		if route.EventGapGoal <= 0 || shortest > 0 && route.EventGapGoal >= shortest {
 			continue
 		}
-		if slices.ContainsFunc(route.Services, func(share Share) bool { return share.Service == service }) {
-			shortest = route.TargetGap
+		if slices.ContainsFunc(route.Services, func(share WeightedService) bool { return share.Service == service }) {
+			shortest = route.EventGapGoal
 		}
 	}
 	return shortest
 }
 
-// Pick returns the service for a request, by the weights of the route. point is
+// PickService returns the service for a request, by the weights of the route. point is
 // uniform in [0, 1).
-func (route *Route) Pick(point float64) string {
+func (route *Route) PickService(point float64) string {
 	var total float64
 	for _, share := range route.Services {
 		total += share.Weight
@@ -221,11 +221,11 @@
 // is 0 if the request names none.
 func (organisation *Organisation) Cost(tokens int64) float64 {
 	switch {
-	case !organisation.InTokens:
+	case !organisation.RateInTokens:
 		return 1
 	case tokens > 0:
 		return float64(tokens)
 	default:
-		return organisation.PlainCost
+		return organisation.DefaultTokenCost
 	}
 }
--- a/internal/state/table/table_test.go
+++ b/internal/state/routes/routes_test.go
@@ -1,4 +1,4 @@
-package table
+package routes
 
 import (
 	"testing"
@@ -11,11 +11,11 @@
 	return New(Config{
 		Version: 7,
 		Routes: []Route{
-			{Name: "short", Host: "a.example", Prefix: "/x/", Services: []Share{{"advisor", 1}}, TargetGap: 300 * time.Millisecond},
-			{Name: "long", Host: "a.example", Prefix: "/x/y/", Services: []Share{{"advisor", 9}, {"counter", 1}}},
+			{Name: "short", Host: "a.example", Prefix: "/x/", Services: []WeightedService{{"advisor", 1}}, EventGapGoal: 300 * time.Millisecond},
+			{Name: "long", Host: "a.example", Prefix: "/x/y/", Services: []WeightedService{{"advisor", 9}, {"counter", 1}}},
 		},
 		Services:      []Service{{Name: "advisor", Engine: &Engine{}}, {Name: "counter"}},
-		Organisations: []Organisation{{Name: "hule", Keys: []string{"k1", "k2"}, InTokens: true, PlainCost: 200}},
+		Organisations: []Organisation{{Name: "hule", Keys: []string{"k1", "k2"}, RateInTokens: true, DefaultTokenCost: 200}},
 	})
 }
 
@@ -57,7 +57,7 @@
 	route, _ := newTable().Match("a.example", "/x/y/")
 	got := map[string]int{}
 	for i := range 100 {
-		got[route.Pick(float64(i)/100)]++
+		got[route.PickService(float64(i)/100)]++
 	}
 	if diff := cmp.Diff(map[string]int{"advisor": 90, "counter": 10}, got); diff != "" {
 		t.Errorf("services (-want +got):\n%s", diff)
@@ -74,7 +74,7 @@
 
 func TestTargetGap(t *testing.T) {
 	table := newTable()
-	got := []time.Duration{table.TargetGap("advisor"), table.TargetGap("counter")}
+	got := []time.Duration{table.ShortestEventGapGoal("advisor"), table.ShortestEventGapGoal("counter")}
 	if diff := cmp.Diff([]time.Duration{300 * time.Millisecond, 0}, got); diff != "" {
 		t.Errorf("gaps (-want +got):\n%s", diff)
 	}
--- a/internal/wire/codec/codec_test.go
+++ b/internal/wire/codec/codec_test.go
@@ -9,29 +9,29 @@
 	"github.com/google/go-cmp/cmp"
 	"google.golang.org/protobuf/proto"
 
-	"jacinthfront.dev/jacinthfront/internal/state/fold"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
+	"jacinthfront.dev/jacinthfront/internal/state/replay"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
 // everyOp holds each operation with every field set.
 func everyOp() patch.Patch {
-	return patch.Patch{ID: "patch-1", Base: 7, Operator: "anna", Force: true, Ops: []patch.Op{
-		patch.PutOrganisation{Organisation: model.OrganisationSpec{Name: "looms", Half: "east", Rate: 5, Burst: 9, Shards: []string{"up-1"}}},
+	return patch.Patch{ID: "patch-1", BaseVersion: 7, Operator: "anna", Force: true, Ops: []patch.Op{
+		patch.PutOrganisation{Organisation: conf.OrganisationSpec{Name: "looms", Half: "east", Rate: 5, Burst: 9, Shards: []string{"up-1"}}},
 		patch.RemoveOrganisation{Name: "kilns"},
-		patch.PutKey{Key: model.KeySpec{ID: "0123456789abcdef", Organisation: "looms", Salt: bytes.Repeat([]byte{7}, 16), Digest: [32]byte{1, 2}}},
+		patch.PutKey{Key: conf.KeySpec{ID: "0123456789abcdef", Organisation: "looms", Salt: bytes.Repeat([]byte{7}, 16), Digest: [32]byte{1, 2}}},
 		patch.WithdrawKey{ID: "fedcba9876543210"},
-		patch.PutRoute{Route: model.RouteSpec{
-			Name: "stock", Service: "counter", Plain: true, PathPrefix: "/stock", Methods: []string{"GET"}, Class: model.Patient,
-			LongestWait: 1500 * time.Millisecond, Idempotent: true, Open: true, DefaultMaxTokens: 3, Cost: 4,
+		patch.PutRoute{Route: conf.RouteSpec{
+			Name: "stock", Service: "counter", Plain: true, PathPrefix: "/stock", Methods: []string{"GET"}, Class: conf.Patient,
+			MaxWait: 1500 * time.Millisecond, Idempotent: true, Open: true, DefaultMaxTokens: 3, Cost: 4,
 		}},
 		patch.RemoveRoute{Name: "letters"},
-		patch.PutAdapter{Adapter: model.AdapterSpec{Name: "felt", Organisation: "looms", Service: "advisor", Versions: []uint32{1, 4}, DefaultVersion: 4}},
+		patch.PutAdapter{Adapter: conf.AdapterSpec{Name: "felt", Organisation: "looms", Service: "advisor", Versions: []uint32{1, 4}, DefaultVersion: 4}},
 		patch.RemoveAdapter{Name: "wool"},
-		patch.PutUpstream{Upstream: model.UpstreamSpec{ID: "up-1", Service: "counter", Plain: true, Half: "east", FailureDomain: "one", FencingChecked: true}},
+		patch.PutUpstream{Upstream: conf.UpstreamSpec{ID: "up-1", Service: "counter", Plain: true, Half: "east", FailureDomain: "one", FencingChecked: true}},
 		patch.RemoveUpstream{ID: "up-2", Ended: true},
-		patch.PutFleet{Fleet: model.FleetSpec{LoadRateMilli: 3000, LoadBurst: 8, LoadShards: []string{"up-1"}}},
+		patch.PutFleet{Fleet: conf.FleetSpec{LoadRateMilli: 3000, LoadBurst: 8, LoadShards: []string{"up-1"}}},
 	}}
 }
 
@@ -67,7 +67,7 @@
 // and against chunks whose numbers contradict each other.
 func TestDecodeRecordRefuses(t *testing.T) {
 	route := func(change func(*wirepb.Route)) *wirepb.Record {
-		route := routeToWire(model.RouteSpec{Name: "letters", Service: "advisor", LongestWait: time.Second, DefaultMaxTokens: 1})
+		route := routeToWire(conf.RouteSpec{Name: "letters", Service: "advisor", MaxWait: time.Second, DefaultMaxTokens: 1})
 		change(route)
 		return &wirepb.Record{Body: &wirepb.Record_Patch{Patch: &wirepb.PatchRecord{
 			Id: "patch", Ops: []*wirepb.Op{{Op: &wirepb.Op_PutRoute{PutRoute: route}}},
@@ -99,7 +99,7 @@
 				t.Fatal(err)
 			}
 			record, err := DecodeRecord(data)
-			if ok := err == nil && (record.Patch == nil || patch.Check(*record.Patch) == nil); ok != test.ok {
+			if ok := err == nil && (record.Patch == nil || patch.Validate(*record.Patch) == nil); ok != test.ok {
 				t.Errorf("got %+v, error %v", record, err)
 			}
 		})
@@ -121,15 +121,15 @@
 }
 
 // filled returns a state with adapters, put in one patch each of 5,000.
-func filled(t testing.TB, adapters int) *fold.Fold {
-	folded := fold.New()
-	ops := []patch.Op{patch.PutOrganisation{Organisation: model.OrganisationSpec{Name: "looms", Rate: 1, Burst: 1}}}
+func filled(t testing.TB, adapters int) *replay.Replayer {
+	folded := replay.New()
+	ops := []patch.Op{patch.PutOrganisation{Organisation: conf.OrganisationSpec{Name: "looms", Rate: 1, Burst: 1}}}
 	for index := range 40 {
-		ops = append(ops, patch.PutUpstream{Upstream: model.UpstreamSpec{ID: fmt.Sprintf("up-%d", index), Service: "advisor", FailureDomain: "one"}})
+		ops = append(ops, patch.PutUpstream{Upstream: conf.UpstreamSpec{ID: fmt.Sprintf("up-%d", index), Service: "advisor", FailureDomain: "one"}})
 	}
 	commit := func() {
 		version := folded.Config().Version()
-		result, _ := folded.Patch(version, patch.Patch{ID: fmt.Sprintf("patch-%d", version), Base: version, Ops: ops})
+		result, _ := folded.ApplyPatch(version, patch.Patch{ID: fmt.Sprintf("patch-%d", version), BaseVersion: version, Ops: ops})
 		if result.Kind != patch.Accepted {
 			t.Fatal(result)
 		}
@@ -145,8 +145,8 @@
 	return folded
 }
 
-func adapterNamed(index int, version uint32) model.AdapterSpec {
-	return model.AdapterSpec{
+func adapterNamed(index int, version uint32) conf.AdapterSpec {
+	return conf.AdapterSpec{
 		Name: fmt.Sprintf("adapter-of-some-team-%06d", index), Service: "advisor",
 		Organisation: []string{"looms", ""}[index%2],
 		Versions:     []uint32{version}, DefaultVersion: version,
@@ -171,8 +171,8 @@
 	if diff := cmp.Diff(want.Config.Adapters(), got.Config.Adapters()); diff != "" {
 		t.Errorf("adapters differ (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff(want.Accepted, got.Accepted); diff != "" || got.Offset != want.Offset || got.Config.Version() != want.Config.Version() {
-		t.Errorf("got offset %d and version %d (-want +got):\n%s", got.Offset, got.Config.Version(), diff)
+	if diff := cmp.Diff(want.RecentPatches, got.RecentPatches); diff != "" || got.VersionOffset != want.VersionOffset || got.Config.Version() != want.Config.Version() {
+		t.Errorf("got offset %d and version %d (-want +got):\n%s", got.VersionOffset, got.Config.Version(), diff)
 	}
 }
 
@@ -182,12 +182,12 @@
 	data, _ := EncodePatch(everyOp())
 	f.Add(data)
 	for _, op := range everyOp().Ops {
-		data, _ = EncodePatch(patch.Patch{ID: "patch-2", Base: 2, Force: true, Ops: []patch.Op{op}})
+		data, _ = EncodePatch(patch.Patch{ID: "patch-2", BaseVersion: 2, Force: true, Ops: []patch.Op{op}})
 		f.Add(data)
 	}
-	data, _ = EncodePatch(patch.Patch{ID: "patch-2", Base: 2, Ops: []patch.Op{nil}})
+	data, _ = EncodePatch(patch.Patch{ID: "patch-2", BaseVersion: 2, Ops: []patch.Op{nil}})
 	f.Add(data)
-	for _, chunk := range fold.Split(3, 9, []byte("state")) {
+	for _, chunk := range replay.Split(3, 9, []byte("state")) {
 		data, _ = EncodeChunk(chunk)
 		f.Add(data)
 	}
@@ -199,16 +199,16 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			folded := fold.New()
-			folded.Adopt(state, 2)
+			folded := replay.New()
+			folded.InstallState(state, 2)
 			record, err := DecodeRecord(data)
 			switch {
 			case err != nil:
-				folded.Skip(2)
+				folded.SkipRecord(2)
 			case record.Patch != nil:
-				folded.Patch(2, *record.Patch)
+				folded.ApplyPatch(2, *record.Patch)
 			case record.Chunk != nil:
-				snapshots := fold.Snapshots{Collect: true}
+				snapshots := replay.SnapshotTracker{CollectData: true}
 				if encoded, _, ok := snapshots.Add(*record.Chunk, time.Time{}); ok {
 					_, _ = DecodeState(encoded)
 				}
@@ -238,7 +238,7 @@
 		if err != nil {
 			return
 		}
-		problem := patch.Check(record)
+		problem := patch.Validate(record)
 		wire, err := EncodePatch(record)
 		if err != nil {
 			return
@@ -247,7 +247,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(problem, patch.Check(*decoded.Patch)); diff != "" {
+		if diff := cmp.Diff(problem, patch.Validate(*decoded.Patch)); diff != "" {
 			t.Errorf("the patch is checked differently on the log (-JSON +log):\n%s", diff)
 		}
 	})
@@ -266,9 +266,9 @@
 		for adapter := range state.Config.AllAdapters() {
 			state.Config.Adapter(adapter.Name)
 		}
-		folded := fold.New()
-		folded.Adopt(state, 1)
-		folded.Patch(1, patch.Patch{ID: "next", Base: state.Config.Version(), Ops: []patch.Op{patch.RemoveAdapter{Name: "a"}}})
+		folded := replay.New()
+		folded.InstallState(state, 1)
+		folded.ApplyPatch(1, patch.Patch{ID: "next", BaseVersion: state.Config.Version(), Ops: []patch.Op{patch.RemoveAdapter{Name: "a"}}})
 	})
 }
 
@@ -305,7 +305,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				version := folded.Config().Version()
-				data, err := EncodePatch(patch.Patch{ID: fmt.Sprintf("patch-%d", version), Base: version, Ops: []patch.Op{
+				data, err := EncodePatch(patch.Patch{ID: fmt.Sprintf("patch-%d", version), BaseVersion: version, Ops: []patch.Op{
 					patch.PutAdapter{Adapter: adapterNamed(int(version)*7919%size, uint32(version))},
 				}})
 				if err != nil {
@@ -315,7 +315,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				if result, _ := folded.Patch(version+1000, *record.Patch); result.Kind != patch.Accepted {
+				if result, _ := folded.ApplyPatch(version+1000, *record.Patch); result.Kind != patch.Accepted {
 					b.Fatal(result)
 				}
 			}
--- a/internal/wire/codec/fleet.go
+++ b/internal/wire/codec/fleet.go
@@ -29,8 +29,8 @@
 	return adapters
 }
 
-// EncodeUses encodes how many requests use each adapter.
-func EncodeUses(uses []lora.AdapterUse) []*wirepb.AdapterUse {
+// EncodeAdapterUses encodes how many requests use each adapter.
+func EncodeAdapterUses(uses []lora.AdapterUse) []*wirepb.AdapterUse {
 	encoded := make([]*wirepb.AdapterUse, 0, len(uses))
 	for _, use := range uses {
 		encoded = append(encoded, &wirepb.AdapterUse{
@@ -41,8 +41,8 @@
 	return encoded
 }
 
-// DecodeUses decodes what EncodeUses encoded.
-func DecodeUses(encoded []*wirepb.AdapterUse) []lora.AdapterUse {
+// DecodeAdapterUses decodes what EncodeUses encoded.
+func DecodeAdapterUses(encoded []*wirepb.AdapterUse) []lora.AdapterUse {
 	uses := make([]lora.AdapterUse, 0, len(encoded))
 	for _, use := range encoded {
 		uses = append(uses, lora.AdapterUse{
@@ -53,8 +53,8 @@
 	return uses
 }
 
-// EncodeAsks encodes requests that wait for their turn.
-func EncodeAsks(asks []admit.Request) []*wirepb.Ask {
+// EncodeRequests encodes requests that wait for their turn.
+func EncodeRequests(asks []admit.Request) []*wirepb.Ask {
 	encoded := make([]*wirepb.Ask, 0, len(asks))
 	for _, ask := range asks {
 		encoded = append(encoded, &wirepb.Ask{
@@ -66,8 +66,8 @@
 	return encoded
 }
 
-// DecodeAsks decodes what EncodeAsks encoded.
-func DecodeAsks(encoded []*wirepb.Ask) []admit.Request {
+// DecodeRequests decodes what EncodeAsks encoded.
+func DecodeRequests(encoded []*wirepb.Ask) []admit.Request {
 	asks := make([]admit.Request, 0, len(encoded))
 	for _, ask := range encoded {
 		asks = append(asks, admit.Request{
@@ -79,27 +79,27 @@
 	return asks
 }
 
-// EncodePace encodes how fast an engine works.
-func EncodePace(pace admit.Speed) *wirepb.Pace {
-	return &wirepb.Pace{ReadRate: EncodeRate(pace.PrefillRate), EventUs: uint32(pace.EventInterval.Microseconds())}
+// EncodeSpeed encodes how fast an engine works.
+func EncodeSpeed(pace admit.Speed) *wirepb.Pace {
+	return &wirepb.Pace{ReadRate: EncodeTokenRate(pace.PrefillRate), EventUs: uint32(pace.EventInterval.Microseconds())}
 }
 
-// DecodePace decodes what EncodePace encoded.
-func DecodePace(encoded *wirepb.Pace) admit.Speed {
+// DecodeSpeed decodes what EncodePace encoded.
+func DecodeSpeed(encoded *wirepb.Pace) admit.Speed {
 	return admit.Speed{
-		PrefillRate:   DecodeRate(encoded.GetReadRate()),
+		PrefillRate:   DecodeTokenRate(encoded.GetReadRate()),
 		EventInterval: time.Duration(encoded.GetEventUs()) * time.Microsecond,
 	}
 }
 
-// EncodeRate encodes tokens in a millisecond.
-func EncodeRate(rate float64) uint32 { return uint32(rate * millisecondsPerSecond) }
+// EncodeTokenRate encodes tokens in a millisecond.
+func EncodeTokenRate(rate float64) uint32 { return uint32(rate * millisecondsPerSecond) }
 
-// DecodeRate decodes what EncodeRate encoded.
-func DecodeRate(encoded uint32) float64 { return float64(encoded) / millisecondsPerSecond }
+// DecodeTokenRate decodes what EncodeRate encoded.
+func DecodeTokenRate(encoded uint32) float64 { return float64(encoded) / millisecondsPerSecond }
 
-// EncodeReadings encodes what streams showed of an engine's pace.
-func EncodeReadings(readings []admit.Measurement) []*wirepb.Reading {
+// EncodeMeasurements encodes what streams showed of an engine's pace.
+func EncodeMeasurements(readings []admit.Measurement) []*wirepb.Reading {
 	encoded := make([]*wirepb.Reading, 0, len(readings))
 	for _, reading := range readings {
 		encoded = append(encoded, &wirepb.Reading{
@@ -109,8 +109,8 @@
 	return encoded
 }
 
-// DecodeReadings decodes what EncodeReadings encoded.
-func DecodeReadings(encoded []*wirepb.Reading) []admit.Measurement {
+// DecodeMeasurements decodes what EncodeReadings encoded.
+func DecodeMeasurements(encoded []*wirepb.Reading) []admit.Measurement {
 	readings := make([]admit.Measurement, 0, len(encoded))
 	for _, reading := range encoded {
 		readings = append(readings, admit.Measurement{
--- a/internal/wire/codec/fleet_test.go
+++ b/internal/wire/codec/fleet_test.go
@@ -24,11 +24,11 @@
 		want, got any
 	}{
 		{"adapters", adapters, DecodeAdapters(EncodeAdapters(adapters))},
-		{"uses", uses, DecodeUses(EncodeUses(uses))},
-		{"asks", asks, DecodeAsks(EncodeAsks(asks))},
-		{"pace", pace, DecodePace(EncodePace(pace))},
-		{"unknown pace", admit.Speed{}, DecodePace(nil)},
-		{"readings", readings, DecodeReadings(EncodeReadings(readings))},
+		{"uses", uses, DecodeAdapterUses(EncodeAdapterUses(uses))},
+		{"asks", asks, DecodeRequests(EncodeRequests(asks))},
+		{"pace", pace, DecodeSpeed(EncodeSpeed(pace))},
+		{"unknown pace", admit.Speed{}, DecodeSpeed(nil)},
+		{"readings", readings, DecodeMeasurements(EncodeMeasurements(readings))},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/wire/codec/json.go
+++ b/internal/wire/codec/json.go
@@ -8,7 +8,7 @@
 	"io"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 )
 
@@ -56,17 +56,17 @@
 	}
 	// RouteJSON is the JSON form of a route.
 	RouteJSON struct {
-		Name             string      `json:"name"`
-		Service          string      `json:"service"`
-		Plain            bool        `json:"plain,omitempty"`
-		PathPrefix       string      `json:"path-prefix,omitempty"`
-		Methods          []string    `json:"methods,omitempty"`
-		Class            model.Class `json:"class"`
-		LongestWait      duration    `json:"longest-wait"`
-		Idempotent       bool        `json:"idempotent,omitempty"`
-		Open             bool        `json:"open,omitempty"`
-		DefaultMaxTokens int64       `json:"default-max-tokens,omitempty"`
-		Cost             int64       `json:"cost,omitempty"`
+		Name             string     `json:"name"`
+		Service          string     `json:"service"`
+		Plain            bool       `json:"plain,omitempty"`
+		PathPrefix       string     `json:"path-prefix,omitempty"`
+		Methods          []string   `json:"methods,omitempty"`
+		Class            conf.Class `json:"class"`
+		LongestWait      duration   `json:"longest-wait"`
+		Idempotent       bool       `json:"idempotent,omitempty"`
+		Open             bool       `json:"open,omitempty"`
+		DefaultMaxTokens int64      `json:"default-max-tokens,omitempty"`
+		Cost             int64      `json:"cost,omitempty"`
 	}
 	// AdapterJSON is the JSON form of an adapter.
 	AdapterJSON struct {
@@ -114,7 +114,7 @@
 // EncodePatchJSON returns the JSON form of a patch.
 func EncodePatchJSON(record patch.Patch) ([]byte, error) {
 	form := patchJSON{
-		ID: record.ID, Base: record.Base, Operator: record.Operator, Force: record.Force,
+		ID: record.ID, Base: record.BaseVersion, Operator: record.Operator, Force: record.Force,
 		Ops: make([]opJSON, 0, len(record.Ops)),
 	}
 	for _, op := range record.Ops {
@@ -134,7 +134,7 @@
 	if _, err := decoder.Token(); err != io.EOF { //nolint:errorlint // Token returns io.EOF unwrapped
 		return patch.Patch{}, Class.New("the patch is followed by more text; send one JSON object")
 	}
-	record := patch.Patch{ID: form.ID, Base: form.Base, Operator: form.Operator, Force: form.Force}
+	record := patch.Patch{ID: form.ID, BaseVersion: form.Base, Operator: form.Operator, Force: form.Force}
 	for index, op := range form.Ops {
 		converted, err := opFromJSON(op)
 		if err != nil {
--- a/internal/wire/codec/patch.go
+++ b/internal/wire/codec/patch.go
@@ -9,7 +9,7 @@
 func PatchToWire(record patch.Patch) *wirepb.PatchRecord {
 	wire := &wirepb.PatchRecord{
 		Id:       record.ID,
-		Base:     record.Base,
+		Base:     record.BaseVersion,
 		Force:    record.Force,
 		Operator: record.Operator,
 		Ops:      make([]*wirepb.Op, 0, len(record.Ops)),
@@ -24,11 +24,11 @@
 // which patches refuse.
 func PatchFromWire(wire *wirepb.PatchRecord) patch.Patch {
 	record := patch.Patch{
-		ID:       wire.GetId(),
-		Base:     wire.GetBase(),
-		Force:    wire.GetForce(),
-		Operator: wire.GetOperator(),
-		Ops:      make([]patch.Op, 0, len(wire.GetOps())),
+		ID:          wire.GetId(),
+		BaseVersion: wire.GetBase(),
+		Force:       wire.GetForce(),
+		Operator:    wire.GetOperator(),
+		Ops:         make([]patch.Op, 0, len(wire.GetOps())),
 	}
 	for _, op := range wire.GetOps() {
 		record.Ops = append(record.Ops, opFromWire(op))
--- a/internal/wire/codec/record.go
+++ b/internal/wire/codec/record.go
@@ -6,8 +6,8 @@
 	"github.com/zeebo/errs"
 	"google.golang.org/protobuf/proto"
 
-	"jacinthfront.dev/jacinthfront/internal/state/fold"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
+	"jacinthfront.dev/jacinthfront/internal/state/replay"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
@@ -20,7 +20,7 @@
 // Record is one entry of the stream "config": a patch or a snapshot chunk.
 type Record struct {
 	Patch *patch.Patch
-	Chunk *fold.Chunk
+	Chunk *replay.Chunk
 }
 
 // EncodePatch encodes a patch as a log record.
@@ -29,7 +29,7 @@
 }
 
 // EncodeChunk encodes a snapshot chunk as a log record.
-func EncodeChunk(chunk fold.Chunk) ([]byte, error) {
+func EncodeChunk(chunk replay.Chunk) ([]byte, error) {
 	return encodeRecord(&wirepb.Record{Body: &wirepb.Record_Chunk{Chunk: ChunkToWire(chunk)}})
 }
 
@@ -67,32 +67,32 @@
 }
 
 // ChunkToWire converts a snapshot chunk.
-func ChunkToWire(chunk fold.Chunk) *wirepb.SnapshotChunk {
+func ChunkToWire(chunk replay.Chunk) *wirepb.SnapshotChunk {
 	return &wirepb.SnapshotChunk{
 		Version: chunk.Version,
 		Digest:  chunk.Digest[:],
 		Index:   chunk.Index,
 		Count:   chunk.Count,
 		Data:    chunk.Data,
-		Next:    chunk.Next,
+		Next:    chunk.ResumeOffset,
 	}
 }
 
 // ChunkFromWire converts a snapshot chunk and refuses inconsistent numbers.
-func ChunkFromWire(wire *wirepb.SnapshotChunk) (fold.Chunk, error) {
+func ChunkFromWire(wire *wirepb.SnapshotChunk) (replay.Chunk, error) {
 	if len(wire.GetDigest()) != sha256.Size {
-		return fold.Chunk{}, Class.New("the snapshot chunk has a digest of %d bytes", len(wire.GetDigest()))
+		return replay.Chunk{}, Class.New("the snapshot chunk has a digest of %d bytes", len(wire.GetDigest()))
 	}
-	chunk := fold.Chunk{
-		Version: wire.GetVersion(),
-		Digest:  [sha256.Size]byte(wire.GetDigest()),
-		Index:   wire.GetIndex(),
-		Count:   wire.GetCount(),
-		Data:    wire.GetData(),
-		Next:    wire.GetNext(),
+	chunk := replay.Chunk{
+		Version:      wire.GetVersion(),
+		Digest:       [sha256.Size]byte(wire.GetDigest()),
+		Index:        wire.GetIndex(),
+		Count:        wire.GetCount(),
+		Data:         wire.GetData(),
+		ResumeOffset: wire.GetNext(),
 	}
 	if !chunk.Valid() {
-		return fold.Chunk{}, Class.New("snapshot chunk %d of %d of version %d is inconsistent", chunk.Index, chunk.Count, chunk.Version)
+		return replay.Chunk{}, Class.New("snapshot chunk %d of %d of version %d is inconsistent", chunk.Index, chunk.Count, chunk.Version)
 	}
 	return chunk, nil
 }
--- a/internal/wire/codec/spec.go
+++ b/internal/wire/codec/spec.go
@@ -6,11 +6,11 @@
 	"math"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-func organisationToWire(organisation model.OrganisationSpec) *wirepb.Organisation {
+func organisationToWire(organisation conf.OrganisationSpec) *wirepb.Organisation {
 	return &wirepb.Organisation{
 		Name:   organisation.Name,
 		Half:   string(organisation.Half),
@@ -20,31 +20,31 @@
 	}
 }
 
-func organisationFromWire(organisation *wirepb.Organisation) model.OrganisationSpec {
-	return model.OrganisationSpec{
+func organisationFromWire(organisation *wirepb.Organisation) conf.OrganisationSpec {
+	return conf.OrganisationSpec{
 		Name:   organisation.GetName(),
-		Half:   model.Half(organisation.GetHalf()),
-		Rate:   model.Tokens(organisation.GetRate()),
-		Burst:  model.Tokens(organisation.GetBurst()),
+		Half:   conf.Half(organisation.GetHalf()),
+		Rate:   conf.Tokens(organisation.GetRate()),
+		Burst:  conf.Tokens(organisation.GetBurst()),
 		Shards: organisation.GetShards(),
 	}
 }
 
-func keyToWire(key model.KeySpec) *wirepb.Key {
+func keyToWire(key conf.KeySpec) *wirepb.Key {
 	return &wirepb.Key{Id: key.ID, Organisation: key.Organisation, Salt: key.Salt, Digest: key.Digest[:]}
 }
 
 // keyFromWire leaves the digest empty, which patches refuse, when it does not
 // have the right length.
-func keyFromWire(key *wirepb.Key) model.KeySpec {
-	spec := model.KeySpec{ID: key.GetId(), Organisation: key.GetOrganisation(), Salt: key.GetSalt()}
-	if len(key.GetDigest()) == model.DigestSize {
+func keyFromWire(key *wirepb.Key) conf.KeySpec {
+	spec := conf.KeySpec{ID: key.GetId(), Organisation: key.GetOrganisation(), Salt: key.GetSalt()}
+	if len(key.GetDigest()) == conf.DigestSize {
 		copy(spec.Digest[:], key.GetDigest())
 	}
 	return spec
 }
 
-func routeToWire(route model.RouteSpec) *wirepb.Route {
+func routeToWire(route conf.RouteSpec) *wirepb.Route {
 	return &wirepb.Route{
 		Name:             route.Name,
 		Service:          route.Service,
@@ -52,7 +52,7 @@
 		PathPrefix:       route.PathPrefix,
 		Methods:          route.Methods,
 		Class:            wirepb.Class(route.Class),
-		LongestWaitUs:    route.LongestWait.Microseconds(),
+		LongestWaitUs:    route.MaxWait.Microseconds(),
 		Idempotent:       route.Idempotent,
 		Open:             route.Open,
 		DefaultMaxTokens: int64(route.DefaultMaxTokens),
@@ -60,29 +60,29 @@
 	}
 }
 
-func routeFromWire(route *wirepb.Route) model.RouteSpec {
-	return model.RouteSpec{
+func routeFromWire(route *wirepb.Route) conf.RouteSpec {
+	return conf.RouteSpec{
 		Name:             route.GetName(),
 		Service:          route.GetService(),
 		Plain:            route.GetPlain(),
 		PathPrefix:       route.GetPathPrefix(),
 		Methods:          route.GetMethods(),
 		Class:            classFromWire(route.GetClass()),
-		LongestWait:      microseconds(route.GetLongestWaitUs()),
+		MaxWait:          microseconds(route.GetLongestWaitUs()),
 		Idempotent:       route.GetIdempotent(),
 		Open:             route.GetOpen(),
-		DefaultMaxTokens: model.Tokens(route.GetDefaultMaxTokens()),
-		Cost:             model.Tokens(route.GetCost()),
+		DefaultMaxTokens: conf.Tokens(route.GetDefaultMaxTokens()),
+		Cost:             conf.Tokens(route.GetCost()),
 	}
 }
 
 // classFromWire keeps classes that do not fit the model's type out of range,
 // so that patches refuse them.
-func classFromWire(class wirepb.Class) model.Class {
+func classFromWire(class wirepb.Class) conf.Class {
 	if class < 0 || class > math.MaxUint8 {
 		return math.MaxUint8
 	}
-	return model.Class(class)
+	return conf.Class(class)
 }
 
 // microseconds converts a duration; one that overflows stays out of range, so
@@ -94,13 +94,13 @@
 	return time.Duration(count) * time.Microsecond
 }
 
-func adapterToWire(adapter model.AdapterSpec) *wirepb.Adapter {
+func adapterToWire(adapter conf.AdapterSpec) *wirepb.Adapter {
 	wire := &wirepb.Adapter{}
 	fillAdapter(wire, adapter)
 	return wire
 }
 
-func fillAdapter(wire *wirepb.Adapter, adapter model.AdapterSpec) {
+func fillAdapter(wire *wirepb.Adapter, adapter conf.AdapterSpec) {
 	wire.Name = adapter.Name
 	wire.Organisation = adapter.Organisation
 	wire.Service = adapter.Service
@@ -108,8 +108,8 @@
 	wire.DefaultVersion = adapter.DefaultVersion
 }
 
-func adapterFromWire(adapter *wirepb.Adapter) model.AdapterSpec {
-	return model.AdapterSpec{
+func adapterFromWire(adapter *wirepb.Adapter) conf.AdapterSpec {
+	return conf.AdapterSpec{
 		Name:           adapter.GetName(),
 		Organisation:   adapter.GetOrganisation(),
 		Service:        adapter.GetService(),
@@ -118,7 +118,7 @@
 	}
 }
 
-func upstreamToWire(upstream model.UpstreamSpec) *wirepb.Upstream {
+func upstreamToWire(upstream conf.UpstreamSpec) *wirepb.Upstream {
 	return &wirepb.Upstream{
 		Id:             upstream.ID,
 		Service:        upstream.Service,
@@ -129,23 +129,23 @@
 	}
 }
 
-func upstreamFromWire(upstream *wirepb.Upstream) model.UpstreamSpec {
-	return model.UpstreamSpec{
+func upstreamFromWire(upstream *wirepb.Upstream) conf.UpstreamSpec {
+	return conf.UpstreamSpec{
 		ID:             upstream.GetId(),
 		Service:        upstream.GetService(),
 		Plain:          upstream.GetPlain(),
-		Half:           model.Half(upstream.GetHalf()),
+		Half:           conf.Half(upstream.GetHalf()),
 		FailureDomain:  upstream.GetFailureDomain(),
 		FencingChecked: upstream.GetFencingChecked(),
 	}
 }
 
-func fleetToWire(fleet model.FleetSpec) *wirepb.Fleet {
+func fleetToWire(fleet conf.FleetSpec) *wirepb.Fleet {
 	return &wirepb.Fleet{LoadRateMilli: fleet.LoadRateMilli, LoadBurst: fleet.LoadBurst, LoadShards: fleet.LoadShards}
 }
 
-func fleetFromWire(fleet *wirepb.Fleet) model.FleetSpec {
-	return model.FleetSpec{
+func fleetFromWire(fleet *wirepb.Fleet) conf.FleetSpec {
+	return conf.FleetSpec{
 		LoadRateMilli: fleet.GetLoadRateMilli(),
 		LoadBurst:     fleet.GetLoadBurst(),
 		LoadShards:    fleet.GetLoadShards(),
--- a/internal/wire/codec/specjson.go
+++ b/internal/wire/codec/specjson.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
 // OrganisationToJSON converts an organisation.
-func OrganisationToJSON(organisation model.OrganisationSpec) OrganisationJSON {
+func OrganisationToJSON(organisation conf.OrganisationSpec) OrganisationJSON {
 	return OrganisationJSON{
 		Name:   organisation.Name,
 		Half:   string(organisation.Half),
@@ -19,37 +19,37 @@
 	}
 }
 
-func (form OrganisationJSON) spec() model.OrganisationSpec {
-	return model.OrganisationSpec{
+func (form OrganisationJSON) spec() conf.OrganisationSpec {
+	return conf.OrganisationSpec{
 		Name:   form.Name,
-		Half:   model.Half(form.Half),
-		Rate:   model.Tokens(form.Rate),
-		Burst:  model.Tokens(form.Burst),
+		Half:   conf.Half(form.Half),
+		Rate:   conf.Tokens(form.Rate),
+		Burst:  conf.Tokens(form.Burst),
 		Shards: form.Shards,
 	}
 }
 
 // KeyToJSON converts a key without its salt and digest.
-func KeyToJSON(key model.KeySpec) KeyJSON {
+func KeyToJSON(key conf.KeySpec) KeyJSON {
 	return KeyJSON{ID: key.ID, Organisation: key.Organisation}
 }
 
-func (form KeyJSON) spec() (model.KeySpec, error) {
+func (form KeyJSON) spec() (conf.KeySpec, error) {
 	salt, err := base64.StdEncoding.DecodeString(form.Salt)
 	if err != nil {
-		return model.KeySpec{}, fmt.Errorf("put-key.salt is not base64: %w", err)
+		return conf.KeySpec{}, fmt.Errorf("put-key.salt is not base64: %w", err)
 	}
 	digest, err := base64.StdEncoding.DecodeString(form.Digest)
-	if err != nil || len(digest) != model.DigestSize {
-		return model.KeySpec{}, fmt.Errorf("put-key.digest is not base64 of %d bytes", model.DigestSize)
+	if err != nil || len(digest) != conf.DigestSize {
+		return conf.KeySpec{}, fmt.Errorf("put-key.digest is not base64 of %d bytes", conf.DigestSize)
 	}
-	return model.KeySpec{
-		ID: form.ID, Organisation: form.Organisation, Salt: salt, Digest: [model.DigestSize]byte(digest),
+	return conf.KeySpec{
+		ID: form.ID, Organisation: form.Organisation, Salt: salt, Digest: [conf.DigestSize]byte(digest),
 	}, nil
 }
 
 // RouteToJSON converts a route.
-func RouteToJSON(route model.RouteSpec) RouteJSON {
+func RouteToJSON(route conf.RouteSpec) RouteJSON {
 	return RouteJSON{
 		Name:             route.Name,
 		Service:          route.Service,
@@ -57,7 +57,7 @@
 		PathPrefix:       route.PathPrefix,
 		Methods:          route.Methods,
 		Class:            route.Class,
-		LongestWait:      duration(route.LongestWait),
+		LongestWait:      duration(route.MaxWait),
 		Idempotent:       route.Idempotent,
 		Open:             route.Open,
 		DefaultMaxTokens: int64(route.DefaultMaxTokens),
@@ -65,29 +65,29 @@
 	}
 }
 
-func (form RouteJSON) spec() model.RouteSpec {
-	return model.RouteSpec{
+func (form RouteJSON) spec() conf.RouteSpec {
+	return conf.RouteSpec{
 		Name:             form.Name,
 		Service:          form.Service,
 		Plain:            form.Plain,
 		PathPrefix:       form.PathPrefix,
 		Methods:          form.Methods,
 		Class:            form.Class,
-		LongestWait:      time.Duration(form.LongestWait),
+		MaxWait:          time.Duration(form.LongestWait),
 		Idempotent:       form.Idempotent,
 		Open:             form.Open,
-		DefaultMaxTokens: model.Tokens(form.DefaultMaxTokens),
-		Cost:             model.Tokens(form.Cost),
+		DefaultMaxTokens: conf.Tokens(form.DefaultMaxTokens),
+		Cost:             conf.Tokens(form.Cost),
 	}
 }
 
 // AdapterToJSON converts an adapter.
-func AdapterToJSON(adapter model.AdapterSpec) AdapterJSON { return AdapterJSON(adapter) }
+func AdapterToJSON(adapter conf.AdapterSpec) AdapterJSON { return AdapterJSON(adapter) }
 
-func (form AdapterJSON) spec() model.AdapterSpec { return model.AdapterSpec(form) }
+func (form AdapterJSON) spec() conf.AdapterSpec { return conf.AdapterSpec(form) }
 
 // UpstreamToJSON converts an upstream.
-func UpstreamToJSON(upstream model.UpstreamSpec) UpstreamJSON {
+func UpstreamToJSON(upstream conf.UpstreamSpec) UpstreamJSON {
 	return UpstreamJSON{
 		ID:             upstream.ID,
 		Service:        upstream.Service,
@@ -98,18 +98,18 @@
 	}
 }
 
-func (form UpstreamJSON) spec() model.UpstreamSpec {
-	return model.UpstreamSpec{
+func (form UpstreamJSON) spec() conf.UpstreamSpec {
+	return conf.UpstreamSpec{
 		ID:             form.ID,
 		Service:        form.Service,
 		Plain:          form.Plain,
-		Half:           model.Half(form.Half),
+		Half:           conf.Half(form.Half),
 		FailureDomain:  form.FailureDomain,
 		FencingChecked: form.FencingChecked,
 	}
 }
 
 // FleetToJSON converts the fleet's settings.
-func FleetToJSON(fleet model.FleetSpec) FleetJSON { return FleetJSON(fleet) }
+func FleetToJSON(fleet conf.FleetSpec) FleetJSON { return FleetJSON(fleet) }
 
-func (form FleetJSON) spec() model.FleetSpec { return model.FleetSpec(form) }
+func (form FleetJSON) spec() conf.FleetSpec { return conf.FleetSpec(form) }
--- a/internal/wire/codec/state.go
+++ b/internal/wire/codec/state.go
@@ -4,8 +4,8 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/proto"
 
-	"jacinthfront.dev/jacinthfront/internal/state/fold"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
+	"jacinthfront.dev/jacinthfront/internal/state/replay"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
@@ -25,11 +25,11 @@
 // EncodeState encodes a state as a wirepb.State, entry by entry, so that no
 // second copy of the whole configuration is built. Equal states have equal
 // encodings.
-func EncodeState(state fold.State) ([]byte, error) {
+func EncodeState(state replay.State) ([]byte, error) {
 	config := state.Config
 	encoder := encoder{data: make([]byte, 0, sizeBase+sizeAdapter*config.AdapterCount())}
 	encoder.varint(stateVersion, config.Version())
-	encoder.varint(stateOffset, state.Offset)
+	encoder.varint(stateOffset, state.VersionOffset)
 	for _, organisation := range config.Organisations() {
 		encoder.message(stateOrganisations, organisationToWire(organisation))
 	}
@@ -48,7 +48,7 @@
 		encoder.message(stateUpstreams, upstreamToWire(upstream))
 	}
 	encoder.message(stateFleet, fleetToWire(config.Fleet()))
-	for _, id := range state.Accepted {
+	for _, id := range state.RecentPatches {
 		encoder.data = protowire.AppendTag(encoder.data, stateAccepted, protowire.BytesType)
 		encoder.data = protowire.AppendString(encoder.data, id)
 	}
@@ -84,32 +84,32 @@
 }
 
 // DecodeState decodes a state, entry by entry.
-func DecodeState(data []byte) (fold.State, error) {
-	decoder := decoder{editor: model.New().Edit()}
+func DecodeState(data []byte) (replay.State, error) {
+	decoder := decoder{editor: conf.New().Edit()}
 	for len(data) > 0 {
 		field, kind, size := protowire.ConsumeTag(data)
 		if size < 0 {
-			return fold.State{}, Class.Wrap(protowire.ParseError(size))
+			return replay.State{}, Class.Wrap(protowire.ParseError(size))
 		}
 		value := protowire.ConsumeFieldValue(field, kind, data[size:])
 		if value < 0 {
-			return fold.State{}, Class.Wrap(protowire.ParseError(value))
+			return replay.State{}, Class.Wrap(protowire.ParseError(value))
 		}
 		if err := decoder.field(field, kind, data[size:size+value]); err != nil {
-			return fold.State{}, err
+			return replay.State{}, err
 		}
 		data = data[size+value:]
 	}
-	if uint64(len(decoder.accepted)) > min(decoder.version, fold.Remembered) {
-		return fold.State{}, Class.New("version %d cannot have %d accepted patches", decoder.version, len(decoder.accepted))
+	if uint64(len(decoder.accepted)) > min(decoder.version, replay.MaxRecentPatches) {
+		return replay.State{}, Class.New("version %d cannot have %d accepted patches", decoder.version, len(decoder.accepted))
 	}
-	return fold.State{
-		Config: decoder.editor.Commit(decoder.version), Offset: decoder.offset, Accepted: decoder.accepted,
+	return replay.State{
+		Config: decoder.editor.Commit(decoder.version), VersionOffset: decoder.offset, RecentPatches: decoder.accepted,
 	}, nil
 }
 
 type decoder struct {
-	editor   *model.Editor
+	editor   *conf.Editor
 	version  uint64
 	offset   uint64
 	accepted []string
--- a/internal/wire/conns/certs.go
+++ b/internal/wire/conns/certs.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// FleetName is the DNS name that the certificates of all processes carry.
-	FleetName = "jacinthfront.internal"
+	// CertDNSName is the DNS name that the certificates of all processes carry.
+	CertDNSName = "jacinthfront.internal"
 
 	certRecheck = 10 * time.Second
 )
@@ -24,9 +24,9 @@
 	CA   string
 }
 
-// Certs loads certificates and reloads them when the files change. It checks
+// CertReloader loads certificates and reloads them when the files change. It checks
 // the files at most every 10 s.
-type Certs struct {
+type CertReloader struct {
 	files CertFiles
 
 	mu       sync.Mutex
@@ -36,18 +36,18 @@
 	pool     *x509.CertPool
 }
 
-// NewCerts loads the files once, so that wrong ones are found at start.
-func NewCerts(files CertFiles) (*Certs, error) {
-	certs := &Certs{files: files}
+// NewCertReloader loads the files once, so that wrong ones are found at start.
+func NewCertReloader(files CertFiles) (*CertReloader, error) {
+	certs := &CertReloader{files: files}
 	if _, _, err := certs.current(); err != nil {
 		return nil, err
 	}
 	return certs, nil
 }
 
-// Server returns the configuration of a listener that admits only peers with a
+// ServerConfig returns the configuration of a listener that admits only peers with a
 // certificate of the fleet's CA.
-func (certs *Certs) Server() *tls.Config {
+func (certs *CertReloader) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -65,8 +65,8 @@
 	}
 }
 
-// Client returns the configuration for one outgoing connection.
-func (certs *Certs) Client() (*tls.Config, error) {
+// ClientConfig returns the configuration for one outgoing connection.
+func (certs *CertReloader) ClientConfig() (*tls.Config, error) {
 	pair, pool, err := certs.current()
 	if err != nil {
 		return nil, err
@@ -75,11 +75,11 @@
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{*pair},
 		RootCAs:      pool,
-		ServerName:   FleetName,
+		ServerName:   CertDNSName,
 	}, nil
 }
 
-func (certs *Certs) current() (*tls.Certificate, *x509.CertPool, error) {
+func (certs *CertReloader) current() (*tls.Certificate, *x509.CertPool, error) {
 	certs.mu.Lock()
 	defer certs.mu.Unlock()
 	if certs.pair != nil && time.Since(certs.checked) < certRecheck {
@@ -100,7 +100,7 @@
 	return certs.pair, certs.pool, nil
 }
 
-func (certs *Certs) newest() time.Time {
+func (certs *CertReloader) newest() time.Time {
 	var newest time.Time
 	for _, name := range []string{certs.files.Cert, certs.files.Key, certs.files.CA} {
 		if info, err := os.Stat(name); err == nil && info.ModTime().After(newest) {
@@ -110,7 +110,7 @@
 	return newest
 }
 
-func (certs *Certs) load() error {
+func (certs *CertReloader) load() error {
 	pair, err := tls.LoadX509KeyPair(certs.files.Cert, certs.files.Key)
 	if err != nil {
 		return fault.New(fault.Invalid, fault.NotRun, "cannot load the certificate: %v; check tls.cert-file and tls.key-file", err)
--- a/internal/wire/conns/conns_test.go
+++ b/internal/wire/conns/conns_test.go
@@ -59,7 +59,7 @@
 		{"other CA", "a process with another CA must be refused", certClient(stranger), false},
 		{"no TLS", "a plain connection must be refused", func(*testing.T) func() (*tls.Config, error) { return nil }, false},
 	}
-	loaded, err := conns.NewCerts(issue(t, fleet, t.TempDir(), 2))
+	loaded, err := conns.NewCertReloader(issue(t, fleet, t.TempDir(), 2))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		_ = conns.Serve(ctx, listener, loaded.Server(), func(mux drpc.Mux) error {
+		_ = conns.Serve(ctx, listener, loaded.ServerConfig(), func(mux drpc.Mux) error {
 			return wirepb.DRPCRegisterPeer(mux, &peerServer{})
 		})
 	}()
@@ -120,11 +120,11 @@
 
 func certClient(authority *certs.Authority) func(t *testing.T) func() (*tls.Config, error) {
 	return func(t *testing.T) func() (*tls.Config, error) {
-		loaded, err := conns.NewCerts(issue(t, authority, t.TempDir(), 3))
+		loaded, err := conns.NewCertReloader(issue(t, authority, t.TempDir(), 3))
 		if err != nil {
 			t.Fatal(err)
 		}
-		return loaded.Client
+		return loaded.ClientConfig
 	}
 }
 
@@ -132,7 +132,7 @@
 	fleet := newAuthority(t)
 	directory := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		loaded, err := conns.NewCerts(issue(t, fleet, directory, 10))
+		loaded, err := conns.NewCertReloader(issue(t, fleet, directory, 10))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -142,7 +142,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(11 * time.Second)
-		config, err := loaded.Client()
+		config, err := loaded.ClientConfig()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/wire/conns/pool.go
+++ b/internal/wire/conns/pool.go
@@ -37,8 +37,8 @@
 	TLS func() (*tls.Config, error)
 	// Idle is how long an unused connection is kept; it defaults to a minute.
 	Idle time.Duration
-	// IdlePerPeer bounds the unused connections to one address.
-	IdlePerPeer int
+	// MaxIdlePerAddress bounds the unused connections to one address.
+	MaxIdlePerAddress int
 }
 
 // Pool keeps unused connections by address. A connection returns to the pool
@@ -56,14 +56,14 @@
 	if config.Idle == 0 {
 		config.Idle = defaultIdle
 	}
-	if config.IdlePerPeer == 0 {
-		config.IdlePerPeer = defaultIdlePerPeer
+	if config.MaxIdlePerAddress == 0 {
+		config.MaxIdlePerAddress = defaultIdlePerPeer
 	}
 	return &Pool{
 		config: config,
 		pool: drpcpool.New[string, *drpcconn.Conn](drpcpool.Options{
 			Expiration:  config.Idle,
-			KeyCapacity: config.IdlePerPeer,
+			KeyCapacity: config.MaxIdlePerAddress,
 		}),
 	}
 }
--- a/internal/wire/conns/serve.go
+++ b/internal/wire/conns/serve.go
@@ -10,11 +10,11 @@
 	"storj.io/drpc/drpcserver"
 )
 
-// Register adds services to the mux of a server.
-type Register func(mux drpc.Mux) error
+// RegisterServices adds services to the mux of a server.
+type RegisterServices func(mux drpc.Mux) error
 
 // Serve accepts connections until ctx ends. A nil config serves without TLS.
-func Serve(ctx context.Context, listener net.Listener, config *tls.Config, register Register) error {
+func Serve(ctx context.Context, listener net.Listener, config *tls.Config, register RegisterServices) error {
 	mux := drpcmux.New()
 	if err := register(mux); err != nil {
 		return err
