--- a/cmd/jacinthfront/daemons.go
+++ b/cmd/jacinthfront/daemons.go
@@ -10,7 +10,7 @@
 	"jacinthfront.dev/jacinthfront/internal/daemon/start"
 )
 
-// settingsFlag is the flag that all daemons share.
+// settingsFlag is the flag that all daemons have.
 type settingsFlag struct {
 	Settings string `long:"settings" value-name:"FILE" required:"true" description:"TOML settings file"`
 }
@@ -47,16 +47,16 @@
 	return waitForSignal(process)
 }
 
-// waitForSignal drains the process at the first SIGTERM or SIGINT. A second
-// one ends it at once, since the handler is removed.
+// waitForSignal drains the process on the first SIGTERM or SIGINT. The signal
+// handler is then removed, so that a second signal ends the process at once.
 func waitForSignal(process *start.Process) error {
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	context.AfterFunc(ctx, stop)
 	return process.Wait(ctx)
 }
 
-// checkCommand prints the settings in effect.
+// checkCommand checks a settings file and prints the settings in effect.
 type checkCommand struct {
 	settingsFlag
 	Role string `long:"role" choice:"entry" choice:"side" choice:"relay" choice:"loader" required:"true" description:"role that the settings are for"`
--- a/cmd/jacinthfront/keys.go
+++ b/cmd/jacinthfront/keys.go
@@ -42,7 +42,7 @@
 	if err := command.print(report, reportLines(report)); err != nil {
 		return err
 	}
-	return reportFault(report)
+	return resultError(report)
 }
 
 type listCommand struct {
--- a/cmd/jacinthfront/main.go
+++ b/cmd/jacinthfront/main.go
@@ -1,5 +1,5 @@
-// Command jacinthfront runs entry instances and side processes, and is the
-// operators' client.
+// Command jacinthfront runs entry instances, side processes and loaders, and is
+// the client of the operator interface.
 package main
 
 import (
@@ -37,7 +37,7 @@
 	return exitCode(err)
 }
 
-// command is one subcommand with its help.
+// command is a subcommand with its help texts.
 type command struct {
 	name, short, long string
 	data              any
@@ -48,11 +48,11 @@
 		{"entry", "Run an entry instance", "Runs an entry instance until SIGTERM or SIGINT, then drains it.\n\nExample: jacinthfront entry --settings entry.toml", &entryCommand{}},
 		{"side", "Run a side process", "Runs the side process of one upstream until SIGTERM or SIGINT, then drains it.\n\nExample: jacinthfront side --settings side.toml", &sideCommand{}},
 		{"relay", "Run an entry instance on the platform", "Runs an entry instance that reaches upstreams directly, until SIGTERM or SIGINT, then drains it.\n\nExample: jacinthfront relay --settings relay.toml", &relayCommand{}},
-		{"loader", "Run a loader on the platform", "Runs the process beside an engine that brings it adapters.\n\nExample: jacinthfront loader --settings loader.toml", &loaderCommand{}},
+		{"loader", "Run a loader on the platform", "Runs the loader of one engine, which tells the engine to load and unload adapters.\n\nExample: jacinthfront loader --settings loader.toml", &loaderCommand{}},
 		{"check", "Check a settings file", "Checks a settings file and prints the settings in effect, defaults included.\n\nExample: jacinthfront check --role side --settings side.toml", &checkCommand{}},
 		{"config", "Show and change the configuration", "Reads the configuration and publishes patches through the operator interface of any instance.", &configCommand{}},
 		{"key", "Issue, withdraw and list keys", "Manages callers' keys through the operator interface of any instance.", &keyCommand{}},
-		{"status", "Show the state of the fleet", "Asks every listed instance for its version, staleness, shares, adapters and refusals.\n\nExample: jacinthfront status --format json", &statusCommand{}},
+		{"status", "Show the state of the fleet", "Asks every listed instance for its version and when it was confirmed, requests, adapters, shards and faults.\n\nExample: jacinthfront status --format json", &statusCommand{}},
 	}
 	for _, command := range commands {
 		if _, err := parser.AddCommand(command.name, command.short, command.long, command.data); err != nil {
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// exitCode reports an error and returns the code to exit with.
+// exitCode prints an error and returns the exit code for it.
 func exitCode(err error) int {
 	if err == nil {
 		return 0
--- a/cmd/jacinthfront/operators.go
+++ b/cmd/jacinthfront/operators.go
@@ -17,7 +17,7 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 )
 
-// operatorFlags are the flags of all operators' commands.
+// operatorFlags are the flags that all commands of the operator interface have.
 type operatorFlags struct {
 	Address string `long:"address" env:"JACINTHFRONT_ADDRESS" default:"http://127.0.0.1:7080" description:"operator interface of any instance"`
 	Format  string `long:"format" choice:"text" choice:"json" default:"text" description:"format of the answer"`
@@ -92,7 +92,7 @@
 	if err := command.print(report, reportLines(report)); err != nil {
 		return err
 	}
-	return reportFault(report)
+	return resultError(report)
 }
 
 func readInput(file string) ([]byte, error) {
@@ -119,8 +119,9 @@
 	return lines
 }
 
-// reportFault returns the error that sets the exit code of a void patch.
-func reportFault(report admin.Report) error {
+// resultError returns the error that sets the exit code for a patch that was not
+// accepted.
+func resultError(report admin.Report) error {
 	switch report.Result {
 	case patch.Accepted, patch.Duplicate:
 		return nil
@@ -147,7 +148,7 @@
 	if err := command.print(report, reportLines(report)); err != nil {
 		return err
 	}
-	return reportFault(report)
+	return resultError(report)
 }
 
 type historyCommand struct{ operatorFlags }
@@ -165,7 +166,7 @@
 	return command.print(changes, lines)
 }
 
-// maxOpsShown bounds the operations in a line of text; JSON has all.
+// maxOpsShown bounds the operations in a line of the text format; JSON shows all.
 const maxOpsShown = 4
 
 func changeLine(change admin.Change) string {
--- a/cmd/jacinthfront/relays.go
+++ b/cmd/jacinthfront/relays.go
@@ -20,27 +20,27 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
-	return platform.RunRelay(ctx, settings, command.reloads(ctx))
+	return platform.RunRelay(ctx, settings, command.watchBounds(ctx))
 }
 
-// reloads returns the bounds of the settings file each time SIGHUP says that it
-// has changed. A file that cannot be used is reported and passed over.
-func (command *relayCommand) reloads(ctx context.Context) <-chan setup.RelayBounds {
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
+// watchBounds sends the bounds of the settings file each time it is read again on
+// SIGHUP. A file that cannot be used is reported, and the bounds in force stay.
+func (command *relayCommand) watchBounds(ctx context.Context) <-chan setup.RelayBounds {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGHUP)
 	bounds := make(chan setup.RelayBounds)
 	go func() {
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-hangups:
+			case <-signals:
 			}
 			settings, err := setup.LoadRelay(command.Settings)
 			if err != nil {
-				fmt.Fprintln(os.Stderr, "jacinthfront: settings kept as they were:", err)
+				fmt.Fprintln(os.Stderr, "jacinthfront: cannot reload the settings, keeping the current bounds:", err)
 				continue
 			}
 			select {
@@ -53,7 +53,7 @@
 	return bounds
 }
 
-// loaderCommand runs the process beside an engine on the platform.
+// loaderCommand runs a loader, the process beside an engine on the platform.
 type loaderCommand struct{ settingsFlag }
 
 // Execute implements flags.Commander.
@@ -62,14 +62,14 @@
 	if err != nil {
 		return err
 	}
-	// Nothing in a loader's settings changes while its engine lives.
+	// A loader's settings do not change while its engine runs.
 	signal.Ignore(syscall.SIGHUP)
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	return platform.RunLoader(ctx, settings)
 }
 
-// untilSignal returns a context that the first SIGTERM or SIGINT ends.
-func untilSignal() (context.Context, context.CancelFunc) {
+// signalContext returns a context that the first SIGTERM or SIGINT cancels.
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
--- a/cmd/jacinthfront/status.go
+++ b/cmd/jacinthfront/status.go
@@ -25,8 +25,9 @@
 	return command.print(list, lines)
 }
 
-// statusDetail is what the table shows of an instance's own report. Entry
-// instances report readiness and counters, side processes the rest.
+// statusDetail is the part of the state reported by an instance that the table
+// shows. Entry instances report readiness and counters, side processes the other
+// fields.
 type statusDetail struct {
 	Ready    *bool                      `json:"ready"`
 	Running  *int                       `json:"running"`
@@ -52,9 +53,9 @@
 	return strings.Join(append(columns, detail.columns()...), "\t")
 }
 
-func (detail statusDetail) state(leaving bool) string {
+func (detail statusDetail) state(draining bool) string {
 	switch {
-	case leaving, detail.Draining:
+	case draining, detail.Draining:
 		return "leaving"
 	case detail.Ready != nil && !*detail.Ready:
 		return "not ready"
@@ -63,8 +64,8 @@
 	}
 }
 
-// columns returns running, queued, adapters, shards and faults. What a role
-// does not have is a dash.
+// columns returns the columns running, queued, adapters, shards and faults. A
+// dash stands for what the role does not have.
 func (detail statusDetail) columns() []string {
 	if detail.Running == nil || detail.Queued == nil {
 		return []string{"-", "-", "-", "-", fmt.Sprint(detail.faults())}
@@ -75,8 +76,7 @@
 	}
 }
 
-// faults returns how many requests an entry instance answered with a fault of
-// its own.
+// faults returns how many requests an entry instance has answered with a fault.
 func (detail statusDetail) faults() int64 {
 	var sum int64
 	for name, text := range detail.Counters {
--- a/internal/daemon/admin/admin.go
+++ b/internal/daemon/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the operator interface: configuration, keys, status, metrics
-// and probes.
+// Package admin implements the operator interface, over HTTP, and its client:
+// configuration, keys, status, metrics and probes.
 package admin
 
 import (
@@ -19,7 +19,7 @@
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 )
 
-// ConfigStore is the configuration that operators read and change.
+// ConfigStore holds the configuration that operators read and change.
 type ConfigStore interface {
 	Current() *conf.Config
 	Publish(ctx context.Context, record patch.Patch) (syncer.Report, error)
@@ -29,12 +29,12 @@
 	Isolated() bool
 }
 
-// Process is the daemon that serves the interface.
+// Process is the daemon that serves the operator interface.
 type Process interface {
 	// Ready reports whether the process takes work.
 	Ready() bool
-	// Status returns the name of the role and the details of its state, which
-	// are written as JSON.
+	// Status returns the name of the role and the details of its state, which are
+	// written as JSON.
 	Status() (role string, detail any)
 }
 
@@ -43,21 +43,22 @@
 	Instance    string
 	ConfigStore ConfigStore
 	Process     Process
-	// FleetStatus asks the other instances; nil means that none are shown.
+	// FleetStatus returns the state of the other instances; if nil, none are shown.
 	FleetStatus FleetStatus
 	Logger      *zap.Logger
 }
 
 const (
-	// headerTime and bodyTime bound slow requests.
-	headerTime = 5 * time.Second
-	bodyTime   = 10 * time.Second
-	// stopTime bounds the wait for open requests at the end, which is longer
-	// than a patch takes to be read back.
-	stopTime = 15 * time.Second
-	// maxBody bounds a patch in JSON, which is larger than the same patch on
+	// headerTimeout and bodyTimeout bound the time in which the headers and the
+	// whole of a request must arrive.
+	headerTimeout = 5 * time.Second
+	bodyTimeout   = 10 * time.Second
+	// shutdownTimeout bounds the wait for open requests on shutdown. It exceeds the
+	// time in which a published patch is read back.
+	shutdownTimeout = 15 * time.Second
+	// maxBodyBytes bounds a patch in JSON, which is larger than the same patch on
 	// the log.
-	maxBody = 4 << 20
+	maxBodyBytes = 4 << 20
 )
 
 // Admin serves the operator interface.
@@ -69,7 +70,7 @@
 // New returns an Admin.
 func New(config Config) (*Admin, error) {
 	if config.ConfigStore == nil || config.Process == nil {
-		return nil, fault.New(fault.Invalid, fault.NotRun, "the operator interface needs a store and a process; set both")
+		return nil, fault.New(fault.Invalid, fault.NotRun, "the operator interface needs a ConfigStore and a Process; set both")
 	}
 	if config.Logger == nil {
 		config.Logger = zap.NewNop()
@@ -104,20 +105,20 @@
 	app.Get("/debug/vars", iris.FromStd(expvar.Handler()))
 	app.Get("/healthz", admin.wrap(admin.getHealth))
 	app.Get("/readyz", admin.wrap(admin.getReady))
-	app.Any("/{path:path}", admin.wrap(admin.serveNothing))
+	app.Any("/{path:path}", admin.wrap(admin.serveUnknownPath))
 }
 
-// Handler returns the interface as an HTTP handler.
+// Handler returns the operator interface as an HTTP handler.
 func (admin *Admin) Handler() http.Handler { return admin.handler }
 
-// Serve serves the interface on a listener until the context ends, and then
-// waits for open requests.
+// Serve serves the operator interface on a listener until the context ends, and
+// then waits up to shutdownTimeout for open requests.
 func (admin *Admin) Serve(ctx context.Context, listener net.Listener) error {
-	server := &http.Server{Handler: admin.handler, ReadHeaderTimeout: headerTime, ReadTimeout: bodyTime}
+	server := &http.Server{Handler: admin.handler, ReadHeaderTimeout: headerTimeout, ReadTimeout: bodyTimeout}
 	stopped := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		defer close(stopped)
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTime)
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 		defer cancel()
 		_ = server.Shutdown(ctx)
 	})
@@ -140,11 +141,11 @@
 		admin.config.Logger.Warn("admin: refused request",
 			zap.String("method", ctx.Method()), zap.String("path", ctx.Path()),
 			zap.String("kind", string(failure.Kind())), zap.String("ran", string(failure.Ran())))
-		_ = answer(ctx, failure.Status(), errorJSON{Error: faultToJSON(failure)})
+		_ = writeJSON(ctx, failure.Status(), errorJSON{Error: faultToJSON(failure)})
 	}
 }
 
-func (admin *Admin) serveNothing(ctx iris.Context) error {
+func (admin *Admin) serveUnknownPath(ctx iris.Context) error {
 	return fault.New(fault.UnknownRoute, fault.NotRun,
 		"nothing is served at %s %s; use /config, /config/history, /config/patches, /keys, /status, /debug/vars, /healthz or /readyz",
 		ctx.Method(), ctx.Path())
--- a/internal/daemon/admin/admin_test.go
+++ b/internal/daemon/admin/admin_test.go
@@ -24,45 +24,47 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 )
 
-// store folds patches directly. Rivals are published before the next patch, as
-// by a faster operator.
-type store struct {
+// fakeStore applies patches directly. Before each patch it publishes one of the
+// competing patches, as if another operator had been faster.
+type fakeStore struct {
 	*replay.Replayer
-	rivals int
-	fails  error
+	competingPatches int
+	publishError     error
 }
 
-func (store *store) Current() *conf.Config { return store.Config() }
+func (store *fakeStore) Current() *conf.Config { return store.Config() }
 
-func (store *store) Publish(_ context.Context, record patch.Patch) (syncer.Report, error) {
-	if store.fails != nil {
-		return syncer.Report{}, store.fails
+func (store *fakeStore) Publish(_ context.Context, record patch.Patch) (syncer.Report, error) {
+	if store.publishError != nil {
+		return syncer.Report{}, store.publishError
 	}
-	if store.rivals > 0 {
-		store.rivals--
+	if store.competingPatches > 0 {
+		store.competingPatches--
 		store.ApplyPatch(store.NextOffset(), patch.Patch{ID: record.ID + "-rival", BaseVersion: record.BaseVersion, Ops: []patch.Op{upstream("rival")}})
 	}
 	result, _ := store.ApplyPatch(store.NextOffset(), record)
 	return syncer.Report{Result: result, Advice: result.Kind.String()}, nil
 }
 
-func (store *store) History() []syncer.Change {
+func (store *fakeStore) History() []syncer.Change {
 	return []syncer.Change{{Version: 1, ID: "first", Operator: "anna", Ops: []string{"put-upstream: upstream up-1"}}}
 }
-func (store *store) ConfirmedAge() time.Duration { return 1500 * time.Millisecond }
-func (store *store) Isolated() bool              { return true }
+func (store *fakeStore) ConfirmedAge() time.Duration { return 1500 * time.Millisecond }
+func (store *fakeStore) Isolated() bool              { return true }
 
-type process struct{ ready bool }
+type fakeProcess struct{ ready bool }
 
-func (process *process) Ready() bool           { return process.ready }
-func (process *process) Status() (string, any) { return "entry", map[string]int{"open-requests": 3} }
+func (process *fakeProcess) Ready() bool { return process.ready }
+func (process *fakeProcess) Status() (string, any) {
+	return "entry", map[string]int{"open-requests": 3}
+}
 
 func upstream(id string) patch.Op {
 	return patch.PutUpstream{Upstream: conf.UpstreamSpec{ID: id, Service: "advisor", FailureDomain: "one"}}
 }
 
-func serve(t *testing.T) (*store, *process, Client) {
-	store, process := &store{Replayer: replay.New()}, &process{}
+func startAdmin(t *testing.T) (*fakeStore, *fakeProcess, Client) {
+	store, process := &fakeStore{Replayer: replay.New()}, &fakeProcess{}
 	admin, err := New(Config{Instance: "instance-1", ConfigStore: store, Process: process})
 	if err != nil {
 		t.Fatal(err)
@@ -72,10 +74,10 @@
 	return store, process, Client{URL: server.URL}
 }
 
-// Guards against results that reach the command line changed, and against a
-// status code that hides a void patch from scripts.
+// TestPatches guards against results that reach the command line changed, and
+// against an HTTP status that hides a rejected patch from scripts.
 func TestPatches(t *testing.T) {
-	store, _, client := serve(t)
+	store, _, client := startAdmin(t)
 	record := patch.Patch{ID: "first", Operator: "anna", Ops: []patch.Op{upstream("up-1")}}
 	tests := []struct {
 		name   string
@@ -105,24 +107,24 @@
 	if diff := cmp.Diff(changesToJSON(store.History()), history); diff != "" || err != nil {
 		t.Errorf("error %v (-want +got):\n%s", err, diff)
 	}
-	store.fails = fault.New(fault.Stale, fault.NotRun, "cut off").WithRetryAfter(time.Second)
+	store.publishError = fault.New(fault.Stale, fault.NotRun, "cut off").WithRetryAfter(time.Second)
 	_, err = client.Publish(t.Context(), record)
 	if failure, ok := fault.As(err); !ok || failure.Kind() != fault.Stale || failure.Ran() != fault.NotRun || failure.RetryAfter() != time.Second {
 		t.Errorf("got error %v, want the store's", err)
 	}
 }
 
-// Guards against a key that is shown again, that does not work, or that is lost
-// to a race with other operators.
+// TestKeys guards against a key that is shown again, that does not work, or that
+// is lost to a race with other operators.
 func TestKeys(t *testing.T) {
-	store, _, client := serve(t)
+	store, _, client := startAdmin(t)
 	setUp := patch.Patch{ID: "first", Ops: []patch.Op{
 		upstream("up-1"), patch.PutOrganisation{Organisation: conf.OrganisationSpec{Name: "looms", Rate: 1, Burst: 1}},
 	}}
 	if report, err := client.Publish(t.Context(), setUp); err != nil || report.Result != patch.Accepted {
 		t.Fatal(report, err)
 	}
-	store.rivals = maxRebases - 1
+	store.competingPatches = maxPublishAttempts - 1
 	issued, err := client.IssueKey(t.Context(), "looms", "anna")
 	if err != nil {
 		t.Fatal(err)
@@ -138,9 +140,9 @@
 	if err := client.Config(t.Context(), "", &text); err != nil || strings.Contains(text.String(), "salt") {
 		t.Errorf("error %v, or the configuration shows the salt: %s", err, &text)
 	}
-	store.rivals = maxRebases
+	store.competingPatches = maxPublishAttempts
 	if _, err := client.WithdrawKey(t.Context(), issued.ID, "anna"); !isKind(err, fault.Conflict) {
-		t.Errorf("got error %v after %d conflicts, want one", err, maxRebases)
+		t.Errorf("got error %v after %d conflicts, want one", err, maxPublishAttempts)
 	}
 	if report, err := client.WithdrawKey(t.Context(), issued.ID, "anna"); err != nil || report.Result != patch.Accepted {
 		t.Errorf("got %+v, error %v", report, err)
@@ -158,10 +160,10 @@
 	return ok && failure.Kind() == kind
 }
 
-// Guards against a configuration that is not valid JSON or not limited to the
-// adapters asked for.
+// TestConfig guards against a configuration that is not valid JSON or not limited
+// to the adapters asked for.
 func TestConfig(t *testing.T) {
-	_, _, client := serve(t)
+	_, _, client := startAdmin(t)
 	ops := []patch.Op{upstream("up-1")}
 	for _, name := range []string{"felt-1", "felt-2", "wool"} {
 		ops = append(ops, patch.PutAdapter{Adapter: conf.AdapterSpec{Name: name, Service: "advisor", Versions: []uint32{1}, DefaultVersion: 1}})
@@ -191,11 +193,12 @@
 	}
 }
 
-// Guards against probes and errors that the platform or scripts misread.
+// TestPaths guards against probes and errors that the platform or scripts would
+// misread.
 func TestPaths(t *testing.T) {
-	_, process, client := serve(t)
+	_, process, client := startAdmin(t)
 	process.ready = true
-	large := strings.Repeat(" ", maxBody+1)
+	large := strings.Repeat(" ", maxBodyBytes+1)
 	tests := []struct {
 		method, path, body string
 		status             int
@@ -215,14 +218,14 @@
 	}
 	for _, test := range tests {
 		t.Run(test.method+" "+test.path, func(t *testing.T) {
-			status, text := exchange(t, test.method, client.URL+test.path, test.body)
+			status, text := sendRequest(t, test.method, client.URL+test.path, test.body)
 			if status != test.status || !strings.Contains(text, test.text) {
 				t.Errorf("got status %d and %s, want %d and %s", status, text, test.status, test.text)
 			}
 		})
 	}
 	process.ready = false
-	if status, _ := exchange(t, "GET", client.URL+"/readyz", ""); status != 503 {
+	if status, _ := sendRequest(t, "GET", client.URL+"/readyz", ""); status != 503 {
 		t.Errorf("got status %d while not ready, want 503", status)
 	}
 	want := Status{Instance: "instance-1", Role: "entry", Version: 1, ConfirmedAge: "1.5s", Isolated: true}
@@ -232,7 +235,7 @@
 	}
 }
 
-func exchange(t *testing.T, method, address, body string) (int, string) {
+func sendRequest(t *testing.T, method, address, body string) (int, string) {
 	request, err := http.NewRequestWithContext(t.Context(), method, address, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/daemon/admin/client.go
+++ b/internal/daemon/admin/client.go
@@ -15,19 +15,19 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 )
 
-// clientTimeout exceeds the time in which a patch's result is reported.
+// clientTimeout exceeds the time in which the result of a patch is reported.
 const clientTimeout = 20 * time.Second
 
 // Client calls the operator interface of one process.
 type Client struct {
-	// URL is the address of the interface, without a trailing slash.
+	// URL is the address of the operator interface, without a trailing slash.
 	URL string
-	// HTTP sends the requests; nil stands for a client with a timeout.
+	// HTTP sends the requests; if nil, a client with clientTimeout does.
 	HTTP *http.Client
 }
 
-// Config copies the current configuration as JSON to a writer. An adapter
-// prefix limits the adapters.
+// Config copies the current configuration as JSON to a writer. An adapter prefix
+// limits the adapters to those whose names start with it.
 func (client Client) Config(ctx context.Context, adapterPrefix string, writer io.Writer) error {
 	path := "/config"
 	if adapterPrefix != "" {
@@ -39,14 +39,14 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return failure(response)
+		return responseFault(response)
 	}
 	_, err = io.Copy(writer, response.Body)
 	return err
 }
 
 // Publish publishes a patch and returns its result. A patch without an id gets
-// one; give it one to be able to repeat the call.
+// one. Only a patch with an id can be published again safely.
 func (client Client) Publish(ctx context.Context, record patch.Patch) (Report, error) {
 	data, err := codec.EncodePatchJSON(record)
 	if err != nil {
@@ -54,7 +54,7 @@
 	}
 	var report Report
 	err = client.call(ctx, http.MethodPost, "/config/patches", data, &report,
-		statusOf(patch.Accepted), statusOf(patch.Conflict), statusOf(patch.Invalid), statusOf(patch.Unknown))
+		httpStatus(patch.Accepted), httpStatus(patch.Conflict), httpStatus(patch.Invalid), httpStatus(patch.Unknown))
 	return report, err
 }
 
@@ -105,7 +105,7 @@
 	return status, err
 }
 
-// call sends a request and decodes the answer when its status is 200 or one of
+// call sends a request and decodes the response if its status is 200 or one of
 // those given.
 func (client Client) call(ctx context.Context, method, path string, body []byte, into any, statuses ...int) error {
 	response, err := client.send(ctx, method, path, body)
@@ -118,17 +118,17 @@
 		expected = expected || response.StatusCode == status
 	}
 	if !expected {
-		return failure(response)
+		return responseFault(response)
 	}
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxBody))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes))
 	if err != nil {
-		return unreadable(err)
+		return unreadableResponse(err)
 	}
-	if refused := asFault(data); refused != nil {
+	if refused := decodeFault(data); refused != nil {
 		return refused
 	}
 	if err := json.Unmarshal(data, into); err != nil {
-		return unreadable(err)
+		return unreadableResponse(err)
 	}
 	return nil
 }
@@ -150,24 +150,24 @@
 	return response, nil
 }
 
-// failure returns the fault that an answer holds.
-func failure(response *http.Response) error {
-	data, _ := io.ReadAll(io.LimitReader(response.Body, maxBody))
-	if refused := asFault(data); refused != nil {
+// responseFault returns the fault in a response.
+func responseFault(response *http.Response) error {
+	data, _ := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes))
+	if refused := decodeFault(data); refused != nil {
 		return refused
 	}
 	return fault.New(fault.Internal, fault.RunUnknown, "the operator interface answered %s without a reason; check that the address is one", response.Status)
 }
 
-func asFault(data []byte) error {
+func decodeFault(data []byte) error {
 	var form errorJSON
 	if err := json.Unmarshal(data, &form); err != nil || form.Error.Kind == "" {
-		return nil //nolint:nilerr // an answer that is no fault is decoded by the caller
+		return nil //nolint:nilerr // a response that is not a fault is decoded by the caller
 	}
 	return fault.New(form.Error.Kind, form.Error.Ran, "%s", form.Error.Message).
 		WithRetryAfter(time.Duration(form.Error.RetryAfter * float64(time.Second)))
 }
 
-func unreadable(err error) error {
+func unreadableResponse(err error) error {
 	return fault.New(fault.OutcomeUnknown, fault.RunUnknown, "the answer could not be read: %v; ask for the patch's result", fmt.Errorf("decoding: %w", err))
 }
--- a/internal/daemon/admin/config.go
+++ b/internal/daemon/admin/config.go
@@ -19,15 +19,15 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 )
 
-// getConfig writes the current version, entry by entry. The query parameter
-// adapter-prefix limits the adapters.
+// getConfig writes the current configuration one entry at a time. The query
+// parameter adapter-prefix limits the adapters.
 func (admin *Admin) getConfig(ctx iris.Context) error {
 	ctx.Header("Cache-Control", "no-store")
 	ctx.ContentType("application/json")
 	prefix := ctx.URLParam("adapter-prefix")
 	writer := bufio.NewWriter(ctx.ResponseWriter())
 	writeConfig(writer, admin.config.ConfigStore.Current(), prefix)
-	// The answer has begun, so a write error can only end it.
+	// The status has been sent, so a write error can only cut the response off.
 	_ = writer.Flush()
 	return nil
 }
@@ -42,11 +42,11 @@
 	writeList(writer, "keys", slices.Values(config.Keys()), codec.KeyToJSON)
 	writeList(writer, "routes", slices.Values(config.Routes()), codec.RouteToJSON)
 	writeList(writer, "upstreams", slices.Values(config.Upstreams()), codec.UpstreamToJSON)
-	writeList(writer, "adapters", withPrefix(config.AllAdapters(), prefix), codec.AdapterToJSON)
+	writeList(writer, "adapters", filterByPrefix(config.AllAdapters(), prefix), codec.AdapterToJSON)
 	_, _ = writer.WriteString("}\n")
 }
 
-func withPrefix(adapters iter.Seq[conf.AdapterSpec], prefix string) iter.Seq[conf.AdapterSpec] {
+func filterByPrefix(adapters iter.Seq[conf.AdapterSpec], prefix string) iter.Seq[conf.AdapterSpec] {
 	return func(yield func(conf.AdapterSpec) bool) {
 		for adapter := range adapters {
 			if strings.HasPrefix(adapter.Name, prefix) && !yield(adapter) {
@@ -71,7 +71,7 @@
 }
 
 func (admin *Admin) getHistory(ctx iris.Context) error {
-	return answer(ctx, iris.StatusOK, changesToJSON(admin.config.ConfigStore.History()))
+	return writeJSON(ctx, iris.StatusOK, changesToJSON(admin.config.ConfigStore.History()))
 }
 
 func (admin *Admin) postPatch(ctx iris.Context) error {
@@ -90,27 +90,27 @@
 	if err != nil {
 		return err
 	}
-	return answer(ctx, statusOf(report.Kind), reportToJSON(report))
+	return writeJSON(ctx, httpStatus(report.Kind), reportToJSON(report))
 }
 
 func (admin *Admin) getPatch(ctx iris.Context) error {
-	return answer(ctx, iris.StatusOK, resultToReport(admin.config.ConfigStore.Result(ctx.Params().Get("id"))))
+	return writeJSON(ctx, iris.StatusOK, resultToJSON(admin.config.ConfigStore.Result(ctx.Params().Get("id"))))
 }
 
 func readBody(ctx iris.Context) ([]byte, error) {
-	data, err := io.ReadAll(http.MaxBytesReader(ctx.ResponseWriter(), ctx.Request().Body, maxBody))
+	data, err := io.ReadAll(http.MaxBytesReader(ctx.ResponseWriter(), ctx.Request().Body, maxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, fault.New(fault.BodyTooLarge, fault.NotRun, "the body has more than %d bytes; split the patch", maxBody)
+		return nil, fault.New(fault.BodyTooLarge, fault.NotRun, "the body has more than %d bytes; split the patch", maxBodyBytes)
 	case err != nil:
 		return nil, fault.New(fault.BadRequest, fault.NotRun, "the body could not be read: %v; send it again", err)
 	}
 	return data, nil
 }
 
-// decode reads a JSON object and refuses unknown fields.
-func decode(data []byte, into any) error {
+// decodeStrict decodes a JSON object and refuses unknown fields.
+func decodeStrict(data []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
--- a/internal/daemon/admin/fleet.go
+++ b/internal/daemon/admin/fleet.go
@@ -8,8 +8,8 @@
 	"github.com/kataras/iris/v12"
 )
 
-// InstanceStatus is the state of one instance as it reports it itself, or why
-// it could not be asked.
+// InstanceStatus is the state that an instance reports, or why it could not be
+// asked.
 type InstanceStatus struct {
 	Instance     string          `json:"instance"`
 	Role         string          `json:"role"`
@@ -30,7 +30,7 @@
 	if admin.config.FleetStatus != nil {
 		list = admin.config.FleetStatus.Status(ctx.Request().Context())
 	}
-	return answer(ctx, iris.StatusOK, list)
+	return writeJSON(ctx, iris.StatusOK, list)
 }
 
 // FleetStatus returns the state of every listed instance.
--- a/internal/daemon/admin/forms.go
+++ b/internal/daemon/admin/json.go
@@ -43,7 +43,7 @@
 	Detail       any    `json:"detail,omitempty"`
 }
 
-// IssuedKey is a new key. The key is shown this once.
+// IssuedKey is a new key. Only the response that issues the key shows it.
 type IssuedKey struct {
 	Key          string `json:"key"`
 	ID           string `json:"id"`
@@ -75,12 +75,12 @@
 	}
 }
 
-func resultToReport(result patch.Result) Report {
+func resultToJSON(result patch.Result) Report {
 	return Report{ID: result.ID, Result: result.Kind, Version: result.Version, Field: result.Field, Reason: result.Reason}
 }
 
 func reportToJSON(report syncer.Report) Report {
-	form := resultToReport(report.Result)
+	form := resultToJSON(report.Result)
 	form.Advice = report.Advice
 	form.Changes = changesToJSON(report.Changes)
 	return form
@@ -94,8 +94,8 @@
 	return list
 }
 
-// statusOf returns the HTTP status of a patch's result.
-func statusOf(kind patch.ResultKind) int {
+// httpStatus returns the HTTP status of a patch's result.
+func httpStatus(kind patch.ResultKind) int {
 	switch kind {
 	case patch.Accepted, patch.Duplicate:
 		return iris.StatusOK
@@ -108,15 +108,16 @@
 	}
 }
 
-func ageText(age time.Duration) string {
+func formatAge(age time.Duration) string {
 	if age == math.MaxInt64 {
 		return ""
 	}
 	return age.Round(time.Millisecond).String()
 }
 
-// answer writes a JSON answer. Answers may hold a key, so none is stored.
-func answer(ctx iris.Context, status int, body any) error {
+// writeJSON writes a JSON response. It forbids caching, because a response may
+// contain a key.
+func writeJSON(ctx iris.Context, status int, body any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return err
--- a/internal/daemon/admin/keys.go
+++ b/internal/daemon/admin/keys.go
@@ -13,10 +13,10 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 )
 
-// maxRebases bounds how often a change to a key is repeated after a conflict.
-// Repeating is safe, since issuing and withdrawing a key commute with any
-// change that leaves them valid.
-const maxRebases = 8
+// maxPublishAttempts bounds how often a change to a key is published when it
+// conflicts with other patches. Repeating the change is safe, since issuing and
+// withdrawing a key commute with any change that leaves them valid.
+const maxPublishAttempts = 8
 
 func (admin *Admin) getKeys(ctx iris.Context) error {
 	organisation := ctx.URLParam("organisation")
@@ -26,7 +26,7 @@
 			list = append(list, codec.KeyToJSON(key))
 		}
 	}
-	return answer(ctx, iris.StatusOK, list)
+	return writeJSON(ctx, iris.StatusOK, list)
 }
 
 func (admin *Admin) postKey(ctx iris.Context) error {
@@ -35,7 +35,7 @@
 		return err
 	}
 	var request keyRequest
-	if err := decode(data, &request); err != nil {
+	if err := decodeStrict(data, &request); err != nil {
 		return err
 	}
 	key, spec := creds.Issue(request.Organisation)
@@ -44,9 +44,9 @@
 		return err
 	}
 	if report.Kind != patch.Accepted {
-		return refusal(report, "issue", spec.ID)
+		return keyChangeFault(report, "issue", spec.ID)
 	}
-	return answer(ctx, iris.StatusCreated, IssuedKey{
+	return writeJSON(ctx, iris.StatusCreated, IssuedKey{
 		Key: key, ID: spec.ID, Organisation: spec.Organisation, Version: report.Version,
 	})
 }
@@ -58,13 +58,13 @@
 		return err
 	}
 	if report.Kind != patch.Accepted {
-		return refusal(report, "withdraw", id)
+		return keyChangeFault(report, "withdraw", id)
 	}
-	return answer(ctx, iris.StatusOK, reportToJSON(report))
+	return writeJSON(ctx, iris.StatusOK, reportToJSON(report))
 }
 
-// publishOp publishes one operation against the current version, and again
-// when other operators were faster.
+// publishOp publishes one operation against the current version, and again after
+// each conflict with another patch.
 func (admin *Admin) publishOp(ctx context.Context, operator string, op patch.Op) (syncer.Report, error) {
 	for attempt := 1; ; attempt++ {
 		report, err := admin.config.ConfigStore.Publish(ctx, patch.Patch{
@@ -73,16 +73,16 @@
 			Operator:    operator,
 			Ops:         []patch.Op{op},
 		})
-		if err != nil || report.Kind != patch.Conflict || attempt == maxRebases {
+		if err != nil || report.Kind != patch.Conflict || attempt == maxPublishAttempts {
 			return report, err
 		}
 	}
 }
 
-func refusal(report syncer.Report, verb, id string) error {
+func keyChangeFault(report syncer.Report, verb, id string) error {
 	switch report.Kind {
 	case patch.Conflict:
-		return fault.New(fault.Conflict, fault.NotRun, "other patches were faster %d times; %s the key again", maxRebases, verb)
+		return fault.New(fault.Conflict, fault.NotRun, "other patches were faster %d times; %s the key again", maxPublishAttempts, verb)
 	case patch.Invalid:
 		return fault.New(fault.Invalid, fault.NotRun, "%s: %s", report.Field, report.Reason)
 	default:
--- a/internal/daemon/admin/status.go
+++ b/internal/daemon/admin/status.go
@@ -5,7 +5,7 @@
 )
 
 func (admin *Admin) getStatus(ctx iris.Context) error {
-	return answer(ctx, iris.StatusOK, admin.status())
+	return writeJSON(ctx, iris.StatusOK, admin.status())
 }
 
 func (admin *Admin) status() Status {
@@ -16,7 +16,7 @@
 		Role:         role,
 		Ready:        admin.config.Process.Ready(),
 		Version:      store.Current().Version(),
-		ConfirmedAge: ageText(store.ConfirmedAge()),
+		ConfirmedAge: formatAge(store.ConfirmedAge()),
 		Isolated:     store.Isolated(),
 		Detail:       detail,
 	}
--- a/internal/daemon/entry/bench_test.go
+++ b/internal/daemon/entry/bench_test.go
@@ -8,28 +8,28 @@
 	"jacinthfront.dev/jacinthfront/internal/flow/policy"
 )
 
-// BenchmarkRelay serves streamed answers of 100 tokens over pipes, the fake side
-// process and the caller included.
+// BenchmarkRelay serves streamed responses of 100 tokens over in-memory pipes. It
+// includes the cost of the fake side process and of the caller.
 func BenchmarkRelay(b *testing.B) {
-	world := newWorld(b)
+	harness := newHarness(b)
 	tokens := make([]string, 100)
 	for index := range tokens {
 		tokens[index] = " token"
 	}
-	world.set(act(script.started, chunks(0, tokens...), script.done))
-	world.config.NewPolicy = func(_ string, _ bool, health policy.Health) policy.Policy {
+	harness.setScripts(runScript(eventSender.started, chunks(0, tokens...), eventSender.done))
+	harness.config.NewPolicy = func(_ string, _ bool, health policy.Health) policy.Policy {
 		router, err := policy.New(policy.Config{Health: health, Start: time.Now()})
 		if err != nil {
 			b.Fatal(err)
 		}
 		return router
 	}
-	world.start()
+	harness.start()
 	b.ReportAllocs()
 	for b.Loop() {
-		if got := world.chat(`,"stream":true`); got.status != http.StatusOK {
-			b.Fatalf("answer %+v", got)
+		if got := harness.chat(`,"stream":true`); got.status != http.StatusOK {
+			b.Fatalf("response %+v", got)
 		}
 	}
-	_ = world.entry.server.Close()
+	_ = harness.entry.server.Close()
 }
--- a/internal/daemon/entry/caller.go
+++ b/internal/daemon/entry/caller.go
@@ -12,8 +12,8 @@
 	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// authenticate finds the caller's organisation. On open routes the key may be
-// missing.
+// authenticate finds the organisation of the caller's key. On open routes the key
+// may be missing.
 func (exchange *exchange) authenticate(open bool) *fault.Fault {
 	values := exchange.request.Header.Values("Authorization")
 	if len(values) == 0 && open {
@@ -27,7 +27,7 @@
 		return fault.New(fault.Unauthenticated, fault.NotRun, "send exactly one header Authorization: Bearer KEY")
 	}
 	scheme, key, _ := strings.Cut(values[0], " ")
-	if !strings.EqualFold(scheme, "Bearer") || !wellFormed(key) {
+	if !strings.EqualFold(scheme, "Bearer") || !isWellFormedKey(key) {
 		return fault.New(fault.Unauthenticated, fault.NotRun, "the header Authorization is malformed; send Bearer and a key as it was issued")
 	}
 	spec, err := exchange.entry.config.Authenticate(exchange.config, key)
@@ -42,10 +42,11 @@
 	return nil
 }
 
-// resolveAdapter finds adapter or adapter@version. Another organisation's
-// adapter gets the same answer as an unknown one.
+// resolveAdapter resolves ADAPTER or ADAPTER@VERSION. Another organisation's
+// adapter gets the same error as an unknown one, so that callers cannot find out
+// whether it exists.
 func (exchange *exchange) resolveAdapter(name string) *fault.Fault {
-	adapter, version, ok := lookUp(exchange.config, name)
+	adapter, version, ok := lookUpAdapter(exchange.config, name)
 	if !ok || adapter.Service != exchange.route.Service || !exchange.mayUse(adapter) {
 		return fault.New(fault.UnknownAdapter, fault.NotRun,
 			"no such adapter or version is served here for this key; GET /v1/models lists those that are")
@@ -58,10 +59,10 @@
 	return adapter.Organisation == "" || adapter.Organisation == exchange.organisation.Name
 }
 
-// readBody reads the whole body within its limits.
+// readBody reads the whole body within the limits on its size and time.
 func (exchange *exchange) readBody() ([]byte, *fault.Fault) {
 	limits := exchange.entry.config.Limits
-	// The deadline for the body was set when the exchange began.
+	// newExchange has set the read deadline for the body.
 	body, err := io.ReadAll(io.LimitReader(exchange.request.Body, limits.MaxBodyBytes+1))
 	var timeout net.Error
 	switch {
@@ -72,9 +73,9 @@
 	case int64(len(body)) > limits.MaxBodyBytes:
 		return nil, fault.New(fault.BodyTooLarge, fault.NotRun, "the body exceeds %d bytes; send a shorter one", limits.MaxBodyBytes)
 	}
-	_ = http.NewResponseController(exchange.naive).SetReadDeadline(time.Time{})
-	if holdsKeyJSON(body) || holdsKeyEncoded(string(body)) {
-		return nil, keyInRequest("body")
+	_ = http.NewResponseController(exchange.rawWriter).SetReadDeadline(time.Time{})
+	if containsKeyInJSON(body) || containsEncodedKey(string(body)) {
+		return nil, keyInRequestFault("body")
 	}
 	return body, nil
 }
--- a/internal/daemon/entry/choose.go
+++ b/internal/daemon/entry/choose.go
@@ -14,11 +14,11 @@
 	"jacinthfront.dev/jacinthfront/internal/flow/ring"
 )
 
-// nextAttempt chooses the upstream of the next attempt.
+// nextAttempt chooses and records the upstream of the next attempt.
 func (job *job) nextAttempt(number uint32) (*attempt, *fault.Fault) {
 	entry := job.exchange.entry
-	// An upstream whose side process vanishes from the instance list between
-	// two refreshes is chosen once and then avoided.
+	// A chosen upstream may have left the instance list since the last refresh. It
+	// is then avoided in the next choice.
 	for range entry.config.Limits.MaxAttempts {
 		decision, ok := job.choose()
 		if !ok {
@@ -29,26 +29,26 @@
 		if !ok {
 			job.service.policy.RequestEnded(decision.Upstream)
 			job.tried = append(job.tried, decision.Upstream)
-			job.rank++
+			job.rendezvousRank++
 			continue
 		}
-		job.place(decision.Upstream)
+		job.recordUpstream(decision.Upstream)
 		job.logDecision(&decision, number)
 		return &attempt{
 			job:         job,
 			number:      number,
 			upstream:    decision.Upstream,
 			address:     instance.Address,
-			incarnation: job.expected(&decision),
-			from:        job.next,
+			incarnation: job.expectedIncarnation(&decision),
+			resumeFrom:  job.nextToken,
 		}, nil
 	}
 	return nil, noUpstream(job.service.name)
 }
 
-// expected returns the incarnation that the attempt is bound to. Work that may
-// run twice accepts any.
-func (job *job) expected(decision *policy.Decision) uint64 {
+// expectedIncarnation returns the incarnation of the side process that the
+// attempt is bound to, or 0 for any. Work that may run twice accepts any.
+func (job *job) expectedIncarnation(decision *policy.Decision) uint64 {
 	if job.idempotent() {
 		return 0
 	}
@@ -58,12 +58,12 @@
 func (job *job) choose() (policy.Decision, bool) {
 	now := time.Now()
 	job.routing.Avoid = job.tried
-	if len(job.claim) > 0 {
-		return job.chooseByClaim(now)
+	if len(job.idempotencyKeyHash) > 0 {
+		return job.chooseByIdempotencyKey(now)
 	}
-	if job.resumeAt != "" {
+	if job.resumeUpstream != "" {
 		pinned := job.routing
-		pinned.RequiredUpstream, pinned.Avoid = job.resumeAt, nil
+		pinned.RequiredUpstream, pinned.Avoid = job.resumeUpstream, nil
 		if decision, ok := job.service.policy.Choose(now, pinned); ok {
 			return decision, true
 		}
@@ -71,20 +71,20 @@
 	return job.service.policy.Choose(now, job.routing)
 }
 
-// chooseByClaim takes the first usable upstream in the rendezvous order of the
-// partition of the Idempotency-Key, so that copies of a request meet. The order
-// is that of the partition and not of the key, because whoever claims a key
-// reads the partition's whole stream.
-func (job *job) chooseByClaim(now time.Time) (policy.Decision, bool) {
+// chooseByIdempotencyKey takes the first usable upstream in the rendezvous order
+// of the key's partition, so that copies of a request reach the same side
+// process. The order is by partition and not by key, because a side process that
+// claims a key reads the partition's whole stream.
+func (job *job) chooseByIdempotencyKey(now time.Time) (policy.Decision, bool) {
 	var ids []string
 	for _, spec := range job.service.specs {
 		if spec.Half.CompatibleWith(job.routing.Half) {
 			ids = append(ids, spec.ID)
 		}
 	}
-	partition := []byte(dedup.StreamName(dedup.PartitionOf(job.claim, dedup.DefaultPartitions)))
-	for ; ; job.rank++ {
-		index := ring.Rendezvous(partition, ids, job.rank)
+	partition := []byte(dedup.StreamName(dedup.PartitionOf(job.idempotencyKeyHash, dedup.DefaultPartitions)))
+	for ; ; job.rendezvousRank++ {
+		index := ring.Rendezvous(partition, ids, job.rendezvousRank)
 		if index < 0 {
 			return policy.Decision{}, false
 		}
@@ -96,31 +96,32 @@
 	}
 }
 
-// place notes where the request goes. The first upstream becomes a part of the
-// request id, so that any instance can ask it for the outcome.
-func (job *job) place(upstream string) {
+// recordUpstream records the upstream that the request is sent to. The tag of the
+// first upstream becomes a part of the request id, so that any instance can ask
+// this upstream for the outcome.
+func (job *job) recordUpstream(upstream string) {
 	exchange := job.exchange
-	if !exchange.placed {
-		exchange.placed = true
-		exchange.id += "-" + placeMark(upstream)
+	if !exchange.idHasUpstream {
+		exchange.idHasUpstream = true
+		exchange.id += "-" + upstreamTag(upstream)
 	}
 	if !job.idempotent() {
-		exchange.entry.places.add(exchange.id, upstream)
+		exchange.entry.history.add(exchange.id, upstream)
 	}
 }
 
-// placeMark returns the part of a request id that stands for an upstream.
-func placeMark(upstream string) string {
+// upstreamTag returns the part of a request id that identifies an upstream.
+func upstreamTag(upstream string) string {
 	return fmt.Sprintf("%08x", uint32(xxh3.HashString(upstream)))
 }
 
-// alternatives writes the scores of a decision to the log.
-type alternatives []policy.Candidate
+// candidateScores writes the scores of a decision's candidates to the log.
+type candidateScores []policy.Candidate
 
 // MarshalLogArray implements zapcore.ArrayMarshaler.
-func (alternatives alternatives) MarshalLogArray(encoder zapcore.ArrayEncoder) error {
-	for _, alternative := range alternatives {
-		encoder.AppendString(fmt.Sprintf("%s=%.1f", alternative.Upstream, alternative.Score))
+func (candidateScores candidateScores) MarshalLogArray(encoder zapcore.ArrayEncoder) error {
+	for _, candidate := range candidateScores {
+		encoder.AppendString(fmt.Sprintf("%s=%.1f", candidate.Upstream, candidate.Score))
 	}
 	return nil
 }
@@ -133,7 +134,7 @@
 		zap.Uint32("attempt", number),
 		zap.String("upstream", decision.Upstream),
 		zap.Stringer("reason", decision.Reason),
-		zap.Array("scores", alternatives(decision.Candidates())),
+		zap.Array("scores", candidateScores(decision.Candidates())),
 		zap.String("adapter", exchange.adapter),
 		zap.Uint32("version", exchange.version),
 		zap.String("organisation", exchange.organisation.Name),
--- a/internal/daemon/entry/claim.go
+++ b/internal/daemon/entry/claim.go
@@ -9,8 +9,9 @@
 // maxIdempotencyKey bounds the header Idempotency-Key in bytes.
 const maxIdempotencyKey = 256
 
-// claimKey binds the job to the caller's Idempotency-Key, if there is one.
-func (job *job) claimKey(body []byte) *fault.Fault {
+// bindIdempotencyKey sets the job's idempotency key hash and request digest if
+// the caller has sent an Idempotency-Key.
+func (job *job) bindIdempotencyKey(body []byte) *fault.Fault {
 	exchange := job.exchange
 	values := exchange.request.Header.Values("Idempotency-Key")
 	if len(values) == 0 {
@@ -22,12 +23,13 @@
 	if exchange.organisation.Name == "" {
 		return badRequest("the header Idempotency-Key needs a caller's key; send one in the header Authorization")
 	}
-	job.claim = digest(exchange.organisation.Name, values[0])
+	job.idempotencyKeyHash = digest(exchange.organisation.Name, values[0])
 	job.template.RequestDigest = digest(exchange.request.Method, exchange.request.URL.RequestURI(), string(body))
 	return nil
 }
 
-// digest hashes parts so that no two lists of parts give the same input.
+// digest hashes the parts. Each part is hashed on its own first, so that no two
+// lists of parts give the same input.
 func digest(parts ...string) []byte {
 	hash := sha256.New()
 	for _, part := range parts {
--- a/internal/daemon/entry/claim_test.go
+++ b/internal/daemon/entry/claim_test.go
@@ -10,9 +10,10 @@
 	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// TestClaimsOfPartitionMeet guards against keys of one partition at several
-// side processes, each of which would read the partition's whole stream.
-func TestClaimsOfPartitionMeet(t *testing.T) {
+// TestKeysOfPartitionShareUpstream guards against sending idempotency keys of one
+// partition to several side processes, each of which would read the whole stream
+// of the partition.
+func TestKeysOfPartitionShareUpstream(t *testing.T) {
 	chooser := policy.NewRoundRobin(policy.NoEjection{})
 	target := &service{name: "orders", policy: chooser}
 	var members []policy.Member
@@ -25,8 +26,8 @@
 	owners, used := map[int]string{}, map[string]bool{}
 	for index := range 2000 {
 		claim := digest("organisation", fmt.Sprint(index))
-		job := &job{service: target, claim: claim}
-		decision, ok := job.chooseByClaim(time.Now())
+		job := &job{service: target, idempotencyKeyHash: claim}
+		decision, ok := job.chooseByIdempotencyKey(time.Now())
 		if !ok {
 			t.Fatal("no upstream")
 		}
--- a/internal/daemon/entry/completions.go
+++ b/internal/daemon/entry/completions.go
@@ -6,14 +6,15 @@
 	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// fallbackMaxTokens applies where neither request nor route sets a limit.
+// fallbackMaxTokens is the limit where neither the request nor the route sets
+// one.
 const fallbackMaxTokens conf.Tokens = 256
 
 func (exchange *exchange) serveChat() *fault.Fault { return exchange.serveModel(true) }
 
 func (exchange *exchange) serveCompletion() *fault.Fault { return exchange.serveModel(false) }
 
-// serveModel answers a chat or text completion.
+// serveModel serves a chat or text completion.
 func (exchange *exchange) serveModel(chat bool) *fault.Fault {
 	if fault := exchange.resolveModelRoute(); fault != nil {
 		return fault
@@ -29,15 +30,15 @@
 	if fault := exchange.resolveAdapter(prompt.model); fault != nil {
 		return fault
 	}
-	job, fault := exchange.modelJob(prompt, body, chat)
+	job, fault := exchange.newModelJob(prompt, body, chat)
 	if fault != nil {
 		return fault
 	}
 	return job.serve()
 }
 
-func (exchange *exchange) modelJob(prompt *prompt, body []byte, chat bool) (*job, *fault.Fault) {
-	var sink sink = &wholeSink{exchange: exchange, chat: chat}
+func (exchange *exchange) newModelJob(prompt *prompt, body []byte, chat bool) (*job, *fault.Fault) {
+	var sink sink = &bufferedSink{exchange: exchange, chat: chat}
 	if prompt.stream {
 		sink = &streamSink{exchange: exchange, chat: chat, includeUsage: prompt.includeUsage}
 	}
@@ -51,7 +52,7 @@
 	if prompt.maxTokens == 0 {
 		prompt.maxTokens = fallbackMaxTokens
 	}
-	job.setTokens(prompt.tokens(), prompt.maxTokens)
+	job.setTokens(prompt.estimateTokens(), prompt.maxTokens)
 	job.routing.AdapterHash = ring.AdapterHash(exchange.adapter, exchange.version)
 	job.routing.PrefixHash = prompt.prefixHash(job.routing.AdapterHash)
 	template := job.template
@@ -63,5 +64,5 @@
 	if template.Body, fault = prompt.encode(exchange.adapter, exchange.version); fault != nil {
 		return nil, fault
 	}
-	return job, job.claimKey(body)
+	return job, job.bindIdempotencyKey(body)
 }
--- a/internal/daemon/entry/config.go
+++ b/internal/daemon/entry/config.go
@@ -11,24 +11,25 @@
 	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// Limits bounds what callers may send and for how long.
+// Limits bounds what callers may send and how long requests may take.
 type Limits struct {
-	// MaxBodyBytes and Headers are in bytes.
+	// MaxBodyBytes and MaxHeaderBytes bound the size of a request.
 	MaxBodyBytes   int64
 	MaxHeaderBytes int
-	// HeaderTimeout and BodyTime bound the time in which they must arrive.
+	// HeaderTimeout and BodyTimeout bound the time in which the headers and the body
+	// must arrive.
 	HeaderTimeout time.Duration
 	BodyTimeout   time.Duration
-	// MaxInFlight is the number of requests served at the same time.
+	// MaxInFlight is the number of requests that may be served at the same time.
 	MaxInFlight int
-	// MaxAttempts is the number of upstreams that one request is sent to.
+	// MaxAttempts bounds the attempts of one request, handbacks not counted.
 	MaxAttempts int
-	// RequestTimeout is the longest that a request may take.
+	// RequestTimeout is the longest time that a request may take.
 	RequestTimeout time.Duration
-	// DrainTimeout bounds a planned stop. It must exceed Request.
+	// DrainTimeout bounds a planned stop. It must exceed RequestTimeout.
 	DrainTimeout time.Duration
-	// DrainDelay is the time between becoming unready and closing the
-	// listener, in which the load balancer stops sending requests.
+	// DrainDelay is the time between becoming unready and closing the listener, in
+	// which the load balancer stops sending requests.
 	DrainDelay time.Duration
 }
 
@@ -37,16 +38,18 @@
 	ConfigSource   ConfigSource
 	InstanceSource InstanceSource
 	SideDialer     SideDialer
-	// Authenticate returns the configured key that was presented.
+	// Authenticate returns the configured key that matches the presented one, or an
+	// error.
 	Authenticate func(config *conf.Config, key string) (conf.KeySpec, error)
-	// RetryBudget defaults to one that permits every retry.
+	// RetryBudget defaults to one that allows every retry.
 	RetryBudget RetryBudget
 	// Admission defaults to one that admits all requests.
 	Admission Admission
-	// NewHealth returns the health record of a service. The default ejects
-	// nothing.
+	// NewHealth returns the record of the results of a service's upstreams. The
+	// default ejects no upstream.
 	NewHealth func(service string) Health
-	// NewPolicy returns the policy of a service.
+	// NewPolicy returns the routing policy of a service. plain tells whether it is a
+	// plain service, without adapters.
 	NewPolicy func(service string, plain bool, health policy.Health) policy.Policy
 	// Logger defaults to none.
 	Logger *zap.Logger
@@ -55,15 +58,16 @@
 	// NewRequestID returns a request id. The default is a random UUID.
 	NewRequestID func() string
 	Limits       Limits
-	// RefreshInterval is the interval at which configuration and instance list are
-	// compared with the policies' members.
+	// RefreshInterval is the interval at which the members of the policies are
+	// updated from the configuration and the instance list.
 	RefreshInterval time.Duration
-	// ProbeAfter is the silence of a running attempt after which its side
-	// process is asked for a sign of life, and the time that it has to answer.
+	// ProbeAfter is the time without an event after which the side process of a
+	// running attempt is probed. The probe may take twice as long if the work may
+	// run twice, otherwise ten times as long.
 	ProbeAfter time.Duration
 }
 
-// DefaultLimits returns the limits of section 12 of the design page.
+// DefaultLimits returns the limits given in section 12 of the design page.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxBodyBytes:   1 << 20,
@@ -78,21 +82,21 @@
 	}
 }
 
-func (config *Config) complete() error {
+func (config *Config) setDefaults() error {
 	if config.ConfigSource == nil || config.InstanceSource == nil || config.Authenticate == nil || config.SideDialer == nil || config.NewPolicy == nil {
-		return fault.New(fault.Invalid, fault.NotRun, "entry needs Configs, Roster, Authenticate, Sides and NewPolicy; set them all")
+		return fault.New(fault.Invalid, fault.NotRun, "entry needs ConfigSource, InstanceSource, Authenticate, SideDialer and NewPolicy; set them all")
 	}
 	if config.Limits == (Limits{}) {
 		config.Limits = DefaultLimits()
 	}
-	if err := config.Limits.check(); err != nil {
+	if err := config.Limits.validate(); err != nil {
 		return err
 	}
 	if config.RetryBudget == nil {
-		config.RetryBudget = freeBudget{}
+		config.RetryBudget = unlimitedRetries{}
 	}
 	if config.Admission == nil {
-		config.Admission = openAdmission{}
+		config.Admission = admitAll{}
 	}
 	if config.NewHealth == nil {
 		config.NewHealth = func(string) Health { return noHealth{} }
@@ -115,7 +119,7 @@
 	return nil
 }
 
-func (limits *Limits) check() error {
+func (limits *Limits) validate() error {
 	positive := limits.MaxBodyBytes > 0 && limits.MaxHeaderBytes > 0 && limits.HeaderTimeout > 0 && limits.BodyTimeout > 0 &&
 		limits.MaxInFlight > 0 && limits.MaxAttempts > 0 && limits.RequestTimeout > 0 && limits.DrainDelay >= 0
 	if !positive {
--- a/internal/daemon/entry/entry.go
+++ b/internal/daemon/entry/entry.go
@@ -12,15 +12,15 @@
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 )
 
-// Entry is an entry instance.
+// Entry is an entry instance, which serves the HTTP interface of callers.
 type Entry struct {
 	config   Config
 	server   *http.Server
-	fleet    *fleet
-	places   *memory
+	services *serviceTable
+	history  *history
 	inFlight atomic.Int64
 	draining atomic.Bool
-	// background counts cancellations that outlive their requests.
+	// background counts the cancel calls that outlive their requests.
 	background sync.WaitGroup
 	// drained is closed when Drain has ended.
 	drained chan struct{}
@@ -28,10 +28,10 @@
 
 // New returns an Entry.
 func New(config Config) (*Entry, error) {
-	if err := config.complete(); err != nil {
+	if err := config.setDefaults(); err != nil {
 		return nil, err
 	}
-	entry := &Entry{config: config, fleet: newFleet(&config), places: newMemory(memorySize), drained: make(chan struct{})}
+	entry := &Entry{config: config, services: newServiceTable(&config), history: newHistory(historySize), drained: make(chan struct{})}
 	handler, err := entry.handler()
 	if err != nil {
 		return nil, err
@@ -42,7 +42,7 @@
 		IdleTimeout:       2 * time.Minute,
 		MaxHeaderBytes:    config.Limits.MaxHeaderBytes,
 	}
-	entry.fleet.update()
+	entry.services.update()
 	return entry, nil
 }
 
@@ -50,7 +50,7 @@
 func (entry *Entry) Serve(ctx context.Context, listener net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go entry.fleet.run(ctx, entry.config.RefreshInterval)
+	go entry.services.run(ctx, entry.config.RefreshInterval)
 	stop := context.AfterFunc(ctx, func() { _ = entry.server.Close() })
 	defer stop()
 	err := entry.server.Serve(listener)
@@ -66,15 +66,16 @@
 	return nil
 }
 
-// Ready reports whether the load balancer may send requests: the configuration
-// has been read, and every service has an upstream that is not leaving.
+// Ready reports whether the load balancer may send requests: the instance is not
+// draining, the configuration has been read, and every service has had an
+// upstream that is not draining.
 func (entry *Entry) Ready() bool {
-	return !entry.draining.Load() && entry.config.ConfigSource.Current().Version() > 0 && entry.fleet.populated()
+	return !entry.draining.Load() && entry.config.ConfigSource.Current().Version() > 0 && entry.services.allHadUpstream()
 }
 
-// Drain makes the instance unready, keeps serving until the load balancer has
-// noticed, and then waits for the requests in flight, within the drain limit.
-// It is called once.
+// Drain makes the instance unready, keeps serving for DrainDelay while the load
+// balancer stops sending requests, and then waits for the requests in flight
+// until the drain timeout. It is called once.
 func (entry *Entry) Drain(ctx context.Context) error {
 	defer close(entry.drained)
 	ctx, cancel := context.WithTimeout(ctx, entry.config.Limits.DrainTimeout)
@@ -93,8 +94,8 @@
 	return err
 }
 
-// admit takes one of the places for requests in flight.
-func (entry *Entry) admit() *fault.Fault {
+// acquireInFlight counts a request in flight, or refuses it at the limit.
+func (entry *Entry) acquireInFlight() *fault.Fault {
 	if entry.inFlight.Add(1) > int64(entry.config.Limits.MaxInFlight) {
 		entry.inFlight.Add(-1)
 		entry.config.Counters.Add("refused-in-flight", 1)
@@ -104,4 +105,4 @@
 	return nil
 }
 
-func (entry *Entry) leave() { entry.inFlight.Add(-1) }
+func (entry *Entry) releaseInFlight() { entry.inFlight.Add(-1) }
--- a/internal/daemon/entry/entry_test.go
+++ b/internal/daemon/entry/entry_test.go
@@ -9,8 +9,8 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// TestAnswers guards against answers whose form is not the public API's or
-// which miss a part.
+// TestAnswers guards against responses that do not have the form of the public
+// API or lack a part.
 func TestAnswers(t *testing.T) {
 	text := `{"model":"oak@1","prompt":"hi"`
 	tests := []struct {
@@ -31,10 +31,10 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			run(t, nil, func(world *world) {
-				got := world.send(world.request(world.t.Context(), test.method, test.path, test.key, test.body))
+			runTest(t, nil, func(harness *harness) {
+				got := harness.send(harness.request(harness.t.Context(), test.method, test.path, test.key, test.body))
 				if got.err != nil || got.status != test.status || got.header.Get(headerRequestID) == "" {
-					t.Fatalf("answer %+v", got)
+					t.Fatalf("response %+v", got)
 				}
 				if diff := cmp.Diff(test.version, got.header.Get(headerVersion)); diff != "" {
 					t.Errorf("version (-want +got):\n%s", diff)
@@ -43,20 +43,20 @@
 				for _, part := range test.want {
 					_, after, found := strings.Cut(rest, part)
 					if !found {
-						t.Errorf("answer lacks %q at its place: %s", part, got.body)
+						t.Errorf("response lacks %q at its place: %s", part, got.body)
 					}
 					rest = after
 				}
 				if got.header.Get("Set-Cookie") != "" || strings.Contains(got.body, "oak@") && test.key == birchKey {
-					t.Errorf("answer shows what it must not: %+v", got)
+					t.Errorf("response shows a forbidden header or adapter: %+v", got)
 				}
 			})
 		})
 	}
 }
 
-// TestRunRequest guards against work that reaches the side process with another
-// path, adapter, class or cost than the caller's.
+// TestRunRequest guards against a request to the side process whose path,
+// adapter, class or cost differs from the caller's.
 func TestRunRequest(t *testing.T) {
 	type sent struct {
 		Method, Path, Body, Adapter string
@@ -77,11 +77,11 @@
 	}
 	for _, test := range tests {
 		t.Run(test.path, func(t *testing.T) {
-			run(t, nil, func(world *world) {
-				if got := world.post(test.path, ashKey, test.body); got.status != 200 {
-					t.Fatalf("answer %+v", got)
+			runTest(t, nil, func(harness *harness) {
+				if got := harness.post(test.path, ashKey, test.body); got.status != 200 {
+					t.Fatalf("response %+v", got)
 				}
-				runs, _ := world.attempts()
+				runs, _ := harness.received()
 				got := sent{
 					runs[0].GetMethod(), runs[0].GetPath(), string(runs[0].GetBody()), runs[0].GetAdapter(), runs[0].GetAdapterVersion(),
 					runs[0].GetClass(), runs[0].GetPromptTokens(), runs[0].GetMaxTokens(), runs[0].GetIdempotent(),
--- a/internal/daemon/entry/exchange.go
+++ b/internal/daemon/entry/exchange.go
@@ -14,60 +14,60 @@
 )
 
 const (
-	headerRequestID = "X-Request-Id"
-	headerAdapter   = "X-Adapter"
-	headerVersion   = "X-Adapter-Version"
-	contentType     = "Content-Type"
-	jsonType        = "application/json"
+	headerRequestID   = "X-Request-Id"
+	headerAdapter     = "X-Adapter"
+	headerVersion     = "X-Adapter-Version"
+	headerContentType = "Content-Type"
+	mediaTypeJSON     = "application/json"
 )
 
-// writeTime bounds one write to a caller. A caller that reads nothing for so
-// long is taken to be gone.
-const writeTime = 30 * time.Second
+// writeTimeout bounds one write to a caller. A caller that reads nothing for this
+// long is treated as disconnected.
+const writeTimeout = 30 * time.Second
 
-// exchange is one HTTP request of a caller and its answer.
+// exchange is one HTTP request of a caller and its response.
 type exchange struct {
-	entry   *Entry
-	writer  http.ResponseWriter
-	naive   http.ResponseWriter
-	request *http.Request
-	id      string
-	arrived time.Time
-	config  *conf.Config
+	entry     *Entry
+	writer    http.ResponseWriter
+	rawWriter http.ResponseWriter
+	request   *http.Request
+	id        string
+	arrived   time.Time
+	config    *conf.Config
 
 	organisation conf.OrganisationSpec
 	keyID        string
 	route        conf.RouteSpec
 	adapter      string
 	version      uint32
-	// begun says that the status line has been sent.
-	begun bool
-	// placed says that the id names the first upstream.
-	placed bool
+	// headerSent means that the status line and headers have been sent.
+	headerSent bool
+	// idHasUpstream means that the id ends in the tag of the first upstream.
+	idHasUpstream bool
 }
 
 func newExchange(entry *Entry, ctx iris.Context) *exchange {
 	control := http.NewResponseController(ctx.ResponseWriter().Naive())
-	// The deadline also bounds the time in which net/http reads the rest of a
-	// body that this instance refuses unread.
+	// The deadline also bounds the time in which net/http reads the rest of a body
+	// that is refused unread.
 	_ = control.SetReadDeadline(time.Now().Add(entry.config.Limits.BodyTimeout))
 	return &exchange{
-		entry:   entry,
-		writer:  ctx.ResponseWriter(),
-		naive:   ctx.ResponseWriter().Naive(),
-		request: ctx.Request(),
-		id:      entry.config.NewRequestID(),
-		arrived: time.Now(),
-		config:  entry.config.ConfigSource.Current(),
+		entry:     entry,
+		writer:    ctx.ResponseWriter(),
+		rawWriter: ctx.ResponseWriter().Naive(),
+		request:   ctx.Request(),
+		id:        entry.config.NewRequestID(),
+		arrived:   time.Now(),
+		config:    entry.config.ConfigSource.Current(),
 	}
 }
 
-// begin sends the status line with the headers that every answer carries.
-func (exchange *exchange) begin(status int, mediaType string) {
-	if exchange.begun {
+// writeHeader sends the status line and the headers that every response carries.
+func (exchange *exchange) writeHeader(status int, mediaType string) {
+	if exchange.headerSent {
 		return
 	}
-	exchange.begun = true
+	exchange.headerSent = true
 	header := exchange.writer.Header()
 	header.Set(headerRequestID, exchange.id)
 	if exchange.adapter != "" {
@@ -75,12 +75,12 @@
 		header.Set(headerVersion, strconv.FormatUint(uint64(exchange.version), 10))
 	}
 	if mediaType != "" {
-		header.Set(contentType, mediaType)
+		header.Set(headerContentType, mediaType)
 	}
 	exchange.writer.WriteHeader(status)
 }
 
-// errorBody is the JSON form of a refusal or failure.
+// errorBody is the JSON form of a fault.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -99,16 +99,16 @@
 		Kind:       err.Kind(),
 		Message:    err.Message(),
 		Ran:        err.Ran(),
-		RetryAfter: retrySeconds(err),
+		RetryAfter: retryAfterSeconds(err),
 		RequestID:  exchange.id,
 	}}
 }
 
-// writeFault answers with a fault. An answer that has begun is cut off, so that
+// writeFault responds with a fault. A response that has begun is aborted, so that
 // the caller does not take it for complete.
 func (exchange *exchange) writeFault(err *fault.Fault) {
 	exchange.entry.config.Counters.Add("fault-"+string(err.Kind()), 1)
-	if exchange.begun {
+	if exchange.headerSent {
 		panic(http.ErrAbortHandler)
 	}
 	body := exchange.describe(err)
@@ -123,23 +123,24 @@
 	if err != nil {
 		status, data = http.StatusInternalServerError, []byte("{}")
 	}
-	exchange.begin(status, jsonType)
+	exchange.writeHeader(status, mediaTypeJSON)
 	_ = exchange.write(data, false)
 }
 
-// write sends a part of the answer's body within writeTime.
+// write sends a part of the response body within writeTimeout.
 func (exchange *exchange) write(data []byte, flush bool) error {
-	control := http.NewResponseController(exchange.naive)
-	_ = control.SetWriteDeadline(time.Now().Add(writeTime))
+	control := http.NewResponseController(exchange.rawWriter)
+	_ = control.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := exchange.writer.Write(data); err != nil || !flush {
 		return err
 	}
 	return control.Flush()
 }
 
-// retrySeconds rounds up to whole seconds, as the header Retry-After takes
-// them. Faults that pass by themselves get at least one second.
-func retrySeconds(err *fault.Fault) int64 {
+// retryAfterSeconds returns the value of the header Retry-After, rounded up to
+// whole seconds, or 0 for no header. A request that did not run gets at least one
+// second if the cause may pass by itself.
+func retryAfterSeconds(err *fault.Fault) int64 {
 	if after := err.RetryAfter(); after > 0 {
 		return int64(math.Ceil(after.Seconds()))
 	}
--- a/internal/daemon/entry/world_test.go
+++ b/internal/daemon/entry/harness_test.go
@@ -29,7 +29,7 @@
 	birchKey = "jf_birch1_0123456789012345678901234567890123456789abc"
 )
 
-// pipes connects clients to servers by address without a network.
+// pipes connects clients to servers by address through in-memory pipes.
 type pipes struct {
 	mutex   sync.Mutex
 	servers map[string]func(net.Conn)
@@ -53,7 +53,7 @@
 	return near, nil
 }
 
-// Open implements Sides.
+// Open implements SideDialer.
 func (pipes *pipes) Open(_ context.Context, address string) (Conn, error) {
 	conn, err := pipes.dial(address)
 	if err != nil {
@@ -66,7 +66,7 @@
 
 func (conn testConn) Release() { _ = conn.Close() }
 
-// pipeListener is the listener of the entry instance.
+// pipeListener is the callers' listener of the entry instance.
 type pipeListener struct {
 	conns chan net.Conn
 	once  sync.Once
@@ -89,33 +89,34 @@
 
 func (listener *pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: "pipe"} }
 
-// world is an entry instance with fake side processes.
-type world struct {
-	t        testing.TB
-	entry    *Entry
-	config   *Config
-	pipes    *pipes
-	listener *pipeListener
-	client   *http.Client
-	sides    map[string]*side
-	logs     *observer.ObservedLogs
-	counts   *counts
-	isolated bool
-	leaving  map[string]bool
-	current  *conf.Config
+// harness is an entry instance with fake side processes, a caller and fakes of
+// its other dependencies.
+type harness struct {
+	t             testing.TB
+	entry         *Entry
+	config        *Config
+	pipes         *pipes
+	listener      *pipeListener
+	client        *http.Client
+	sideProcesses map[string]*fakeSide
+	logs          *observer.ObservedLogs
+	counters      *fakeCounters
+	isolated      bool
+	draining      map[string]bool
+	current       *conf.Config
 }
 
-func (world *world) Current() *conf.Config { return world.current }
-func (world *world) Isolated() bool        { return world.isolated }
-func (world *world) ObserveVersion(uint64) {}
-func (world *world) CountEntries() int     { return 1 }
+func (harness *harness) Current() *conf.Config { return harness.current }
+func (harness *harness) Isolated() bool        { return harness.isolated }
+func (harness *harness) ObserveVersion(uint64) {}
+func (harness *harness) CountEntries() int     { return 1 }
 
-// SideProcess implements Roster: upstreams listen at their ids.
-func (world *world) SideProcess(upstream string) (Instance, bool) {
-	return Instance{Address: upstream, Draining: world.leaving[upstream]}, true
+// SideProcess implements InstanceSource: the address of a side process is the id of its upstream.
+func (harness *harness) SideProcess(upstream string) (Instance, bool) {
+	return Instance{Address: upstream, Draining: harness.draining[upstream]}, true
 }
 
-// authenticate checks only the id of a key.
+// authenticate accepts a key whose id is configured, without checking its secret.
 func authenticate(config *conf.Config, key string) (conf.KeySpec, error) {
 	id, _, _ := strings.Cut(strings.TrimPrefix(key, keyPrefix), "_")
 	if spec, ok := config.Key(id); ok {
@@ -124,88 +125,88 @@
 	return conf.KeySpec{}, fault.New(fault.Unauthenticated, fault.NotRun, "unknown")
 }
 
-type counts struct {
+type fakeCounters struct {
 	mutex  sync.Mutex
 	values map[string]int64
 }
 
-func (counts *counts) Add(name string, delta int64) {
-	counts.mutex.Lock()
-	defer counts.mutex.Unlock()
-	counts.values[name] += delta
+func (fakeCounters *fakeCounters) Add(name string, delta int64) {
+	fakeCounters.mutex.Lock()
+	defer fakeCounters.mutex.Unlock()
+	fakeCounters.values[name] += delta
 }
 
-func (counts *counts) get(name string) int64 {
-	counts.mutex.Lock()
-	defer counts.mutex.Unlock()
-	return counts.values[name]
+func (fakeCounters *fakeCounters) get(name string) int64 {
+	fakeCounters.mutex.Lock()
+	defer fakeCounters.mutex.Unlock()
+	return fakeCounters.values[name]
 }
 
-// run runs test against an entry instance in virtual time.
-func run(t *testing.T, setup func(*world), test func(*world)) {
+// runTest runs a test against an entry instance in virtual time.
+func runTest(t *testing.T, setup func(*harness), test func(*harness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		world := newWorld(t)
+		harness := newHarness(t)
 		if setup != nil {
-			setup(world)
+			setup(harness)
 		}
-		world.start()
-		test(world)
-		world.client.CloseIdleConnections()
-		_ = world.entry.server.Close()
-		// Lets scripts that sleep come to their end.
+		harness.start()
+		test(harness)
+		harness.client.CloseIdleConnections()
+		_ = harness.entry.server.Close()
+		// Lets sleeping scripts end.
 		time.Sleep(2 * time.Hour)
 		synctest.Wait()
 	})
 }
 
-func newWorld(t testing.TB) *world {
+func newHarness(t testing.TB) *harness {
 	core, logs := observer.New(zapcore.InfoLevel)
-	world := &world{
+	harness := &harness{
 		t: t, pipes: &pipes{servers: map[string]func(net.Conn){}},
-		listener: &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})},
-		sides:    map[string]*side{}, logs: logs, leaving: map[string]bool{},
-		counts: &counts{values: map[string]int64{}}, current: testConfig(),
+		listener:      &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})},
+		sideProcesses: map[string]*fakeSide{}, logs: logs, draining: map[string]bool{},
+		counters: &fakeCounters{values: map[string]int64{}}, current: testConfig(),
 	}
-	for _, upstream := range world.current.Upstreams() {
-		world.sides[upstream.ID] = &side{incarnation: 7, run: []func(*wirepb.RunRequest, wirepb.DRPCSide_RunStream) error{answer}}
+	for _, upstream := range harness.current.Upstreams() {
+		harness.sideProcesses[upstream.ID] = &fakeSide{incarnation: 7, scripts: []func(*wirepb.RunRequest, wirepb.DRPCSide_RunStream) error{completeRun}}
 	}
-	world.config = &Config{
-		ConfigSource: world, InstanceSource: world, Authenticate: authenticate, SideDialer: world.pipes, Logger: zap.New(core), Counters: world.counts,
+	harness.config = &Config{
+		ConfigSource: harness, InstanceSource: harness, Authenticate: authenticate, SideDialer: harness.pipes, Logger: zap.New(core), Counters: harness.counters,
 		NewPolicy: func(_ string, _ bool, health policy.Health) policy.Policy { return policy.NewRoundRobin(health) },
 		Limits:    DefaultLimits(),
 	}
-	return world
+	return harness
 }
 
-func (world *world) start() {
-	for address, side := range world.sides {
-		world.pipes.listen(address, func(conn net.Conn) {
+func (harness *harness) start() {
+	for address, fakeSide := range harness.sideProcesses {
+		harness.pipes.listen(address, func(conn net.Conn) {
 			mux := drpcmux.New()
-			_ = wirepb.DRPCRegisterSide(mux, side)
+			_ = wirepb.DRPCRegisterSide(mux, fakeSide)
 			_ = drpcserver.New(mux).ServeOne(context.Background(), conn)
 		})
 	}
-	entry, err := New(*world.config)
+	entry, err := New(*harness.config)
 	if err != nil {
-		world.t.Fatal(err)
+		harness.t.Fatal(err)
 	}
-	world.entry = entry
-	go func() { _ = entry.Serve(world.t.Context(), world.listener) }()
-	world.client = &http.Client{Transport: &http.Transport{
+	harness.entry = entry
+	go func() { _ = entry.Serve(harness.t.Context(), harness.listener) }()
+	harness.client = &http.Client{Transport: &http.Transport{
 		DialContext: func(context.Context, string, string) (net.Conn, error) {
 			near, far := net.Pipe()
 			select {
-			case world.listener.conns <- far:
+			case harness.listener.conns <- far:
 				return near, nil
-			case <-world.listener.done:
+			case <-harness.listener.done:
 				return nil, net.ErrClosed
 			}
 		},
 	}}
 }
 
-// reply is what a caller received.
+// reply is the response that a caller received, or the error.
 type reply struct {
 	status int
 	header http.Header
@@ -213,10 +214,10 @@
 	err    error
 }
 
-func (world *world) request(ctx context.Context, method, path, key, body string, headers ...string) *http.Request {
+func (harness *harness) request(ctx context.Context, method, path, key, body string, headers ...string) *http.Request {
 	request, err := http.NewRequestWithContext(ctx, method, "http://entry"+path, strings.NewReader(body))
 	if err != nil {
-		world.t.Fatal(err)
+		harness.t.Fatal(err)
 	}
 	if key != "" {
 		request.Header.Set("Authorization", "Bearer "+key)
@@ -227,8 +228,8 @@
 	return request
 }
 
-func (world *world) send(request *http.Request) reply {
-	response, err := world.client.Do(request)
+func (harness *harness) send(request *http.Request) reply {
+	response, err := harness.client.Do(request)
 	if err != nil {
 		return reply{err: err}
 	}
@@ -237,13 +238,13 @@
 	return reply{status: response.StatusCode, header: response.Header, body: string(data), err: err}
 }
 
-func (world *world) post(path, key, body string, headers ...string) reply {
-	return world.send(world.request(world.t.Context(), http.MethodPost, path, key, body, headers...))
+func (harness *harness) post(path, key, body string, headers ...string) reply {
+	return harness.send(harness.request(harness.t.Context(), http.MethodPost, path, key, body, headers...))
 }
 
-// chat posts a chat completion of organisation ash.
-func (world *world) chat(fields string, headers ...string) reply {
-	return world.post("/v1/chat/completions", ashKey, `{"model":"oak","messages":[{"role":"user","content":"hello"}]`+fields+`}`, headers...)
+// chat posts a chat completion with a key of organisation ash.
+func (harness *harness) chat(fields string, headers ...string) reply {
+	return harness.post("/v1/chat/completions", ashKey, `{"model":"oak","messages":[{"role":"user","content":"hello"}]`+fields+`}`, headers...)
 }
 
 func testConfig() *conf.Config {
--- a/internal/daemon/entry/headers.go
+++ b/internal/daemon/entry/headers.go
@@ -6,22 +6,22 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// requestHeaders are the callers' headers that upstreams receive. Everything
-// else, and credentials in particular, stays here.
+// requestHeaders are the callers' headers that upstreams receive. All others,
+// credentials in particular, are dropped.
 var requestHeaders = []string{
 	"Accept", "Accept-Language", "Content-Language", "Content-Type", "If-Match", "If-Modified-Since",
 	"If-None-Match", "If-Unmodified-Since", "Range", "Traceparent", "Tracestate",
 }
 
-// answerHeaders are the upstreams' headers that callers receive.
-var answerHeaders = map[string]bool{
+// responseHeaders are the upstreams' headers that callers receive.
+var responseHeaders = map[string]bool{
 	"Accept-Ranges": true, "Allow": true, "Cache-Control": true, "Content-Disposition": true,
 	"Content-Language": true, "Content-Range": true, "Content-Type": true, "Etag": true, "Expires": true,
 	"Last-Modified": true, "Location": true, "Retry-After": true, "Vary": true, "X-Answer-Digest": true,
 }
 
-// forwarded returns the headers for the upstream.
-func forwarded(header http.Header) []*wirepb.Header {
+// forwardedHeaders returns the headers that the upstream receives.
+func forwardedHeaders(header http.Header) []*wirepb.Header {
 	var list []*wirepb.Header
 	for _, name := range requestHeaders {
 		for _, value := range header.Values(name) {
@@ -31,10 +31,10 @@
 	return list
 }
 
-// setAnswerHeaders copies the headers that callers may receive.
-func setAnswerHeaders(to http.Header, from []*wirepb.Header) {
+// copyResponseHeaders copies the headers that callers may receive.
+func copyResponseHeaders(to http.Header, from []*wirepb.Header) {
 	for _, header := range from {
-		if name := http.CanonicalHeaderKey(header.GetName()); answerHeaders[name] {
+		if name := http.CanonicalHeaderKey(header.GetName()); responseHeaders[name] {
 			to.Add(name, header.GetValue())
 		}
 	}
--- a/internal/daemon/entry/http.go
+++ b/internal/daemon/entry/http.go
@@ -9,11 +9,11 @@
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 )
 
-// serve handles one exchange. A returned fault is written as the answer unless
-// the answer has begun.
-type serve func(*exchange) *fault.Fault
+// handlerFunc serves one exchange. A returned fault becomes the response, or
+// aborts a response that has begun.
+type handlerFunc func(*exchange) *fault.Fault
 
-// handler returns the HTTP interface of callers.
+// handler returns the HTTP handler for callers.
 func (entry *Entry) handler() (http.Handler, error) {
 	app := iris.New()
 	app.Logger().SetLevel("disable")
@@ -30,36 +30,36 @@
 	}
 	app.Get("/v1/requests/{id}", entry.wrap((*exchange).serveOutcome))
 	app.Any("/services/{path:path}", entry.wrap((*exchange).servePlain))
-	app.Any("/", entry.wrap((*exchange).serveNothing))
-	app.Any("/{path:path}", entry.wrap((*exchange).serveNothing))
+	app.Any("/", entry.wrap((*exchange).serveUnknownPath))
+	app.Any("/{path:path}", entry.wrap((*exchange).serveUnknownPath))
 	if err := app.Build(); err != nil {
 		return nil, fault.New(fault.Internal, fault.NotRun, "the HTTP interface does not build: %v; report it", err)
 	}
 	return app, nil
 }
 
-func (entry *Entry) wrap(serve serve) iris.Handler {
+func (entry *Entry) wrap(serve handlerFunc) iris.Handler {
 	return func(ctx iris.Context) {
 		exchange := newExchange(entry, ctx)
-		if fault := exchange.guarded(serve); fault != nil {
+		if fault := exchange.checkAndServe(serve); fault != nil {
 			exchange.writeFault(fault)
 		}
 	}
 }
 
-func (exchange *exchange) guarded(serve serve) *fault.Fault {
-	if fault := exchange.entry.admit(); fault != nil {
+func (exchange *exchange) checkAndServe(serve handlerFunc) *fault.Fault {
+	if fault := exchange.entry.acquireInFlight(); fault != nil {
 		return fault
 	}
-	defer exchange.entry.leave()
-	if fault := exchange.checkTransport(); fault != nil {
+	defer exchange.entry.releaseInFlight()
+	if fault := exchange.checkHeadersAndURL(); fault != nil {
 		return fault
 	}
 	return serve(exchange)
 }
 
-// serveNothing answers what no other handler does.
-func (exchange *exchange) serveNothing() *fault.Fault {
+// serveUnknownPath responds to requests that no other handler takes.
+func (exchange *exchange) serveUnknownPath() *fault.Fault {
 	for suffix, method := range map[string]string{
 		"/v1/chat/completions": http.MethodPost, "/v1/completions": http.MethodPost, "/v1/models": http.MethodGet,
 	} {
@@ -72,7 +72,7 @@
 		"nothing is served at this path; use /v1/chat/completions, /v1/completions, /v1/models, /routes/ROUTE/v1/... or /services/SERVICE/...")
 }
 
-// routeName returns the route that the path names.
+// routeName returns the name of the route in the path, or "default".
 func (exchange *exchange) routeName() string {
 	rest, named := strings.CutPrefix(exchange.request.URL.Path, "/routes/")
 	if !named {
--- a/internal/daemon/entry/job.go
+++ b/internal/daemon/entry/job.go
@@ -10,41 +10,45 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// job is the work of one request, independent of the attempts made at it.
+// job is the work of one request, independent of its attempts.
 type job struct {
 	exchange *exchange
-	// ready is when the request was read, from which its wait counts.
-	ready   time.Time
-	service *service
-	sink    sink
-	// template is the message for the side process, but for what differs from
-	// one attempt to the next.
+	// waitStart is the time at which the request had been read. The wait for
+	// dispatch counts from then.
+	waitStart time.Time
+	service   *service
+	sink      sink
+	// template is the message to the side process without the fields that differ
+	// between attempts.
 	template *wirepb.RunRequest
 	routing  policy.Request
-	// claim is the hash of the caller's Idempotency-Key, or empty.
-	claim []byte
-	// next is the index of the first token that the caller has not received.
-	next int64
+	// idempotencyKeyHash is the hash of the organisation and the caller's
+	// Idempotency-Key, or empty.
+	idempotencyKeyHash []byte
+	// nextToken is the index of the first token that the caller has not received.
+	nextToken int64
 	// tried lists the upstreams of earlier attempts.
 	tried []string
-	// rank is the place in the rendezvous order that a claim has reached.
-	rank int
-	// resumeAt is the upstream that may still hold the broken answer.
-	resumeAt string
-	// doubtful says that an earlier attempt may have run.
-	doubtful  bool
-	retries   int
-	handbacks int
+	// rendezvousRank is the position reached in the rendezvous order of the
+	// Idempotency-Key's partition.
+	rendezvousRank int
+	// resumeUpstream is the upstream that may be able to resume the interrupted
+	// response, or empty.
+	resumeUpstream string
+	// mayHaveRun means that an earlier attempt may have run.
+	mayHaveRun bool
+	retries    int
+	handbacks  int
 }
 
-// newJob returns a job for the exchange, whose caller and route are known.
+// newJob returns a job for an exchange whose caller and route are known.
 func newJob(exchange *exchange, sink sink) (*job, *fault.Fault) {
-	service, ok := exchange.entry.fleet.service(exchange.route.Service)
+	service, ok := exchange.entry.services.service(exchange.route.Service)
 	if !ok {
 		return nil, noUpstream(exchange.route.Service)
 	}
 	spec := exchange.route
-	job := &job{exchange: exchange, ready: time.Now(), service: service, sink: sink}
+	job := &job{exchange: exchange, waitStart: time.Now(), service: service, sink: sink}
 	job.routing = policy.Request{Half: exchange.organisation.Half}
 	job.template = &wirepb.RunRequest{
 		ConfigVersion:  exchange.config.Version(),
@@ -55,13 +59,16 @@
 		Adapter:        exchange.adapter,
 		AdapterVersion: exchange.version,
 		Idempotent:     spec.Idempotent,
-		Headers:        forwarded(exchange.request.Header),
+		Headers:        forwardedHeaders(exchange.request.Header),
 	}
 	return job, nil
 }
 
-// idempotent reports whether the work may run twice.
-func (job *job) idempotent() bool { return job.template.GetIdempotent() && len(job.claim) == 0 }
+// idempotent reports whether the work may run twice. A request with an
+// Idempotency-Key may not.
+func (job *job) idempotent() bool {
+	return job.template.GetIdempotent() && len(job.idempotencyKeyHash) == 0
+}
 
 func noUpstream(service string) *fault.Fault {
 	return fault.New(fault.NoUpstream, fault.NotRun, "no upstream of service %s is usable; come back later", service)
@@ -82,7 +89,7 @@
 		PromptTokens:       job.template.PromptTokens,
 		MaxTokens:          job.template.MaxTokens,
 		Idempotent:         job.idempotent(),
-		IdempotencyKeyHash: job.claim,
+		IdempotencyKeyHash: job.idempotencyKeyHash,
 		RequestDigest:      job.template.RequestDigest,
 		Method:             job.template.Method,
 		Path:               job.template.Path,
@@ -90,9 +97,9 @@
 		Body:               job.template.Body,
 		Stream:             job.template.Stream,
 		PrefixHash:         job.template.PrefixHash,
-		ResumeFrom:         job.next,
+		ResumeFrom:         job.nextToken,
 		Incarnation:        incarnation,
-		WaitBudgetUs:       job.waitLeft().Microseconds(),
+		WaitBudgetUs:       job.remainingWait().Microseconds(),
 	}
 	if deadline, ok := ctx.Deadline(); ok {
 		request.TimeBudgetUs = time.Until(deadline).Microseconds()
@@ -100,16 +107,17 @@
 	return request
 }
 
-// waitLeft returns how long the request may still wait for its dispatch.
-func (job *job) waitLeft() time.Duration {
-	longest := job.exchange.route.MaxWait
-	if longest <= 0 {
-		longest = job.exchange.entry.config.Limits.RequestTimeout
+// remainingWait returns how long the request may still wait for dispatch.
+func (job *job) remainingWait() time.Duration {
+	maxWait := job.exchange.route.MaxWait
+	if maxWait <= 0 {
+		maxWait = job.exchange.entry.config.Limits.RequestTimeout
 	}
-	return longest - time.Since(job.ready)
+	return maxWait - time.Since(job.waitStart)
 }
 
-// setTokens sets what the work costs and what routing needs to know of it.
+// setTokens sets the token counts that the request is charged for and that
+// routing uses.
 func (job *job) setTokens(prompt, limit conf.Tokens) {
 	job.template.PromptTokens, job.template.MaxTokens = int64(prompt), int64(limit)
 	job.routing.PromptTokens = prompt
--- a/internal/daemon/entry/keyscan.go
+++ b/internal/daemon/entry/keyscan.go
@@ -11,41 +11,41 @@
 
 const keyPrefix = "jf_"
 
-// secretLength is the least length of a secret: 32 bytes in unpadded base64.
-const secretLength = 43
+// minSecretLength is the least length of a secret: 32 bytes in unpadded base64.
+const minSecretLength = 43
 
-// wellFormed reports whether text has the form jf_<id>_<secret>.
-func wellFormed(text string) bool {
+// isWellFormedKey reports whether text has the form jf_<id>_<secret>.
+func isWellFormedKey(text string) bool {
 	rest, ok := strings.CutPrefix(text, keyPrefix)
 	return ok && keyLength(rest) == len(rest)
 }
 
-// keyLength returns the length of the id and secret at the start of text, or 0
-// when it does not start with them.
+// keyLength returns the length of the id and secret at the start of text, or 0 if
+// text does not start with them.
 func keyLength[T string | []byte](text T) int {
 	id := 0
-	for id < len(text) && text[id] != '_' && keyByte(text[id]) {
+	for id < len(text) && text[id] != '_' && isKeyByte(text[id]) {
 		id++
 	}
 	if id == 0 || id == len(text) || text[id] != '_' {
 		return 0
 	}
 	end := id + 1
-	for end < len(text) && keyByte(text[end]) {
+	for end < len(text) && isKeyByte(text[end]) {
 		end++
 	}
-	if end-id-1 < secretLength {
+	if end-id-1 < minSecretLength {
 		return 0
 	}
 	return end
 }
 
-func keyByte(char byte) bool {
+func isKeyByte(char byte) bool {
 	return char >= '0' && char <= '9' || char >= 'a' && char <= 'z' || char >= 'A' && char <= 'Z' || char == '-' || char == '_'
 }
 
-// holdsKey reports whether something of the form of a key occurs in text.
-func holdsKey(text []byte) bool {
+// containsKey reports whether text contains a substring of the form of a key.
+func containsKey(text []byte) bool {
 	for {
 		at := bytes.Index(text, []byte(keyPrefix))
 		if at < 0 {
@@ -58,34 +58,35 @@
 	}
 }
 
-// encodings bounds how often a key may be percent-encoded over.
-const encodings = 3
+// maxDecodings bounds the layers of percent encoding that are decoded in the
+// search for keys.
+const maxDecodings = 3
 
-// holdsKeyEncoded also finds keys behind percent encoding.
-func holdsKeyEncoded(text string) bool {
-	for range encodings {
-		if holdsKey([]byte(text)) {
+// containsEncodedKey also finds keys that are percent-encoded.
+func containsEncodedKey(text string) bool {
+	for range maxDecodings {
+		if containsKey([]byte(text)) {
 			return true
 		}
-		plain := unescape(text)
+		plain := percentDecode(text)
 		if plain == text {
 			return false
 		}
 		text = plain
 	}
-	return holdsKey([]byte(text))
+	return containsKey([]byte(text))
 }
 
-// unescape decodes percent encoding and keeps what is no valid encoding, as
-// lenient parsers of queries do.
-func unescape(escaped string) string {
+// percentDecode decodes percent encoding and keeps invalid escapes as they are,
+// like lenient parsers of queries.
+func percentDecode(escaped string) string {
 	at := strings.IndexByte(escaped, '%')
 	if at < 0 {
 		return escaped
 	}
 	text := []byte(escaped[:at])
 	for at < len(escaped) {
-		if value, ok := hexByte(escaped[at:]); ok {
+		if value, ok := decodeEscape(escaped[at:]); ok {
 			text, at = append(text, value), at+3
 			continue
 		}
@@ -95,7 +96,7 @@
 	return string(text)
 }
 
-func hexByte(text string) (byte, bool) {
+func decodeEscape(text string) (byte, bool) {
 	if len(text) < 3 || text[0] != '%' {
 		return 0, false
 	}
@@ -103,9 +104,9 @@
 	return byte(value), err == nil
 }
 
-// holdsKeyJSON also finds keys behind JSON escapes.
-func holdsKeyJSON(body []byte) bool {
-	if holdsKey(body) {
+// containsKeyInJSON also finds keys that are written with JSON escapes.
+func containsKeyInJSON(body []byte) bool {
+	if containsKey(body) {
 		return true
 	}
 	if !bytes.ContainsRune(body, '\\') {
@@ -117,37 +118,37 @@
 		if err != nil {
 			return false
 		}
-		if text, ok := token.(string); ok && holdsKey([]byte(text)) {
+		if text, ok := token.(string); ok && containsKey([]byte(text)) {
 			return true
 		}
 	}
 }
 
-func keyInRequest(place string) *fault.Fault {
+func keyInRequestFault(location string) *fault.Fault {
 	return fault.New(fault.KeyInRequest, fault.NotRun,
-		"the %s holds a key; send keys in the header Authorization only, and replace this one", place)
+		"the %s holds a key; send keys in the header Authorization only, and replace this one", location)
 }
 
-// checkTransport checks what needs no configuration: the size of the headers
-// and keys outside the header Authorization.
-func (exchange *exchange) checkTransport() *fault.Fault {
+// checkHeadersAndURL checks the size of the headers, and that there is no key in
+// the URL or in a header other than Authorization. It needs no configuration.
+func (exchange *exchange) checkHeadersAndURL() *fault.Fault {
 	size := 0
 	for name, values := range exchange.request.Header {
 		for _, value := range values {
 			size += len(name) + len(value) + len(": \r\n")
-			if holdsKeyEncoded(name) || name != "Authorization" && holdsKeyEncoded(value) {
-				return keyInRequest("header")
+			if containsEncodedKey(name) || name != "Authorization" && containsEncodedKey(value) {
+				return keyInRequestFault("header")
 			}
 		}
 	}
 	if limit := exchange.entry.config.Limits.MaxHeaderBytes; size > limit {
 		return fault.New(fault.HeadersTooLarge, fault.NotRun, "the headers exceed %d bytes; send fewer or shorter ones", limit)
 	}
-	if holdsKeyEncoded(exchange.request.URL.RawQuery) {
-		return keyInRequest("query")
+	if containsEncodedKey(exchange.request.URL.RawQuery) {
+		return keyInRequestFault("query")
 	}
-	if holdsKeyEncoded(exchange.request.URL.EscapedPath()) {
-		return keyInRequest("path")
+	if containsEncodedKey(exchange.request.URL.EscapedPath()) {
+		return keyInRequestFault("path")
 	}
 	return nil
 }
--- a/internal/daemon/entry/models.go
+++ b/internal/daemon/entry/models.go
@@ -9,8 +9,8 @@
 	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// lookUp resolves adapter or adapter@version.
-func lookUp(config *conf.Config, name string) (conf.AdapterSpec, uint32, bool) {
+// lookUpAdapter resolves ADAPTER or ADAPTER@VERSION.
+func lookUpAdapter(config *conf.Config, name string) (conf.AdapterSpec, uint32, bool) {
 	name, suffix, pinned := strings.Cut(name, "@")
 	adapter, ok := config.Adapter(name)
 	if !ok {
@@ -31,7 +31,7 @@
 	return adapter + "@" + strconv.FormatUint(uint64(version), 10)
 }
 
-// modelList is the public models API's answer.
+// modelList is the response of the public models API.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
@@ -62,7 +62,8 @@
 	return nil
 }
 
-// resolveModelRoute finds the route of a model endpoint and the caller.
+// resolveModelRoute authenticates the caller and finds the route of a model
+// endpoint.
 func (exchange *exchange) resolveModelRoute() *fault.Fault {
 	route, ok := exchange.config.Route(exchange.routeName())
 	known := ok && !route.Plain
--- a/internal/daemon/entry/plain.go
+++ b/internal/daemon/entry/plain.go
@@ -8,13 +8,13 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// plainBuffer is how much of a plain service's answer is kept back, so that
-// the work can still move to another upstream.
-const plainBuffer = 256 << 10
+// maxPlainBuffer is how many bytes of the response of a plain service are held
+// back. Until then the request can still be retried at another upstream.
+const maxPlainBuffer = 256 << 10
 
-// servePlain passes a call to a plain service on.
+// servePlain forwards a request to a plain service.
 func (exchange *exchange) servePlain() *fault.Fault {
-	service, path, fault := exchange.plainPath()
+	service, path, fault := exchange.splitPlainPath()
 	if fault != nil {
 		return fault
 	}
@@ -23,7 +23,7 @@
 		return fault
 	}
 	if !known {
-		return unknownPlain()
+		return unknownPlainRoute()
 	}
 	exchange.route = route
 	body, fault := exchange.readBody()
@@ -37,19 +37,19 @@
 	job.setTokens(0, route.Cost)
 	job.template.Method, job.template.Body = exchange.request.Method, body
 	job.template.Path = strings.TrimPrefix(exchange.request.URL.RequestURI(), "/services/"+service)
-	if fault := job.claimKey(body); fault != nil {
+	if fault := job.bindIdempotencyKey(body); fault != nil {
 		return fault
 	}
 	return job.serve()
 }
 
-func unknownPlain() *fault.Fault {
+func unknownPlainRoute() *fault.Fault {
 	return fault.New(fault.UnknownRoute, fault.NotRun, "no route of a plain service takes this method and path; ask an operator for the routes")
 }
 
-// plainPath splits the path into service and rest. Forms that upstreams might
-// read as another path than the one matched here are refused.
-func (exchange *exchange) plainPath() (service, path string, err *fault.Fault) {
+// splitPlainPath splits the path into service and rest. It refuses forms that
+// upstreams might interpret as another path than the one matched here.
+func (exchange *exchange) splitPlainPath() (service, path string, err *fault.Fault) {
 	escaped := strings.ToLower(exchange.request.URL.EscapedPath())
 	for _, sequence := range []string{"%2f", "%5c", "%2e", "%00", "\\"} {
 		if strings.Contains(escaped, sequence) {
@@ -69,7 +69,7 @@
 	return service, "/" + path, nil
 }
 
-// plainSink passes a plain service's answer on.
+// plainSink forwards the response of a plain service.
 type plainSink struct {
 	exchange *exchange
 	started  *wirepb.Started
@@ -83,17 +83,17 @@
 
 func (plain *plainSink) chunk(data []byte) error {
 	plain.data = append(plain.data, data...)
-	if !plain.exchange.begun && len(plain.data) < plainBuffer {
+	if !plain.exchange.headerSent && len(plain.data) < maxPlainBuffer {
 		return nil
 	}
 	return plain.send(true)
 }
 
-// send passes on what has been kept back.
+// send forwards the data that was held back.
 func (plain *plainSink) send(flush bool) error {
-	if !plain.exchange.begun {
-		setAnswerHeaders(plain.exchange.writer.Header(), plain.started.GetHeaders())
-		plain.exchange.begin(plain.status(), "")
+	if !plain.exchange.headerSent {
+		copyResponseHeaders(plain.exchange.writer.Header(), plain.started.GetHeaders())
+		plain.exchange.writeHeader(plain.status(), "")
 	}
 	data := plain.data
 	plain.data = plain.data[:0]
@@ -113,7 +113,7 @@
 
 func (plain *plainSink) finish(*wirepb.Done) error { return plain.send(false) }
 
-func (plain *plainSink) committed() bool { return plain.exchange.begun }
+func (plain *plainSink) committed() bool { return plain.exchange.headerSent }
 
 func (plain *plainSink) resumable() bool { return false }
 
--- a/internal/daemon/entry/ports.go
+++ b/internal/daemon/entry/ports.go
@@ -1,5 +1,7 @@
-// Package entry is the entry instance: the HTTP interface to callers, the
-// choice of an upstream, relaying, retries and shutdown.
+// Package entry implements the entry instance that reaches upstreams through
+// their side processes: the HTTP interface to callers, the choice of an upstream,
+// forwarding, retries and drain. The entry instance that reaches engines directly
+// is in package relay.
 package entry
 
 import (
@@ -16,9 +18,10 @@
 type ConfigSource interface {
 	// Current returns the newest configuration, never nil.
 	Current() *conf.Config
-	// Isolated reports whether withdrawals may not reach this instance.
+	// Isolated reports whether this instance may have missed withdrawals of keys.
 	Isolated() bool
-	// ObserveVersion says that another process has shown this version.
+	// ObserveVersion records that another process has shown this configuration
+	// version.
 	ObserveVersion(version uint64)
 }
 
@@ -28,40 +31,40 @@
 	Draining bool
 }
 
-// InstanceSource provides the side processes.
+// InstanceSource provides the instance list.
 type InstanceSource interface {
-	// SideProcess returns the side process of an upstream.
+	// SideProcess returns the side process of an upstream, and whether it is listed.
 	SideProcess(upstream string) (Instance, bool)
 	// CountEntries returns the number of live entry instances.
 	CountEntries() int
 }
 
-// Admission limits organisations at the entry instance.
+// Admission limits the rates of organisations at the entry instance.
 type Admission interface {
-	// Admit takes tokens or returns the time after which to come back. The
-	// number of live entry instances divides the organisation's rate.
+	// Admit takes tokens from the organisation's rate, or returns the time after
+	// which to retry and false. The number of live entry instances divides the rate.
 	Admit(now time.Time, entries int, organisation conf.OrganisationSpec, tokens conf.Tokens) (time.Duration, bool)
 }
 
-// Conn carries one call to a side process.
+// Conn is a connection that carries one call to a side process.
 type Conn interface {
 	drpc.Conn
-	// Release gives the connection back.
+	// Release returns the connection for reuse.
 	Release()
 }
 
-// SideDialer opens calls to side processes.
+// SideDialer opens connections to side processes.
 type SideDialer interface {
 	Open(ctx context.Context, address string) (Conn, error)
 }
 
-// RetryBudget bounds the retries.
+// RetryBudget bounds the number of retries and sets their backoff.
 type RetryBudget interface {
-	// RecordRequest counts a request.
+	// RecordRequest counts a request, which adds to the budget.
 	RecordRequest()
-	// Allow takes a retry from the budget if one is left.
+	// Allow takes a retry from the budget and reports whether one was left.
 	Allow() bool
-	// Backoff returns the jittered pause before the given retry, from 1.
+	// Backoff returns the jittered backoff before a retry, counted from 1.
 	Backoff(retry int) time.Duration
 }
 
@@ -70,9 +73,9 @@
 	policy.Health
 	// SetUpstreams sets the upstreams of the service.
 	SetUpstreams(upstreams []string)
-	// RecordSuccess records an answer.
+	// RecordSuccess records a complete response.
 	RecordSuccess(upstream string)
-	// RecordFailure records a lost or failed answer, and reports whether it ejects
+	// RecordFailure records a lost or failed response, and reports whether it ejects
 	// the upstream.
 	RecordFailure(upstream string) bool
 }
@@ -82,18 +85,18 @@
 	Add(name string, delta int64)
 }
 
-// openAdmission leaves limits to the side processes.
-type openAdmission struct{}
+// admitAll leaves the rate limits to the side processes.
+type admitAll struct{}
 
-func (openAdmission) Admit(time.Time, int, conf.OrganisationSpec, conf.Tokens) (time.Duration, bool) {
+func (admitAll) Admit(time.Time, int, conf.OrganisationSpec, conf.Tokens) (time.Duration, bool) {
 	return 0, true
 }
 
-type freeBudget struct{}
+type unlimitedRetries struct{}
 
-func (freeBudget) RecordRequest()            {}
-func (freeBudget) Allow() bool               { return true }
-func (freeBudget) Backoff(int) time.Duration { return 10 * time.Millisecond }
+func (unlimitedRetries) RecordRequest()            {}
+func (unlimitedRetries) Allow() bool               { return true }
+func (unlimitedRetries) Backoff(int) time.Duration { return 10 * time.Millisecond }
 
 type noHealth struct{ policy.NoEjection }
 
--- a/internal/daemon/entry/prompt.go
+++ b/internal/daemon/entry/prompt.go
@@ -15,14 +15,15 @@
 // bytesPerToken is the usual mean for English text in subword vocabularies.
 const bytesPerToken = 4
 
-// prefixBytes is how much of a prompt identifies its beginning: long enough to
-// tell system prompts apart, short enough not to reach the varying part.
+// prefixBytes is the length of the prompt prefix that is hashed for routing: long
+// enough to tell system prompts apart, short enough not to reach the part that
+// varies.
 const prefixBytes = 256
 
 // maxTokensLimit bounds max_tokens, so that sums of costs cannot overflow.
 const maxTokensLimit = 1 << 24
 
-// prompt is a validated body of a model endpoint.
+// prompt is the validated body of a request to a model endpoint.
 type prompt struct {
 	model        string
 	text         string
@@ -32,8 +33,8 @@
 	fields       map[string]json.RawMessage
 }
 
-// completionBody has the fields of the public API that are checked; the others
-// pass unchecked.
+// completionBody has the fields of the public API that are checked. All others
+// are forwarded unchecked.
 type completionBody struct {
 	Model               *string          `json:"model"`
 	Prompt              json.RawMessage  `json:"prompt"`
@@ -52,15 +53,15 @@
 	Stop                *json.RawMessage `json:"stop"`
 }
 
-// checkedFields are the fields of completionBody by their exact names.
+// checkedFields are the exact names of the fields of completionBody.
 var checkedFields = []string{
 	"model", "prompt", "messages", "stream", "stream_options", "max_tokens", "max_completion_tokens", "n",
 	"best_of", "echo", "temperature", "top_p", "seed", "user", "stop",
 }
 
-// checkNames refuses names that differ from checked ones in case only: an
-// upstream might take them for the checked field.
-func checkNames(fields map[string]json.RawMessage) *fault.Fault {
+// checkFieldNames refuses names that differ from a checked name in case only,
+// because an upstream might take them for the checked field.
+func checkFieldNames(fields map[string]json.RawMessage) *fault.Fault {
 	for name := range fields {
 		for _, checked := range checkedFields {
 			if name != checked && strings.EqualFold(name, checked) {
@@ -91,11 +92,11 @@
 	if err := json.Unmarshal(data, &fields); err != nil || fields == nil {
 		return nil, badRequest("the body is not a JSON object; send one with the fields of the public API")
 	}
-	if fault := checkNames(fields); fault != nil {
+	if fault := checkFieldNames(fields); fault != nil {
 		return nil, fault
 	}
 	if err := json.Unmarshal(data, &body); err != nil {
-		return nil, badRequest("the field %s has the wrong type; see the public API for its type", wrongField(err))
+		return nil, badRequest("the field %s has the wrong type; see the public API for its type", mistypedField(err))
 	}
 	result := &prompt{fields: fields, stream: body.Stream}
 	result.includeUsage = body.StreamOptions != nil && body.StreamOptions.IncludeUsage
@@ -118,7 +119,7 @@
 	return result, fault
 }
 
-func wrongField(err error) string {
+func mistypedField(err error) string {
 	var wrong *json.UnmarshalTypeError
 	if errors.As(err, &wrong) && wrong.Field != "" {
 		return wrong.Field
@@ -142,7 +143,7 @@
 }
 
 // chatText joins the roles and contents of the messages, one a line, in the form
-// "role: content". A shorter form would debit fewer tokens than engines count.
+// "role: content". A shorter form would charge fewer tokens than engines count.
 func chatText(messages []messageBody) (string, *fault.Fault) {
 	if len(messages) == 0 {
 		return "", badRequest("the field messages is missing or empty; send at least one message")
@@ -199,19 +200,21 @@
 	return len(raw) == 0 || bytes.Equal(raw, []byte("null"))
 }
 
-// tokens estimates the prompt's length: its text's bytes by four, rounded up,
-// and at least one.
-func (prompt *prompt) tokens() conf.Tokens {
+// estimateTokens estimates the prompt's length in tokens: the bytes of its text
+// divided by bytesPerToken, rounded up, and at least one.
+func (prompt *prompt) estimateTokens() conf.Tokens {
 	return max(1, conf.Tokens((len(prompt.text)+bytesPerToken-1)/bytesPerToken))
 }
 
-// prefixHash identifies the beginning of the prompt for one adapter.
-func (prompt *prompt) prefixHash(adapter uint64) uint64 {
-	return xxh3.HashStringSeed(prompt.text[:min(len(prompt.text), prefixBytes)], adapter)
+// prefixHash hashes the first prefixBytes of the prompt, seeded with the
+// adapter's hash.
+func (prompt *prompt) prefixHash(adapterHash uint64) uint64 {
+	return xxh3.HashStringSeed(prompt.text[:min(len(prompt.text), prefixBytes)], adapterHash)
 }
 
-// encode returns the body for the upstream: the caller's with the resolved
-// model and the limit that the request is charged for.
+// encode returns the body for the upstream: the caller's fields with the resolved
+// model, the limit of tokens that the request is charged for, and streaming
+// turned on.
 func (prompt *prompt) encode(adapter string, version uint32) ([]byte, *fault.Fault) {
 	delete(prompt.fields, "max_completion_tokens")
 	delete(prompt.fields, "stream_options")
--- a/internal/daemon/entry/prompt_test.go
+++ b/internal/daemon/entry/prompt_test.go
@@ -9,8 +9,8 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/model"
 )
 
-// TestChatTokens guards against chats that are debited with fewer tokens than an
-// engine counts, which exceeds the organisation's rate unseen.
+// TestChatTokens guards against charging a chat fewer tokens than an engine
+// counts, which would exceed the organisation's rate unnoticed.
 func TestChatTokens(t *testing.T) {
 	role := "user"
 	tests := [][]string{{""}, {"a"}, {"water?", "weekly", "and in winter?"}}
--- a/internal/daemon/entry/refusal_test.go
+++ b/internal/daemon/entry/refusal_test.go
@@ -16,7 +16,7 @@
 const goodBody = `{"model":"oak","prompt":"hi"}`
 
 // TestRefusals guards against bad input that reaches an upstream, and against
-// refusals that tell of other organisations or repeat a key.
+// refusals that reveal other organisations or repeat a key.
 func TestRefusals(t *testing.T) {
 	completions := "/v1/completions"
 	tests := []struct {
@@ -77,8 +77,8 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			run(t, nil, func(world *world) {
-				got := world.send(world.request(world.t.Context(), test.method, test.path, test.key, test.body, test.headers...))
+			runTest(t, nil, func(harness *harness) {
+				got := harness.send(harness.request(harness.t.Context(), test.method, test.path, test.key, test.body, test.headers...))
 				if got.err != nil || got.status != test.status || !strings.HasPrefix(got.body, `{"error":{"kind":"`+test.kind+`"`) || !strings.Contains(got.body, `"ran":"not-run"`) {
 					t.Errorf("want %d %s, got %+v", test.status, test.kind, got)
 				}
@@ -87,9 +87,9 @@
 					t.Errorf("request id %q is not in %s", id, got.body)
 				}
 				if strings.Contains(got.body, "0123456789") {
-					t.Errorf("answer repeats a key: %s", got.body)
+					t.Errorf("response repeats a key: %s", got.body)
 				}
-				if runs, _ := world.attempts(); len(runs) > 0 {
+				if runs, _ := harness.received(); len(runs) > 0 {
 					t.Errorf("a side process received %v", runs)
 				}
 			})
@@ -97,28 +97,28 @@
 	}
 }
 
-// TestSameAnswer guards against answers that show whether another
+// TestSameAnswer guards against responses that reveal whether another
 // organisation's adapter exists.
 func TestSameAnswer(t *testing.T) {
-	run(t, func(world *world) { world.config.NewRequestID = func() string { return "id" } }, func(world *world) {
-		unknown := world.post("/v1/completions", birchKey, `{"model":"elm","prompt":"hi"}`)
-		foreign := world.post("/v1/completions", birchKey, goodBody)
+	runTest(t, func(harness *harness) { harness.config.NewRequestID = func() string { return "id" } }, func(harness *harness) {
+		unknown := harness.post("/v1/completions", birchKey, `{"model":"elm","prompt":"hi"}`)
+		foreign := harness.post("/v1/completions", birchKey, goodBody)
 		if diff := cmp.Diff(unknown.body, foreign.body); diff != "" {
-			t.Errorf("answers (-unknown +foreign):\n%s", diff)
+			t.Errorf("responses (-unknown +foreign):\n%s", diff)
 		}
 	})
 }
 
-// TestKeyLeak guards against keys in what side processes receive and in logs.
+// TestKeyLeak guards against keys in requests to side processes and in logs.
 func TestKeyLeak(t *testing.T) {
-	run(t, nil, func(world *world) {
+	runTest(t, nil, func(harness *harness) {
 		extra := []string{"Cookie", "a=b", "Proxy-Authorization", "Basic eDp5", "X-Other", "1", "Idempotency-Key", "order 7", "Traceparent", "00-1"}
 		for _, path := range []string{"/v1/completions", "/routes/once/v1/completions", "/services/counter/orders?x=1", "/services/counter/stock"} {
-			if got := world.post(path, ashKey, goodBody, extra...); got.status != http.StatusOK {
+			if got := harness.post(path, ashKey, goodBody, extra...); got.status != http.StatusOK {
 				t.Errorf("%s: %+v", path, got)
 			}
 		}
-		runs, _ := world.attempts()
+		runs, _ := harness.received()
 		for _, request := range runs {
 			text := protojson.Format(request) + string(request.GetBody())
 			for _, secret := range []string{ashKey, "0123456789", "Bearer", "Cookie", "eDp5", "X-Other", "order 7"} {
@@ -130,7 +130,7 @@
 				t.Errorf("request %s", text)
 			}
 		}
-		for _, entry := range world.logs.All() {
+		for _, entry := range harness.logs.All() {
 			if text := fmt.Sprint(entry.Message, entry.ContextMap()); strings.Contains(text, "0123456789") || strings.Contains(text, `"hi"`) {
 				t.Errorf("log shows a key or prompt: %s", text)
 			}
@@ -138,8 +138,7 @@
 	})
 }
 
-// TestSlowCallers guards against callers that hold connections by sending
-// slowly.
+// TestSlowCallers guards against callers that hold connections by sending slowly.
 func TestSlowCallers(t *testing.T) {
 	tests := []struct {
 		name, head string
@@ -152,8 +151,8 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			run(t, nil, func(world *world) {
-				conn, err := world.client.Transport.(*http.Transport).DialContext(world.t.Context(), "", "")
+			runTest(t, nil, func(harness *harness) {
+				conn, err := harness.client.Transport.(*http.Transport).DialContext(harness.t.Context(), "", "")
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -169,28 +168,29 @@
 	}
 }
 
-// TestInFlightLimit guards against unbounded work and late refusals.
+// TestInFlightLimit guards against exceeding the limit of requests in flight and
+// against delayed refusals.
 func TestInFlightLimit(t *testing.T) {
-	run(t, func(world *world) {
-		world.config.Limits.MaxInFlight = 2
-		world.set(act(pause(10*time.Second), script.started, chunks(0, "a"), script.done))
-	}, func(world *world) {
+	runTest(t, func(harness *harness) {
+		harness.config.Limits.MaxInFlight = 2
+		harness.setScripts(runScript(sleep(10*time.Second), eventSender.started, chunks(0, "a"), eventSender.done))
+	}, func(harness *harness) {
 		replies := make(chan reply, 2)
 		for range 2 {
-			go func() { replies <- world.chat("") }()
+			go func() { replies <- harness.chat("") }()
 		}
 		synctest.Wait()
 		sent := time.Now()
-		got := world.chat("")
+		got := harness.chat("")
 		if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") != "1" || !strings.Contains(got.body, `"ran":"not-run"`) {
-			t.Errorf("answer %+v", got)
+			t.Errorf("response %+v", got)
 		}
 		if took := time.Since(sent); took > 0 {
 			t.Errorf("refused after %s", took)
 		}
 		for range 2 {
 			if got := <-replies; got.status != http.StatusOK {
-				t.Errorf("answer %+v", got)
+				t.Errorf("response %+v", got)
 			}
 		}
 	})
--- a/internal/daemon/entry/run.go
+++ b/internal/daemon/entry/run.go
@@ -8,12 +8,13 @@
 	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// maxHandbacks bounds how often one request is handed back by side processes
-// that leave or change halves. These moves cost the upstreams nothing, so they
-// are outside the retry budget; a planned stop hands back many at once.
+// maxHandbacks bounds how often one request may be handed back by side processes
+// that are draining or change halves. Handbacks cost the upstreams nothing, and a
+// planned stop causes many at once, so they do not count against the retry
+// budget.
 const maxHandbacks = 8
 
-// serve runs the job within the request limit and answers the caller.
+// serve runs the job within the request timeout and responds to the caller.
 func (job *job) serve() *fault.Fault {
 	exchange := job.exchange
 	if refusal := job.admit(); refusal != nil {
@@ -27,7 +28,7 @@
 	if err == nil {
 		return nil
 	}
-	if job.doubtful && err.Ran() == fault.NotRun {
+	if job.mayHaveRun && err.Ran() == fault.NotRun {
 		err = err.WithRan(fault.RunUnknown)
 	}
 	if job.sink.committed() && job.sink.fail(err) {
@@ -37,19 +38,19 @@
 	return err
 }
 
-// admit asks the Admission for the tokens that the work may use.
+// admit takes the tokens that the work may use from the organisation's rate.
 func (job *job) admit() *fault.Fault {
 	config := &job.exchange.entry.config
 	tokens := conf.Tokens(job.template.GetPromptTokens() + job.template.GetMaxTokens())
-	after, ok := config.Admission.Admit(time.Now(), config.InstanceSource.CountEntries(), job.exchange.organisation, tokens)
+	retryAfter, ok := config.Admission.Admit(time.Now(), config.InstanceSource.CountEntries(), job.exchange.organisation, tokens)
 	if ok {
 		return nil
 	}
 	return fault.New(fault.RateExceeded, fault.NotRun,
-		"the organisation's part of its rate at this instance is used up; come back after the time in retry-after").WithRetryAfter(after)
+		"the organisation's part of its rate at this instance is used up; come back after the time in retry-after").WithRetryAfter(retryAfter)
 }
 
-// run makes attempts until one finishes or none is left.
+// run makes attempts until one finishes or no other is allowed.
 func (job *job) run(ctx context.Context) *fault.Fault {
 	var last *fault.Fault
 	for number := uint32(1); ; number++ {
@@ -57,16 +58,16 @@
 		if err != nil {
 			return firstFault(last, err)
 		}
-		end := job.try(ctx, attempt)
-		if end.outcome == finished {
+		result := job.runAttempt(ctx, attempt)
+		if result.outcome == finished {
 			return nil
 		}
-		last = end.fault
-		job.doubtful = job.doubtful || last.Ran() != fault.NotRun
-		if !job.mayContinue(ctx, end) || !job.pause(ctx, end) {
+		last = result.fault
+		job.mayHaveRun = job.mayHaveRun || last.Ran() != fault.NotRun
+		if !job.mayRetry(ctx, result) || !job.backOff(ctx, result) {
 			return last
 		}
-		job.prepare(attempt, end)
+		job.prepareRetry(attempt, result)
 	}
 }
 
@@ -77,54 +78,56 @@
 	return err
 }
 
-// try makes one attempt and settles what is known of its effect.
-func (job *job) try(ctx context.Context, attempt *attempt) result {
+// runAttempt makes one attempt and, if it did not finish, determines whether it
+// ran.
+func (job *job) runAttempt(ctx context.Context, attempt *attempt) result {
 	defer job.service.policy.RequestEnded(attempt.upstream)
-	if !job.idempotent() && attempt.incarnation == 0 && !attempt.learnIncarnation(ctx) {
+	if !job.idempotent() && attempt.incarnation == 0 && !attempt.queryIncarnation(ctx) {
 		job.service.health.RecordFailure(attempt.upstream)
 		return attempt.unreachableResult()
 	}
-	end := attempt.run(ctx)
+	result := attempt.run(ctx)
 	switch {
-	case end.outcome == finished:
+	case result.outcome == finished:
 		job.service.health.RecordSuccess(attempt.upstream)
-	case end.unhealthy && ctx.Err() == nil:
+	case result.unhealthy && ctx.Err() == nil:
 		job.service.health.RecordFailure(attempt.upstream)
 	}
-	return attempt.settle(ctx, end)
+	return attempt.resolve(ctx, result)
 }
 
-// mayContinue reports whether another attempt is allowed and useful.
-func (job *job) mayContinue(ctx context.Context, end result) bool {
+// mayRetry reports whether another attempt is allowed and may succeed.
+func (job *job) mayRetry(ctx context.Context, result result) bool {
 	limits := job.exchange.entry.config.Limits
 	switch {
-	case ctx.Err() != nil, !end.elsewhere:
+	case ctx.Err() != nil, !result.tryElsewhere:
 		return false
 	case job.sink.committed() && (!job.sink.resumable() || !job.idempotent()):
 		return false
-	case !job.idempotent() && end.fault.Ran() != fault.NotRun:
+	case !job.idempotent() && result.fault.Ran() != fault.NotRun:
 		return false
-	case !job.sink.committed() && job.waitLeft() <= 0:
+	case !job.sink.committed() && job.remainingWait() <= 0:
 		return false
-	case handedBack(end):
+	case handedBack(result):
 		return job.handbacks < maxHandbacks
 	}
 	return job.retries+1 < limits.MaxAttempts
 }
 
-func handedBack(end result) bool {
-	if end.outcome != refused {
+func handedBack(result result) bool {
+	if result.outcome != refused {
 		return false
 	}
-	kind := end.fault.Kind()
+	kind := result.fault.Kind()
 	return kind == fault.Draining || kind == fault.WrongHalf
 }
 
-// pause takes the retry from the budget and waits for the backoff. It reports
-// false when the budget is empty or the deadline too near.
-func (job *job) pause(ctx context.Context, end result) bool {
+// backOff takes a retry from the budget and waits for its backoff. It reports
+// false when the budget is empty or the backoff would exceed the deadline. A
+// handback takes no retry and waits for nothing.
+func (job *job) backOff(ctx context.Context, result result) bool {
 	config := &job.exchange.entry.config
-	if handedBack(end) {
+	if handedBack(result) {
 		job.handbacks++
 		config.Counters.Add("handbacks", 1)
 		return true
@@ -147,18 +150,18 @@
 	}
 }
 
-// prepare sets the job up for the next attempt.
-func (job *job) prepare(attempt *attempt, end result) {
+// prepareRetry prepares the job for the next attempt.
+func (job *job) prepareRetry(attempt *attempt, result result) {
 	job.tried = append(job.tried, attempt.upstream)
-	job.rank++
-	job.resumeAt = ""
+	job.rendezvousRank++
+	job.resumeUpstream = ""
 	if !job.sink.committed() {
 		job.sink.reset()
-		job.next = 0
+		job.nextToken = 0
 		return
 	}
-	if end.outcome == broken && !end.silent && attempt.from < job.next {
-		job.resumeAt = attempt.upstream
+	if result.outcome == interrupted && !result.unresponsive && attempt.resumeFrom < job.nextToken {
+		job.resumeUpstream = attempt.upstream
 	}
 	job.exchange.entry.config.Counters.Add("resumes", 1)
 }
--- a/internal/daemon/entry/sink.go
+++ b/internal/daemon/entry/sink.go
@@ -8,24 +8,25 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// sink takes the events of a request in order and forms the caller's answer.
+// sink receives the events of a request in order and forms the response to the
+// caller.
 type sink interface {
-	// start begins an answer. It is called again when the work runs anew.
+	// start begins a response. It is called again when the work runs again.
 	start(started *wirepb.Started) error
 	chunk(data []byte) error
 	finish(done *wirepb.Done) error
-	// committed reports whether the caller has received a part of the answer.
+	// committed reports whether the caller has received a part of the response.
 	committed() bool
-	// resumable reports whether the answer may continue by token index.
+	// resumable reports whether the response may be resumed at a token index.
 	resumable() bool
-	// reset discards an answer that is not committed.
+	// reset discards a response that is not committed.
 	reset()
-	// fail ends a committed answer with a fault that the caller can read, and
-	// reports whether the sink has a form for that.
+	// fail ends a committed response with a fault that the caller can read. It
+	// reports false if the response has no form for this or the write fails.
 	fail(err *fault.Fault) bool
 }
 
-// choice is one answer in the public API's form.
+// choice is one completion in the form of the public API.
 type choice struct {
 	Index        int      `json:"index"`
 	Message      *message `json:"message,omitempty"`
@@ -45,7 +46,7 @@
 	TotalTokens      int64 `json:"total_tokens"`
 }
 
-// completion is a whole answer or one event of a streamed one.
+// completion is a whole response or one event of a streamed one.
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -82,38 +83,38 @@
 	}
 }
 
-// wholeSink collects an answer and sends it in one JSON object.
-type wholeSink struct {
+// bufferedSink collects the response and sends it as one JSON object.
+type bufferedSink struct {
 	exchange *exchange
 	chat     bool
 	text     strings.Builder
 }
 
-func (whole *wholeSink) start(*wirepb.Started) error { return nil }
+func (buffered *bufferedSink) start(*wirepb.Started) error { return nil }
 
-func (whole *wholeSink) chunk(data []byte) error {
-	whole.text.Write(data)
+func (buffered *bufferedSink) chunk(data []byte) error {
+	buffered.text.Write(data)
 	return nil
 }
 
-func (whole *wholeSink) finish(done *wirepb.Done) error {
-	text := whole.text.String()
-	answer := whole.exchange.envelope("text_completion")
+func (buffered *bufferedSink) finish(done *wirepb.Done) error {
+	text := buffered.text.String()
+	response := buffered.exchange.envelope("text_completion")
 	item := choice{Text: &text, FinishReason: finishReason(done)}
-	if whole.chat {
-		answer.Object = "chat.completion"
+	if buffered.chat {
+		response.Object = "chat.completion"
 		item.Text, item.Message = nil, &message{Role: "assistant", Content: &text}
 	}
-	answer.Choices = append(answer.Choices, item)
-	answer.Usage = usageOf(done)
-	whole.exchange.writeJSON(http.StatusOK, answer)
+	response.Choices = append(response.Choices, item)
+	response.Usage = usageOf(done)
+	buffered.exchange.writeJSON(http.StatusOK, response)
 	return nil
 }
 
-func (whole *wholeSink) committed() bool { return whole.exchange.begun }
+func (buffered *bufferedSink) committed() bool { return buffered.exchange.headerSent }
 
-func (whole *wholeSink) resumable() bool { return false }
+func (buffered *bufferedSink) resumable() bool { return false }
 
-func (whole *wholeSink) reset() { whole.text.Reset() }
+func (buffered *bufferedSink) reset() { buffered.text.Reset() }
 
-func (whole *wholeSink) fail(*fault.Fault) bool { return false }
+func (buffered *bufferedSink) fail(*fault.Fault) bool { return false }
--- a/internal/daemon/entry/sse.go
+++ b/internal/daemon/entry/sse.go
@@ -8,7 +8,7 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// streamSink sends an answer as server-sent events while it arrives.
+// streamSink sends the response as server-sent events while it arrives.
 type streamSink struct {
 	exchange     *exchange
 	chat         bool
@@ -16,8 +16,8 @@
 	roleSent     bool
 }
 
-// start sends nothing: until the first token the work may move elsewhere, and a
-// refusal keeps its status.
+// start sends nothing: until the first token the work may move to another
+// upstream, and a refusal keeps its status.
 func (stream *streamSink) start(*wirepb.Started) error { return nil }
 
 func (stream *streamSink) chunk(data []byte) error {
@@ -47,7 +47,7 @@
 }
 
 func (stream *streamSink) event(item choice, text *string) completion {
-	answer := stream.exchange.envelope(stream.object())
+	response := stream.exchange.envelope(stream.object())
 	switch {
 	case !stream.chat && text == nil:
 		empty := ""
@@ -60,8 +60,8 @@
 			item.Delta.Role, stream.roleSent = "assistant", true
 		}
 	}
-	answer.Choices = append(answer.Choices, item)
-	return answer
+	response.Choices = append(response.Choices, item)
+	return response
 }
 
 func (stream *streamSink) send(value any) error {
@@ -73,14 +73,14 @@
 }
 
 func (stream *streamSink) write(data []byte) error {
-	if !stream.exchange.begun {
+	if !stream.exchange.headerSent {
 		stream.exchange.writer.Header().Set("Cache-Control", "no-cache")
-		stream.exchange.begin(http.StatusOK, "text/event-stream")
+		stream.exchange.writeHeader(http.StatusOK, "text/event-stream")
 	}
 	return stream.exchange.write(data, true)
 }
 
-func (stream *streamSink) committed() bool { return stream.exchange.begun }
+func (stream *streamSink) committed() bool { return stream.exchange.headerSent }
 
 func (stream *streamSink) resumable() bool { return true }
 
