--- a/internal/base/fault/kinds.go
+++ b/internal/base/fault/kinds.go
@@ -1,6 +1,6 @@
 package fault
 
-// The kinds of fault. docs/ERRORS.md lists each with its status and remedy.
+// The kinds of faults. docs/ERRORS.md lists the status and remedy of each.
 const (
 	BadRequest           Kind = "bad-request"
 	BodyTooLarge         Kind = "body-too-large"
@@ -33,7 +33,7 @@
 	Internal             Kind = "internal"
 )
 
-// statuses maps each kind to its HTTP status; docs/ERRORS.md repeats it.
+// statuses maps each kind to its HTTP status code, as listed in docs/ERRORS.md.
 var statuses = map[Kind]int{
 	BadRequest:           400,
 	BodyTooLarge:         413,
@@ -66,7 +66,8 @@
 	Internal:             500,
 }
 
-// Status returns the HTTP status of the kind.
+// Status returns the HTTP status code of the kind, that of Internal if the kind
+// is unknown.
 func (kind Kind) Status() int {
 	if status, ok := statuses[kind]; ok {
 		return status
--- a/internal/base/logs/log.go
+++ b/internal/base/logs/log.go
@@ -1,4 +1,4 @@
-// Package logs builds loggers.
+// Package logs builds the loggers of jacinthfront's processes.
 package logs
 
 import (
@@ -12,13 +12,14 @@
 type Config struct {
 	// Level is debug, info, warn or error; empty means info.
 	Level string
-	// Text writes console lines in place of JSON objects.
+	// Text means that lines are written as text, not as JSON objects.
 	Text bool
-	// Instance is a field of each line.
+	// Instance is written as a field of each line.
 	Instance string
 }
 
-// NewLogger returns a logger that writes to standard error.
+// NewLogger returns a logger that writes to standard error. Its error is a fault
+// of kind Invalid if the level is unknown.
 func NewLogger(config Config) (*zap.Logger, error) {
 	level := zapcore.InfoLevel
 	if config.Level != "" {
--- a/internal/base/metric/metric.go
+++ b/internal/base/metric/metric.go
@@ -10,14 +10,15 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// publishing is held from the look-up of a map to its publication, since expvar
-// ends the program when a name is published twice.
-var publishing sync.Mutex
+// publishMutex is held from the look-up of a map until it is published, since
+// expvar ends the process if a name is published twice.
+var publishMutex sync.Mutex
 
-// Map returns the published expvar map of a part and publishes it at first use.
+// Map returns the expvar map with the given name, such as "relay" or "loader",
+// which groups the metrics of one component. It publishes the map on first use.
 func Map(name string) *expvar.Map {
-	publishing.Lock()
-	defer publishing.Unlock()
+	publishMutex.Lock()
+	defer publishMutex.Unlock()
 	if found, ok := expvar.Get(name).(*expvar.Map); ok {
 		return found
 	}
@@ -30,7 +31,7 @@
 	histogramDigits  = 2
 )
 
-// Histogram counts durations from 10 µs to 10 min with two significant digits.
+// Histogram records durations from 10 µs to 10 min with two significant digits.
 // It implements expvar.Var.
 type Histogram struct {
 	mu     sync.Mutex
@@ -42,7 +43,8 @@
 	return &Histogram{counts: hdrhistogram.New(histogramLowest, histogramHighest, histogramDigits)}
 }
 
-// Observe counts one duration; values out of range count at the range's ends.
+// Observe records a duration. A duration out of range is recorded as the nearest
+// one in range.
 func (histogram *Histogram) Observe(duration time.Duration) {
 	value := min(max(int64(duration), histogramLowest), histogramHighest)
 	histogram.mu.Lock()
@@ -50,7 +52,8 @@
 	_ = histogram.counts.RecordValue(value)
 }
 
-// Quantile returns the duration below which the given percentage lies.
+// Quantile returns the duration below which the given percentage of the recorded
+// durations lies, or 0 if there are none.
 func (histogram *Histogram) Quantile(percent float64) time.Duration {
 	histogram.mu.Lock()
 	defer histogram.mu.Unlock()
@@ -60,7 +63,7 @@
 	return time.Duration(histogram.counts.ValueAtPercentile(percent))
 }
 
-// Count returns the number of durations observed.
+// Count returns the number of recorded durations.
 func (histogram *Histogram) Count() int64 {
 	histogram.mu.Lock()
 	defer histogram.mu.Unlock()
--- a/internal/base/metric/metric_test.go
+++ b/internal/base/metric/metric_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Guards against two parts of one process that publish the same map at the
-// same time, at which expvar ends the program.
+// Guards against two goroutines that publish the same map at the same time, which
+// makes expvar end the process.
 func TestMapAtOnce(*testing.T) {
 	for round := range 200 {
 		var group sync.WaitGroup
--- a/internal/base/metric/server.go
+++ b/internal/base/metric/server.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// serverTimeout is the time for a request's headers.
+// serverTimeout is the longest time in which a client must send the headers.
 const serverTimeout = 2 * time.Second
 
-// SetGauge sets a value of a part's map.
-func SetGauge(part, name string, value int64) {
+// SetGauge sets a value in the map of a component.
+func SetGauge(component, name string, value int64) {
 	set := new(expvar.Int)
 	set.Set(value)
-	Map(part).Set(name, set)
+	Map(component).Set(name, set)
 }
 
-// NewServer returns a server that writes the metrics of a part as text, one a
-// line, as PART.NAME VALUE. refresh is called first, for values that change
-// without an event.
-func NewServer(part string, refresh func()) *http.Server {
+// NewServer returns a server that responds with the metrics of a component as
+// text, with a line COMPONENT.NAME VALUE for each. It calls refresh before each
+// response, to update metrics that are not updated by events.
+func NewServer(component string, refresh func()) *http.Server {
 	handler := func(writer http.ResponseWriter, _ *http.Request) {
 		refresh()
 		writer.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		Map(part).Do(func(entry expvar.KeyValue) {
-			_, _ = fmt.Fprintf(writer, "%s.%s %s\n", part, entry.Key, entry.Value)
+		Map(component).Do(func(entry expvar.KeyValue) {
+			_, _ = fmt.Fprintf(writer, "%s.%s %s\n", component, entry.Key, entry.Value)
 		})
 		var memory runtime.MemStats
 		runtime.ReadMemStats(&memory)
--- a/internal/base/setup/check.go
+++ b/internal/base/setup/check.go
@@ -11,16 +11,18 @@
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 )
 
-// checks collects what is wrong with a settings file.
+// checks collects the problems of a settings file.
 type checks struct {
 	file     string
 	problems []string
 }
 
+// checks returns the problems of the settings that entry instances and side
+// processes share.
 func (process Process) checks(file string) *checks {
 	checks := &checks{file: file}
-	checks.present("instance", process.Instance)
-	checks.present("failure-domain", process.FailureDomain)
+	checks.notEmpty("instance", process.Instance)
+	checks.notEmpty("failure-domain", process.FailureDomain)
 	checks.address("listen.peers", process.Listen.Peers)
 	checks.address("listen.operators", process.Listen.Operators)
 	checks.url("platform.log-url", process.Platform.LogURL)
@@ -33,8 +35,8 @@
 		checks.add("tls.cert-file", "", "write the certificate's file, or remove the table tls")
 	}
 	if process.TLS.Enabled() {
-		checks.present("tls.key-file", process.TLS.KeyFile)
-		checks.present("tls.ca-file", process.TLS.CAFile)
+		checks.notEmpty("tls.key-file", process.TLS.KeyFile)
+		checks.notEmpty("tls.ca-file", process.TLS.CAFile)
 	}
 	return checks
 }
@@ -43,7 +45,7 @@
 	checks.problems = append(checks.problems, fmt.Sprintf("%s is %q; %s", key, given, remedy))
 }
 
-func (checks *checks) present(key, value string) {
+func (checks *checks) notEmpty(key, value string) {
 	if value == "" {
 		checks.add(key, value, "write a value that is not empty")
 	}
@@ -91,7 +93,7 @@
 	}
 }
 
-func (checks *checks) longer(key string, value time.Duration, otherKey string, other time.Duration) {
+func (checks *checks) longerThan(key string, value time.Duration, otherKey string, other time.Duration) {
 	if value <= other {
 		checks.add(key, value.String(), fmt.Sprintf("write more than %s, which is %s", otherKey, other))
 	}
--- a/internal/base/setup/entry.go
+++ b/internal/base/setup/entry.go
@@ -4,29 +4,29 @@
 	"time"
 )
 
-// Limits bounds what one caller can cost an entry instance.
+// Limits bounds the resources that requests take from an entry instance.
 type Limits struct {
-	// BodyBytes is the largest request body.
+	// BodyBytes is the largest size of a request body.
 	BodyBytes int64 `toml:"body-bytes"`
-	// HeaderBytes is the largest request header.
+	// HeaderBytes is the largest size of a request header.
 	HeaderBytes int `toml:"header-bytes"`
-	// HeaderTime is the longest time for sending the header.
+	// HeaderTime is the longest time in which a caller must send the header.
 	HeaderTime time.Duration `toml:"header-time"`
-	// BodyTime is the longest time for sending the body.
+	// BodyTime is the longest time in which a caller must send the body.
 	BodyTime time.Duration `toml:"body-time"`
 	// RequestLimit is the longest time that one request may take.
 	RequestLimit time.Duration `toml:"request-limit"`
-	// InFlight is the largest number of requests at a time.
+	// InFlight is the largest number of concurrent requests.
 	InFlight int `toml:"in-flight"`
 }
 
-// Routing selects the weights of the routing score.
+// Routing selects the routing policy and its weights.
 type Routing struct {
 	// Policy is default or naive.
 	Policy string `toml:"policy"`
-	// Profile is bonsai or gourd.
+	// Profile names a set of weights of the routing score: bonsai or gourd.
 	Profile string `toml:"profile"`
-	// Seed makes tie-breaking reproducible; 0 takes a random seed.
+	// Seed makes tie-breaking reproducible; 0 means a random seed.
 	Seed uint64 `toml:"seed"`
 }
 
@@ -81,6 +81,6 @@
 	checks.atLeast("limits.in-flight", int64(entry.Limits.InFlight), 1)
 	checks.oneOf("routing.policy", entry.Routing.Policy, "default", "naive")
 	checks.oneOf("routing.profile", entry.Routing.Profile, "bonsai", "gourd")
-	checks.longer("shutdown.drain-limit", entry.Shutdown.DrainLimit, "limits.request-limit", entry.Limits.RequestLimit)
+	checks.longerThan("shutdown.drain-limit", entry.Shutdown.DrainLimit, "limits.request-limit", entry.Limits.RequestLimit)
 	return checks.err()
 }
--- a/internal/base/setup/number.go
+++ b/internal/base/setup/number.go
@@ -9,20 +9,21 @@
 	"time"
 )
 
-// Period is a duration in a settings file. Beside the forms of
-// time.ParseDuration it takes any decimal number with one unit, also with an
-// exponent, such as "2.5e3ms". One that is too long for a time.Duration becomes
-// the longest one, and one above 0 is at least a nanosecond.
+// Period is a duration in a settings file. It accepts the forms of
+// time.ParseDuration, and a decimal number with an exponent and one unit, such as
+// "2.5e3ms". A value out of the range of time.Duration becomes the nearest one in
+// range, and a positive value becomes at least a nanosecond.
 type Period struct{ time.Duration }
 
-// Number is a number in a settings file, given bare or quoted. Quoted, it may
-// be of any size; what is too large becomes the largest one.
+// Number is a number in a settings file, with or without quotes. A number in
+// quotes may be of any size; one out of the range of float64 becomes the nearest
+// one in range.
 type Number float64
 
 var (
-	errNoNumber = errors.New("write a number, such as 58 or 0.2")
-	periodForm  = regexp.MustCompile(`^([-+]?[0-9.]+(?:[eE][-+]?[0-9]+)?)(ns|us|ms|s|m|h)$`)
-	units       = map[string]time.Duration{
+	errNoNumber   = errors.New("write a number, such as 58 or 0.2")
+	periodPattern = regexp.MustCompile(`^([-+]?[0-9.]+(?:[eE][-+]?[0-9]+)?)(ns|us|ms|s|m|h)$`)
+	units         = map[string]time.Duration{
 		"ns": time.Nanosecond, "us": time.Microsecond, "ms": time.Millisecond,
 		"s": time.Second, "m": time.Minute, "h": time.Hour,
 	}
@@ -30,7 +31,7 @@
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (period *Period) UnmarshalText(text []byte) error {
-	parts := periodForm.FindSubmatch(text)
+	parts := periodPattern.FindSubmatch(text)
 	if parts == nil {
 		parsed, err := time.ParseDuration(string(text))
 		if err != nil {
@@ -47,6 +48,8 @@
 	return nil
 }
 
+// saturate returns count units as a duration, limited to the range of
+// time.Duration. Positive results are at least a nanosecond.
 func saturate(count float64, unit time.Duration) time.Duration {
 	length := count * float64(unit)
 	switch {
--- a/internal/base/setup/relay.go
+++ b/internal/base/setup/relay.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// Peers tells how a relay or loader reaches the other processes.
+// Peers configures the datagrams between relays and loaders.
 type Peers struct {
-	// Listen is the datagram address, as IP:port. All processes use one port.
+	// Listen is the address for datagrams, as IP:port. All processes use the same
+	// port.
 	Listen string `toml:"listen"`
 }
 
-// RelayListen names the addresses of a relay.
+// RelayListen holds the addresses that a relay listens on, as IP:port.
 type RelayListen struct {
 	// Callers is the HTTP address for callers.
 	Callers string `toml:"callers"`
@@ -18,15 +19,16 @@
 	Metrics string `toml:"metrics"`
 }
 
-// RelayBounds holds what the users promise their callers.
+// RelayBounds holds the bounds that operators guarantee to their callers.
 type RelayBounds struct {
-	// RevocationDelay is how long a withdrawn key may still be used. A relay that has not
-	// confirmed its configuration for nearly as long refuses requests with a key.
+	// RevocationDelay is how long a withdrawn key may still be accepted. A relay
+	// that has not confirmed its configuration for nearly that long rejects
+	// requests with a key.
 	RevocationDelay Period `toml:"revoke"`
-	// GracePeriod is how long a stop may take.
+	// GracePeriod is the longest time that a planned stop may take.
 	GracePeriod Period `toml:"grace"`
-	// RetryRatio and RetryExtra bound the requests that are sent again within
-	// RetryWindow, over all instances.
+	// RetryRatio and RetryExtra bound the retries of all instances together within
+	// RetryWindow: to RetryRatio times the number of requests, plus RetryExtra.
 	RetryRatio  Number `toml:"retry-ratio"`
 	RetryExtra  Number `toml:"retry-extra"`
 	RetryWindow Period `toml:"retry-window"`
@@ -47,7 +49,7 @@
 type Loader struct {
 	Instance      string `toml:"instance"`
 	FailureDomain string `toml:"failure-domain"`
-	// Engine is the address of the engine beside the loader, as IP:port.
+	// Engine is the address of the engine that the loader serves, as IP:port.
 	Engine string `toml:"engine"`
 	Peers  Peers  `toml:"peers"`
 	// Metrics is the HTTP address for metrics.
@@ -84,8 +86,8 @@
 
 func (relay Relay) check(file string) error {
 	checks := &checks{file: file}
-	checks.present("instance", relay.Instance)
-	checks.present("failure-domain", relay.FailureDomain)
+	checks.notEmpty("instance", relay.Instance)
+	checks.notEmpty("failure-domain", relay.FailureDomain)
 	checks.address("store", relay.Store)
 	checks.address("listen.callers", relay.Listen.Callers)
 	checks.address("listen.probes", relay.Listen.Probes)
@@ -111,7 +113,7 @@
 
 func (loader Loader) check(file string) error {
 	checks := &checks{file: file}
-	checks.present("instance", loader.Instance)
+	checks.notEmpty("instance", loader.Instance)
 	checks.address("engine", loader.Engine)
 	checks.address("metrics", loader.Metrics)
 	checks.address("peers.listen", loader.Peers.Listen)
--- a/internal/base/setup/relay_test.go
+++ b/internal/base/setup/relay_test.go
@@ -34,8 +34,9 @@
 listen = "10.1.0.27:7600"
 `
 
-// TestPlatformSettings guards against settings that are taken although a
-// process cannot run with them, and against errors that do not name the remedy.
+// TestPlatformSettings guards against settings that are accepted although a relay
+// or loader cannot run with them, and against errors that name neither the wrong
+// key nor what to write.
 func TestPlatformSettings(t *testing.T) {
 	relay := func(file string) error { _, err := LoadRelay(file); return err }
 	loader := func(file string) error { _, err := LoadLoader(file); return err }
@@ -67,7 +68,7 @@
 				return
 			}
 			if err == nil {
-				t.Fatal("the settings were taken")
+				t.Fatal("the settings were accepted")
 			}
 			for _, part := range append(test.want, file) {
 				if !strings.Contains(err.Error(), part) {
--- a/internal/base/setup/setup.go
+++ b/internal/base/setup/setup.go
@@ -1,4 +1,5 @@
-// Package setup reads and checks the TOML settings of jacinthfront's processes.
+// Package setup reads and checks the TOML settings files of jacinthfront's
+// processes: entry instances, side processes, relays and loaders.
 package setup
 
 import (
@@ -14,24 +15,26 @@
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 )
 
-// Listen names the addresses that a process listens on, as IP:port.
+// Listen holds the addresses that a process listens on, as IP:port.
 type Listen struct {
-	// Callers is the HTTP address for callers; entry instances only.
+	// Callers is the HTTP address for callers; only entry instances have it.
 	Callers string `toml:"callers,omitempty"`
 	// Peers is the drpc address for other processes.
 	Peers string `toml:"peers"`
-	// Operators is the HTTP address for operators and probes.
+	// Operators is the HTTP address for operators and readiness probes.
 	Operators string `toml:"operators"`
 }
 
-// Platform names the platform's services.
+// Platform holds the addresses of the platform's services.
 type Platform struct {
-	LogURL       string `toml:"log-url"`
+	// LogURL is the address of the platform's log.
+	LogURL string `toml:"log-url"`
+	// InstancesURL is the address of the platform's instance list.
 	InstancesURL string `toml:"instances-url"`
 }
 
-// TLS names the PEM files for connections between processes. All empty means
-// plain connections.
+// TLS holds the paths of the PEM files for connections between processes. If all
+// are empty, connections don't use TLS.
 type TLS struct {
 	CertFile string `toml:"cert-file,omitempty"`
 	KeyFile  string `toml:"key-file,omitempty"`
@@ -41,7 +44,7 @@
 // Enabled reports whether connections between processes use TLS.
 func (tls TLS) Enabled() bool { return tls.CertFile != "" }
 
-// Log configures the log lines of a process.
+// Log configures the logger of a process.
 type Log struct {
 	// Level is debug, info, warn or error.
 	Level string `toml:"level"`
@@ -49,15 +52,15 @@
 	Format string `toml:"format"`
 }
 
-// Shutdown bounds a planned stop.
+// Shutdown configures a planned stop.
 type Shutdown struct {
 	// DrainLimit is the longest time that a stop waits for running requests.
 	DrainLimit time.Duration `toml:"drain-limit"`
 }
 
-// Process holds the settings that both roles share.
+// Process holds the settings that entry instances and side processes share.
 type Process struct {
-	// Instance is the name in the instance list.
+	// Instance is the process's name in the instance list.
 	Instance      string   `toml:"instance"`
 	FailureDomain string   `toml:"failure-domain"`
 	Listen        Listen   `toml:"listen"`
@@ -65,10 +68,10 @@
 	TLS           TLS      `toml:"tls"`
 	Log           Log      `toml:"log"`
 	Shutdown      Shutdown `toml:"shutdown"`
-	// IsolationLimit is the time without log or peers after which work that
-	// needs a key is refused.
+	// IsolationLimit is the time without confirmation of the configuration, by the
+	// log or a peer, after which requests that need a key are rejected.
 	IsolationLimit time.Duration `toml:"isolation-limit"`
-	// LogRetention is the platform's retention of log records.
+	// LogRetention is how long the platform keeps log records.
 	LogRetention time.Duration `toml:"log-retention"`
 }
 
@@ -88,8 +91,8 @@
 	}
 }
 
-// Load reads the TOML file into settings, which holds the defaults. An unknown
-// key is an error.
+// load reads a TOML file into settings, which holds the defaults. An unknown key
+// is an error.
 func load(file string, settings any) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/base/setup/setup_test.go
+++ b/internal/base/setup/setup_test.go
@@ -38,7 +38,7 @@
 		{"address", "a host name is not an IP address", strings.Replace(goodSide, "127.0.0.1:9101", "localhost:9101", 1), "listen.peers is \"localhost:9101\"; write IP:port"},
 		{"short drain", "a drain limit below the request limit cuts requests", goodSide + "[shutdown]\ndrain-limit = \"30s\"\n", "shutdown.drain-limit"},
 		{"window", "claims must not outlive the log's records", goodSide + "[claims]\nwindow = \"1000h\"\n", "log-retention"},
-		{"half of tls", "TLS without a key must not fall back to plain connections", goodSide + "[tls]\nca-file = \"ca.pem\"\n", "tls.cert-file"},
+		{"half of tls", "a TLS table without a certificate must not fall back to connections without TLS", goodSide + "[tls]\nca-file = \"ca.pem\"\n", "tls.cert-file"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -76,8 +76,8 @@
 	}
 }
 
-// FuzzSettings guards against settings that end a process with a panic, or that
-// pass the checks with values that the checks exclude.
+// FuzzSettings guards against settings that make a process panic, or that pass
+// the checks with invalid values.
 func FuzzSettings(f *testing.F) {
 	for _, seed := range []string{goodSide, "", "instance = 3", "[listen]\npeers = \"[::1]:1\"", "[queue]\nrequests = -1", "x = [1,", "request-limit = \"-1s\"", "\x00"} {
 		f.Add(seed)
--- a/internal/base/setup/side.go
+++ b/internal/base/setup/side.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Upstream configures the engine or plain service beside a side process.
+// Upstream configures the engine or plain service that a side process serves.
 type Upstream struct {
-	// ID is the upstream's name in the configuration.
+	// ID is the upstream's id in the configuration.
 	ID string `toml:"id"`
-	// URL is its HTTP address.
+	// URL is the upstream's HTTP address.
 	URL string `toml:"url"`
 	// Concurrency is the largest number of requests running at a time; 0 means
 	// 32.
@@ -17,15 +17,16 @@
 type Queue struct {
 	// Requests is the largest number of queued requests.
 	Requests int `toml:"requests"`
-	// Tokens is the largest cost of all queued requests.
+	// Tokens is the largest number of tokens of all queued requests together.
 	Tokens int64 `toml:"tokens"`
 }
 
-// Claims configures idempotency claims.
+// Claims configures the claims of idempotency keys.
 type Claims struct {
-	// Partitions is the number of claim streams; all processes must agree.
+	// Partitions is the number of log streams for claims. It must be equal for all
+	// processes.
 	Partitions int `toml:"partitions"`
-	// Window is how long an idempotency key holds.
+	// Window is how long an idempotency key is valid.
 	Window time.Duration `toml:"window"`
 }
 
@@ -37,10 +38,11 @@
 	Claims   Claims   `toml:"claims"`
 	// RequestLimit is the longest time that one request may take.
 	RequestLimit time.Duration `toml:"request-limit"`
-	// Policy is default or naive; naive serves first come, first served, evicts
-	// the least recently used adapter, and leaves rates to the entry instances.
+	// Policy is default or naive. Naive serves requests first come, first served,
+	// evicts the least recently used adapter, and leaves rate limits to the entry
+	// instances.
 	Policy string `toml:"policy"`
-	// Seed makes jitter reproducible; 0 takes a random seed.
+	// Seed makes jitter reproducible; 0 means a random seed.
 	Seed uint64 `toml:"seed"`
 }
 
@@ -73,7 +75,7 @@
 
 func (side Side) check(file string) error {
 	checks := side.checks(file)
-	checks.present("upstream.id", side.Upstream.ID)
+	checks.notEmpty("upstream.id", side.Upstream.ID)
 	checks.url("upstream.url", side.Upstream.URL)
 	checks.oneOf("policy", side.Policy, "default", "naive")
 	checks.atLeast("upstream.concurrency", int64(side.Upstream.Concurrency), 0)
@@ -81,7 +83,7 @@
 	checks.atLeast("queue.tokens", side.Queue.Tokens, 1)
 	checks.atLeast("claims.partitions", int64(side.Claims.Partitions), 1)
 	checks.positive("request-limit", side.RequestLimit)
-	checks.longer("shutdown.drain-limit", side.Shutdown.DrainLimit, "request-limit", side.RequestLimit)
-	checks.longer("log-retention", side.LogRetention, "claims.window", side.Claims.Window)
+	checks.longerThan("shutdown.drain-limit", side.Shutdown.DrainLimit, "request-limit", side.RequestLimit)
+	checks.longerThan("log-retention", side.LogRetention, "claims.window", side.Claims.Window)
 	return checks.err()
 }
--- a/internal/state/conf/adapters.go
+++ b/internal/state/conf/adapters.go
@@ -9,50 +9,56 @@
 )
 
 const (
-	// maxBlock bounds the adapters of one block. A patch copies one block of
-	// about 15 KB and the list of blocks, about 3 KB for 170,000 adapters.
-	maxBlock = 512
-	// mergeBlock is the size below which a block is joined with a neighbour of
-	// this size.
-	mergeBlock = maxBlock / 4
+	// maxBlockEntries bounds the number of adapters in one block. A patch of one
+	// adapter copies one block of about 15 KB and the list of blocks, which has
+	// about 3 KB for 170,000 adapters.
+	maxBlockEntries = 512
+	// mergeThreshold is the number of adapters below which two neighbouring
+	// blocks are merged.
+	mergeThreshold = maxBlockEntries / 4
 )
 
-// edit marks the blocks that an Editor may change in place.
-type edit struct{ _ byte }
+// editToken identifies an edit. Blocks and lists that carry the token of the
+// current edit are its private copies and may be changed in place.
+type editToken struct{ _ byte }
 
-// adapters holds the adapters ordered by name in blocks. Blocks are shared
-// between configurations and copied when they are first changed.
+// adapters holds the adapters in blocks, ordered by name. Configurations share
+// blocks; an edit copies a block before it changes it.
 type adapters struct {
 	blocks []*block
 	count  int
-	names  *names
-	// listed and named mark the copies of blocks and names made by an edit.
-	listed *edit
-	named  *edit
+	names  *nameTable
+	// blocksOwner and namesOwner are the tokens of the edits that copied blocks
+	// and names.
+	blocksOwner *editToken
+	namesOwner  *editToken
 }
 
-// names numbers the organisations and services of adapters.
-type names struct {
+// nameTable numbers the names of the adapters' organisations and services, so
+// that each name is stored once.
+type nameTable struct {
 	list  []string
 	index map[string]uint32
 }
 
-// block holds consecutive adapters, each encoded as its name's length and name,
-// the numbers of its organisation and service, its default version, and the
-// count and differences of its versions.
+// block holds consecutive adapters. Each is encoded as the length of its name,
+// its name, the numbers of its organisation and service, its default version,
+// the count of its versions, and the differences between successive versions.
 type block struct {
-	data   []byte
-	starts []uint32
-	owner  *edit
+	data []byte
+	// offsets holds where each adapter's encoding starts in data.
+	offsets []uint32
+	owner   *editToken
 }
 
 func newAdapters() adapters {
-	return adapters{names: &names{list: []string{""}, index: map[string]uint32{"": 0}}}
+	return adapters{names: &nameTable{list: []string{""}, index: map[string]uint32{"": 0}}}
 }
 
-// runs backs the versions of adapters that are consecutive numbers up to its
-// length, so that looking up an adapter seldom allocates.
-var runs = func() []uint32 {
+// consecutiveVersions holds the numbers from 1 up. Versions that are
+// consecutive numbers are returned as a part of it, so that looking up an
+// adapter seldom allocates.
+var consecutiveVersions = func() []uint32 {
 	numbers := make([]uint32, 1024)
 	for index := range numbers {
 		numbers[index] = uint32(index + 1)
@@ -61,7 +67,7 @@
 }()
 
 func (adapters *adapters) get(name string) (AdapterSpec, bool) {
-	index := adapters.block(name)
+	index := adapters.findBlock(name)
 	if index < 0 {
 		return AdapterSpec{}, false
 	}
@@ -70,15 +76,15 @@
 	if !ok {
 		return AdapterSpec{}, false
 	}
-	return adapters.spec(block, entry, name), true
+	return adapters.decode(block, entry, name), true
 }
 
-// all iterates in the order of names.
+// all iterates over the adapters in the order of their names.
 func (adapters *adapters) all() iter.Seq[AdapterSpec] {
 	return func(yield func(AdapterSpec) bool) {
 		for _, block := range adapters.blocks {
-			for entry := range block.starts {
-				if !yield(adapters.spec(block, entry, string(block.name(entry)))) {
+			for entry := range block.offsets {
+				if !yield(adapters.decode(block, entry, string(block.name(entry)))) {
 					return
 				}
 			}
@@ -86,9 +92,9 @@
 	}
 }
 
-// block returns the index of the block that holds a name if any does, or -1
-// when there is no block.
-func (adapters *adapters) block(name string) int {
+// findBlock returns the index of the only block that can hold the name, or -1
+// if there are no blocks.
+func (adapters *adapters) findBlock(name string) int {
 	after := sort.Search(len(adapters.blocks), func(index int) bool {
 		return string(adapters.blocks[index].name(0)) > name
 	})
@@ -98,8 +104,8 @@
 	return after - 1
 }
 
-func (adapters *adapters) spec(block *block, entry int, name string) AdapterSpec {
-	data := block.data[block.starts[entry]:]
+func (adapters *adapters) decode(block *block, entry int, name string) AdapterSpec {
+	data := block.data[block.offsets[entry]:]
 	read := func() uint64 {
 		value, size := binary.Uvarint(data)
 		data = data[size:]
@@ -115,19 +121,19 @@
 		return spec
 	}
 	first := uint32(read())
-	run := true
-	rest := data
+	consecutive := true
+	differences := data
 	for range count - 1 {
-		run = read() == 1 && run
+		consecutive = read() == 1 && consecutive
 	}
 	last := uint64(first) + uint64(count) - 1
-	if run && first > 0 && last <= uint64(len(runs)) {
-		spec.Versions = runs[first-1 : last : last]
+	if consecutive && first > 0 && last <= uint64(len(consecutiveVersions)) {
+		spec.Versions = consecutiveVersions[first-1 : last : last]
 		return spec
 	}
 	spec.Versions = make([]uint32, count)
 	spec.Versions[0] = first
-	data = rest
+	data = differences
 	for index := 1; index < count; index++ {
 		spec.Versions[index] = spec.Versions[index-1] + uint32(read())
 	}
@@ -135,14 +141,15 @@
 }
 
 func (block *block) name(entry int) []byte {
-	data := block.data[block.starts[entry]:]
+	data := block.data[block.offsets[entry]:]
 	length, size := binary.Uvarint(data)
 	return data[size : size+int(length)]
 }
 
-// search returns where a name is, or where it would be inserted.
+// search returns the index of the name and whether it is present. If it is not,
+// the index is where the name would be inserted.
 func (block *block) search(name string) (int, bool) {
-	return sort.Find(len(block.starts), func(entry int) int {
+	return sort.Find(len(block.offsets), func(entry int) int {
 		found := block.name(entry)
 		switch {
 		case name < string(found):
@@ -155,30 +162,30 @@
 }
 
 // put adds or replaces an adapter.
-func (adapters *adapters) put(edit *edit, spec AdapterSpec) {
-	encoded := adapters.encode(edit, spec)
-	adapters.own(edit)
-	index := adapters.block(spec.Name)
+func (adapters *adapters) put(token *editToken, spec AdapterSpec) {
+	encoded := adapters.encode(token, spec)
+	adapters.ownBlocks(token)
+	index := adapters.findBlock(spec.Name)
 	if index < 0 {
-		adapters.blocks = append(adapters.blocks, &block{owner: edit})
+		adapters.blocks = append(adapters.blocks, &block{owner: token})
 		index = 0
 	}
 	entry, replaced := adapters.blocks[index].search(spec.Name)
-	block := adapters.ownBlock(edit, index)
+	block := adapters.ownBlock(token, index)
 	if replaced {
 		block.splice(entry, 1, encoded)
 		return
 	}
 	block.splice(entry, 0, encoded)
 	adapters.count++
-	if len(block.starts) > maxBlock {
-		adapters.split(edit, index, entry)
+	if len(block.offsets) > maxBlockEntries {
+		adapters.split(token, index, entry)
 	}
 }
 
-// remove removes an adapter if it is there.
-func (adapters *adapters) remove(edit *edit, name string) {
-	index := adapters.block(name)
+// remove removes an adapter if it exists.
+func (adapters *adapters) remove(token *editToken, name string) {
+	index := adapters.findBlock(name)
 	if index < 0 {
 		return
 	}
@@ -186,36 +193,36 @@
 	if !ok {
 		return
 	}
-	adapters.own(edit)
-	adapters.ownBlock(edit, index).splice(entry, 1, nil)
+	adapters.ownBlocks(token)
+	adapters.ownBlock(token, index).splice(entry, 1, nil)
 	adapters.count--
-	adapters.merge(edit, index)
+	adapters.merge(token, index)
 }
 
-func (adapters *adapters) encode(edit *edit, spec AdapterSpec) []byte {
+func (adapters *adapters) encode(token *editToken, spec AdapterSpec) []byte {
 	data := binary.AppendUvarint(nil, uint64(len(spec.Name)))
 	data = append(data, spec.Name...)
-	data = binary.AppendUvarint(data, uint64(adapters.number(edit, spec.Organisation)))
-	data = binary.AppendUvarint(data, uint64(adapters.number(edit, spec.Service)))
+	data = binary.AppendUvarint(data, uint64(adapters.nameNumber(token, spec.Organisation)))
+	data = binary.AppendUvarint(data, uint64(adapters.nameNumber(token, spec.Service)))
 	data = binary.AppendUvarint(data, uint64(spec.DefaultVersion))
 	data = binary.AppendUvarint(data, uint64(len(spec.Versions)))
 	var last uint32
 	for _, version := range spec.Versions {
-		// The difference wraps when versions are not ascending, and wraps back
-		// when it is added.
+		// If versions are not ascending the difference wraps around, and wraps
+		// back when it is added during decoding.
 		data = binary.AppendUvarint(data, uint64(version-last))
 		last = version
 	}
 	return data
 }
 
-func (adapters *adapters) number(edit *edit, name string) uint32 {
+func (adapters *adapters) nameNumber(token *editToken, name string) uint32 {
 	if number, ok := adapters.names.index[name]; ok {
 		return number
 	}
-	if adapters.named != edit {
-		adapters.names = &names{list: slices.Clone(adapters.names.list), index: maps.Clone(adapters.names.index)}
-		adapters.named = edit
+	if adapters.namesOwner != token {
+		adapters.names = &nameTable{list: slices.Clone(adapters.names.list), index: maps.Clone(adapters.names.index)}
+		adapters.namesOwner = token
 	}
 	number := uint32(len(adapters.names.list))
 	adapters.names.list = append(adapters.names.list, name)
@@ -223,102 +230,104 @@
 	return number
 }
 
-// own copies the list of blocks unless the edit has copied it before.
-func (adapters *adapters) own(edit *edit) {
-	if adapters.listed != edit {
+// ownBlocks copies the list of blocks unless this edit has already done so.
+func (adapters *adapters) ownBlocks(token *editToken) {
+	if adapters.blocksOwner != token {
 		adapters.blocks = slices.Clone(adapters.blocks)
-		adapters.listed = edit
+		adapters.blocksOwner = token
 	}
 }
 
-func (adapters *adapters) ownBlock(edit *edit, index int) *block {
+func (adapters *adapters) ownBlock(token *editToken, index int) *block {
 	shared := adapters.blocks[index]
-	if shared.owner == edit {
+	if shared.owner == token {
 		return shared
 	}
-	copied := &block{data: slices.Clone(shared.data), starts: slices.Clone(shared.starts), owner: edit}
+	copied := &block{data: slices.Clone(shared.data), offsets: slices.Clone(shared.offsets), owner: token}
 	adapters.blocks[index] = copied
 	return copied
 }
 
-// splice replaces count entries by an encoded one, or removes them when it is
-// nil.
+// splice replaces count entries with one encoded entry, or removes them if
+// encoded is nil.
 func (block *block) splice(entry, count int, encoded []byte) {
-	start, end := block.start(entry), block.start(entry+count)
+	start, end := block.offset(entry), block.offset(entry+count)
 	block.data = slices.Replace(block.data, start, end, encoded...)
 	var added []uint32
 	if encoded != nil {
 		added = []uint32{uint32(start)}
 	}
-	block.starts = slices.Replace(block.starts, entry, entry+count, added...)
+	block.offsets = slices.Replace(block.offsets, entry, entry+count, added...)
 	shift := uint32(len(encoded) - (end - start))
-	for index := entry + len(added); index < len(block.starts); index++ {
-		block.starts[index] += shift
+	for index := entry + len(added); index < len(block.offsets); index++ {
+		block.offsets[index] += shift
 	}
 }
 
-func (block *block) start(entry int) int {
-	if entry == len(block.starts) {
+func (block *block) offset(entry int) int {
+	if entry == len(block.offsets) {
 		return len(block.data)
 	}
-	return int(block.starts[entry])
+	return int(block.offsets[entry])
 }
 
-// split cuts a full block in two. A block that grew at its end is cut there, so
-// that adapters put in the order of their names leave full blocks.
-func (adapters *adapters) split(edit *edit, index, inserted int) {
+// split divides a full block into two. If the last insertion was at the end of
+// the block, it splits there, so that putting adapters in the order of their
+// names leaves full blocks.
+func (adapters *adapters) split(token *editToken, index, inserted int) {
 	full := adapters.blocks[index]
-	middle := len(full.starts) / 2
-	if inserted == len(full.starts)-1 {
+	middle := len(full.offsets) / 2
+	if inserted == len(full.offsets)-1 {
 		middle = inserted
 	}
-	left, right := full.part(edit, 0, middle), full.part(edit, middle, len(full.starts))
+	left, right := full.copyRange(token, 0, middle), full.copyRange(token, middle, len(full.offsets))
 	adapters.blocks = slices.Replace(adapters.blocks, index, index+1, left, right)
 }
 
-func (full *block) part(edit *edit, from, to int) *block {
-	start, end := full.start(from), full.start(to)
-	part := &block{data: slices.Clone(full.data[start:end]), starts: slices.Clone(full.starts[from:to]), owner: edit}
-	for entry := range part.starts {
-		part.starts[entry] -= uint32(start)
+func (full *block) copyRange(token *editToken, from, to int) *block {
+	start, end := full.offset(from), full.offset(to)
+	part := &block{data: slices.Clone(full.data[start:end]), offsets: slices.Clone(full.offsets[from:to]), owner: token}
+	for entry := range part.offsets {
+		part.offsets[entry] -= uint32(start)
 	}
 	return part
 }
 
-// merge drops an empty block and joins a small one with a small neighbour.
-func (adapters *adapters) merge(edit *edit, index int) {
-	if len(adapters.blocks[index].starts) == 0 {
+// merge removes the block at index if it is empty, and merges it with its
+// neighbour if both are below mergeThreshold.
+func (adapters *adapters) merge(token *editToken, index int) {
+	if len(adapters.blocks[index].offsets) == 0 {
 		adapters.blocks = slices.Delete(adapters.blocks, index, index+1)
 		return
 	}
 	if index+1 == len(adapters.blocks) {
 		index--
 	}
-	if index < 0 || len(adapters.blocks[index].starts) >= mergeBlock || len(adapters.blocks[index+1].starts) >= mergeBlock {
+	if index < 0 || len(adapters.blocks[index].offsets) >= mergeThreshold || len(adapters.blocks[index+1].offsets) >= mergeThreshold {
 		return
 	}
-	left, right := adapters.ownBlock(edit, index), adapters.blocks[index+1]
-	for _, start := range right.starts {
-		left.starts = append(left.starts, start+uint32(len(left.data)))
+	left, right := adapters.ownBlock(token, index), adapters.blocks[index+1]
+	for _, start := range right.offsets {
+		left.offsets = append(left.offsets, start+uint32(len(left.data)))
 	}
 	left.data = append(left.data, right.data...)
 	adapters.blocks = slices.Delete(adapters.blocks, index+1, index+2)
 }
 
-// trim drops unused capacity of the blocks that the edit changed.
-func (adapters *adapters) trim(edit *edit) {
-	if adapters.listed != edit {
+// trimCapacity releases unused capacity of the blocks that the edit changed.
+func (adapters *adapters) trimCapacity(token *editToken) {
+	if adapters.blocksOwner != token {
 		return
 	}
 	for _, block := range adapters.blocks {
-		if block.owner != edit {
+		if block.owner != token {
 			continue
 		}
 		if cap(block.data) > len(block.data)+len(block.data)/8 {
 			block.data = append(make([]byte, 0, len(block.data)), block.data...)
 		}
-		if cap(block.starts) > len(block.starts)+len(block.starts)/8 {
-			block.starts = append(make([]uint32, 0, len(block.starts)), block.starts...)
+		if cap(block.offsets) > len(block.offsets)+len(block.offsets)/8 {
+			block.offsets = append(make([]uint32, 0, len(block.offsets)), block.offsets...)
 		}
 	}
 }
--- a/internal/state/conf/adapters_test.go
+++ b/internal/state/conf/adapters_test.go
@@ -11,15 +11,16 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Guards against lost, duplicated or reordered adapters after block splits,
-// merges and copies, and against an edit that changes an older configuration.
+// Guards against adapters that are lost, duplicated or reordered when blocks
+// are split, merged and copied, and against an edit that changes an older
+// configuration.
 func TestAdaptersMatchMap(t *testing.T) {
 	tests := []struct {
 		name    string
 		edits   int
 		perEdit int
 		names   int
-		removes int // of 10 operations
+		removes int // removals in 10 operations
 	}{
 		{name: "growing", edits: 40, perEdit: 200, names: 5000, removes: 1},
 		{name: "churning", edits: 60, perEdit: 100, names: 300, removes: 5},
@@ -28,38 +29,38 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(1, 2))
-			config, naive := New(), map[string]AdapterSpec{}
-			type frozen struct {
-				config *Config
-				naive  map[string]AdapterSpec
+			config, reference := New(), map[string]AdapterSpec{}
+			type snapshot struct {
+				config    *Config
+				reference map[string]AdapterSpec
 			}
-			var history []frozen
+			var history []snapshot
 			for version := range test.edits {
 				editor := config.Edit()
 				for range test.perEdit {
 					name := fmt.Sprintf("adapter-%d", random.IntN(test.names))
 					if random.IntN(10) < test.removes {
 						editor.RemoveAdapter(name)
-						delete(naive, name)
+						delete(reference, name)
 						continue
 					}
 					spec := randomAdapter(random, name)
 					editor.PutAdapter(spec)
-					naive[name] = spec
+					reference[name] = spec
 				}
 				config = editor.Commit(uint64(version + 1))
-				history = append(history, frozen{config, maps.Clone(naive)})
+				history = append(history, snapshot{config, maps.Clone(reference)})
 			}
-			for _, frozen := range history {
-				if diff := cmp.Diff(sorted(frozen.naive), frozen.config.Adapters()); diff != "" {
-					t.Fatalf("version %d differs (-want +got):\n%s", frozen.config.Version(), diff)
+			for _, snapshot := range history {
+				if diff := cmp.Diff(sortedByName(snapshot.reference), snapshot.config.Adapters()); diff != "" {
+					t.Fatalf("version %d differs (-want +got):\n%s", snapshot.config.Version(), diff)
 				}
 				for name := range test.names {
 					name := fmt.Sprintf("adapter-%d", name)
-					want, known := frozen.naive[name]
-					got, ok := frozen.config.Adapter(name)
+					want, known := snapshot.reference[name]
+					got, ok := snapshot.config.Adapter(name)
 					if diff := cmp.Diff(want, got); diff != "" || ok != known {
-						t.Fatalf("adapter %q of version %d differs, ok %v (-want +got):\n%s", name, frozen.config.Version(), ok, diff)
+						t.Fatalf("adapter %q of version %d differs, ok %v (-want +got):\n%s", name, snapshot.config.Version(), ok, diff)
 					}
 				}
 			}
@@ -81,10 +82,10 @@
 	return spec
 }
 
-// Guards against a lookup that allocates, which the routing budget of 2 µs does
-// not allow.
+// Guards against a lookup that allocates memory: routing a request may take 2 µs
+// in all.
 func TestAdapterDoesNotAllocate(t *testing.T) {
-	config := filled(2000)
+	config := configWithAdapters(2000)
 	allocations := testing.AllocsPerRun(100, func() {
 		if _, ok := config.Adapter("adapter-of-some-team-001234"); !ok {
 			t.Fatal("adapter is missing")
@@ -95,7 +96,7 @@
 	}
 }
 
-func filled(count int) *Config {
+func configWithAdapters(count int) *Config {
 	editor := New().Edit()
 	for index := range count {
 		editor.PutAdapter(AdapterSpec{
@@ -117,12 +118,12 @@
 		for _, order := range []string{"sorted", "shuffled"} {
 			b.Run(fmt.Sprintf("%s-%d", order, size), func(b *testing.B) {
 				for b.Loop() {
-					before := heap()
-					config := filled(size)
+					before := heapBytes()
+					config := configWithAdapters(size)
 					if order == "shuffled" {
 						config = shuffled(config)
 					}
-					after := heap()
+					after := heapBytes()
 					b.ReportMetric(float64(after-before)/float64(size)-float64(nameBytes), "bytes-beside-name/adapter")
 					runtime.KeepAlive(config)
 				}
@@ -142,7 +143,7 @@
 	return editor.Commit(1)
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	var stats runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -153,7 +154,7 @@
 func BenchmarkAdapterLookup(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			config := filled(size)
+			config := configWithAdapters(size)
 			names := make([]string, 0, size)
 			for spec := range config.AllAdapters() {
 				names = append(names, spec.Name)
@@ -173,7 +174,7 @@
 func BenchmarkEdit(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			config := filled(size)
+			config := configWithAdapters(size)
 			names := slices.Collect(func(yield func(string) bool) {
 				for spec := range config.AllAdapters() {
 					if !yield(spec.Name) {
--- a/internal/state/conf/conf.go
+++ b/internal/state/conf/conf.go
@@ -1,6 +1,6 @@
-// Package conf holds the numbered configuration: organisations, keys, routes,
-// adapters, upstreams and halves. A Config is immutable; an Editor derives the
-// next one.
+// Package conf holds one version of the configuration: organisations, keys,
+// routes, adapters, upstreams and the settings of the whole fleet. A Config is
+// immutable; an Editor derives the next version from it.
 package conf
 
 import (
@@ -11,21 +11,24 @@
 // Tokens counts prompt and generated tokens.
 type Tokens int64
 
-// Half names one half of a splitting company. Empty means both halves.
+// Half names one of the two parts of a company that is being split, whose
+// requests must not run at the other part's upstreams. The empty string means
+// both parts.
 type Half string
 
-// CompatibleWith reports whether work of one half may run at the other.
+// CompatibleWith reports whether requests of one half may run at upstreams of
+// the other: the halves are equal, or one of them is empty.
 func (half Half) CompatibleWith(other Half) bool {
 	return half == "" || other == "" || half == other
 }
 
-// Class orders work in queues.
+// Class is the priority class of a route's requests in queues.
 type Class uint8
 
 const (
-	// Interactive work has a person waiting and goes first.
+	// Interactive requests have a person waiting and are served first.
 	Interactive Class = iota
-	// Patient work may wait up to its route's longest wait.
+	// Patient requests may wait up to their route's MaxWait.
 	Patient
 )
 
@@ -37,11 +40,13 @@
 	return "interactive"
 }
 
-// OrganisationSpec configures an organisation. Rate is in tokens per second.
+// OrganisationSpec configures an organisation and its token bucket.
 type OrganisationSpec struct {
-	Name  string
-	Half  Half
-	Rate  Tokens
+	Name string
+	Half Half
+	// Rate is the refill rate of the token bucket in tokens per second.
+	Rate Tokens
+	// Burst is the capacity of the token bucket.
 	Burst Tokens
 	// Shards lists the upstreams whose side processes host the quota shards.
 	Shards []string
@@ -50,35 +55,41 @@
 // DigestSize is the length of a key digest in bytes.
 const DigestSize = 32
 
-// KeySpec configures a caller's key. The secret itself is never stored.
+// KeySpec configures a caller's API key. The secret itself is never stored.
 type KeySpec struct {
 	ID           string
 	Organisation string
 	Salt         []byte
-	Digest       [DigestSize]byte
+	// Digest is the HMAC-SHA-256 of the secret under the salt.
+	Digest [DigestSize]byte
 }
 
-// RouteSpec configures how a kind of work is served.
+// RouteSpec configures how one kind of request is served.
 type RouteSpec struct {
 	Name    string
 	Service string
-	// Plain marks a route to a plain service; the others run on an adapter.
+	// Plain marks a route to a plain service, which has neither an engine nor
+	// adapters. The requests of all other routes run on an adapter.
 	Plain bool
-	// PathPrefix and Methods select the calls of a plain service.
+	// PathPrefix and Methods select the requests to a plain service.
 	PathPrefix string
 	Methods    []string
 	Class      Class
+	// MaxWait is the longest time that a request may wait in a queue.
 	MaxWait    time.Duration
 	Idempotent bool
-	// Open admits calls without a key.
-	Open             bool
+	// Open admits requests without a key.
+	Open bool
+	// DefaultMaxTokens bounds the generated tokens of a request that names no
+	// bound itself.
 	DefaultMaxTokens Tokens
-	// Cost is what one call of a plain service counts.
+	// Cost is the number of tokens that one request to a plain service counts
+	// against its organisation's rate.
 	Cost Tokens
 }
 
-// AdapterSpec configures an adapter. An empty organisation means that all may
-// use it.
+// AdapterSpec configures an adapter. If Organisation is empty, all
+// organisations may use the adapter.
 type AdapterSpec struct {
 	Name           string
 	Organisation   string
@@ -87,7 +98,7 @@
 	DefaultVersion uint32
 }
 
-// HasVersion reports whether the adapter may be served in this version.
+// HasVersion reports whether the version is one of the adapter's versions.
 func (adapter AdapterSpec) HasVersion(version uint32) bool {
 	for _, known := range adapter.Versions {
 		if known == version {
@@ -104,16 +115,20 @@
 	Plain         bool
 	Half          Half
 	FailureDomain string
-	// FencingChecked says that the upstream refuses old fencing tokens.
+	// FencingChecked means that the upstream rejects outdated fencing tokens.
 	FencingChecked bool
 }
 
-// FleetSpec configures what the whole fleet shares.
+// FleetSpec configures the limit on adapter loads that all upstreams of the
+// fleet share.
 type FleetSpec struct {
 	// LoadRateMilli is the number of adapter loads per 1,000 s.
 	LoadRateMilli int64
-	LoadBurst     int64
-	LoadShards    []string
+	// LoadBurst is the number of adapter loads that may start at once.
+	LoadBurst int64
+	// LoadShards lists the upstreams whose side processes host the quota shards
+	// for adapter loads.
+	LoadShards []string
 }
 
 // MarshalText implements encoding.TextMarshaler.
--- a/internal/state/conf/config.go
+++ b/internal/state/conf/config.go
@@ -18,7 +18,7 @@
 	fleet         FleetSpec
 }
 
-// New returns the empty configuration, version 0.
+// New returns the empty configuration with version 0.
 func New() *Config {
 	return &Config{
 		organisations: map[string]OrganisationSpec{},
@@ -29,7 +29,7 @@
 	}
 }
 
-// Version returns the number of the configuration.
+// Version returns the version number, which each accepted patch increments.
 func (config *Config) Version() uint64 { return config.version }
 
 // Organisation returns an organisation by name.
@@ -38,9 +38,9 @@
 	return organisation, ok
 }
 
-// Organisations returns all organisations by name.
+// Organisations returns all organisations, ordered by name.
 func (config *Config) Organisations() []OrganisationSpec {
-	return sorted(config.organisations)
+	return sortedByName(config.organisations)
 }
 
 // Key returns a key by its id.
@@ -49,8 +49,8 @@
 	return key, ok
 }
 
-// Keys returns all keys by id.
-func (config *Config) Keys() []KeySpec { return sorted(config.keys) }
+// Keys returns all keys, ordered by id.
+func (config *Config) Keys() []KeySpec { return sortedByName(config.keys) }
 
 // Route returns a route by name.
 func (config *Config) Route(name string) (RouteSpec, bool) {
@@ -58,11 +58,12 @@
 	return route, ok
 }
 
-// Routes returns all routes by name.
-func (config *Config) Routes() []RouteSpec { return sorted(config.routes) }
+// Routes returns all routes, ordered by name.
+func (config *Config) Routes() []RouteSpec { return sortedByName(config.routes) }
 
-// PlainRoute returns the route of a plain service with the longest prefix of
-// path that admits method.
+// PlainRoute returns the route of a plain service for a method and path. If
+// several match, the route with the longest path prefix is taken, and the first
+// by name among those with equal prefixes.
 func (config *Config) PlainRoute(service, method, path string) (RouteSpec, bool) {
 	var best RouteSpec
 	found := false
@@ -82,10 +83,12 @@
 	return best, found
 }
 
-// Adapter returns an adapter by name. The versions must not be changed.
+// Adapter returns an adapter by name. The caller must not change its Versions,
+// which may be shared.
 func (config *Config) Adapter(name string) (AdapterSpec, bool) { return config.adapters.get(name) }
 
-// Adapters returns all adapters by name. AllAdapters does without the copy.
+// Adapters returns a copy of all adapters, ordered by name. AllAdapters avoids
+// the copy.
 func (config *Config) Adapters() []AdapterSpec {
 	list := make([]AdapterSpec, 0, config.adapters.count)
 	return slices.AppendSeq(list, config.adapters.all())
@@ -100,8 +103,8 @@
 	return upstream, ok
 }
 
-// Upstreams returns all upstreams by id.
-func (config *Config) Upstreams() []UpstreamSpec { return sorted(config.upstreams) }
+// Upstreams returns all upstreams, ordered by id.
+func (config *Config) Upstreams() []UpstreamSpec { return sortedByName(config.upstreams) }
 
 // AllOrganisations iterates over all organisations in no particular order, without
 // copying them.
@@ -109,26 +112,25 @@
 	return maps.Values(config.organisations)
 }
 
-// AllKeys iterates over all keys in no particular order, without
-// copying them.
+// AllKeys iterates over all keys in no particular order, without copying them.
 func (config *Config) AllKeys() iter.Seq[KeySpec] { return maps.Values(config.keys) }
 
-// AllRoutes iterates over all routes in no particular order, without
-// copying them.
+// AllRoutes iterates over all routes in no particular order, without copying
+// them.
 func (config *Config) AllRoutes() iter.Seq[RouteSpec] { return maps.Values(config.routes) }
 
 // AllAdapters iterates over all adapters in the order of their names, without
-// copying them.
+// copying them. The caller must not change their Versions.
 func (config *Config) AllAdapters() iter.Seq[AdapterSpec] { return config.adapters.all() }
 
 // AllUpstreams iterates over all upstreams in no particular order, without
 // copying them.
 func (config *Config) AllUpstreams() iter.Seq[UpstreamSpec] { return maps.Values(config.upstreams) }
 
-// Fleet returns the settings that the whole fleet shares.
+// Fleet returns the settings of the whole fleet.
 func (config *Config) Fleet() FleetSpec { return config.fleet }
 
-func sorted[T any](items map[string]T) []T {
+func sortedByName[T any](items map[string]T) []T {
 	names := slices.Sorted(maps.Keys(items))
 	list := make([]T, 0, len(names))
 	for _, name := range names {
--- a/internal/state/conf/editor.go
+++ b/internal/state/conf/editor.go
@@ -2,14 +2,17 @@
 
 import "maps"
 
-// Editor derives a new configuration from a base. Maps are copied when they
-// are first written, so that the base stays unchanged.
+// Editor derives a new configuration from a base configuration. It copies each
+// map and block of adapters on the first write, so that the base configuration
+// stays unchanged.
 type Editor struct {
-	next   Config
+	next Config
+	// copied tells which maps of next are copies, by the indexes below.
 	copied [4]bool
-	edit   *edit
+	token  *editToken
 }
 
+// Indexes of Editor.copied.
 const (
 	organisationsCopied = iota
 	keysCopied
@@ -17,11 +20,11 @@
 	upstreamsCopied
 )
 
-// Edit starts an Editor on this configuration.
-func (config *Config) Edit() *Editor { return &Editor{next: *config, edit: new(edit)} }
+// Edit returns an Editor with this configuration as its base.
+func (config *Config) Edit() *Editor { return &Editor{next: *config, token: new(editToken)} }
 
-// Current returns the configuration as edited so far. It is valid until the
-// next edit.
+// Current returns the configuration with the edits made so far. The result is
+// valid until the next edit.
 func (editor *Editor) Current() *Config { return &editor.next }
 
 // PutOrganisation adds or replaces an organisation.
@@ -56,12 +59,12 @@
 
 // PutAdapter adds or replaces an adapter.
 func (editor *Editor) PutAdapter(adapter AdapterSpec) {
-	editor.next.adapters.put(editor.edit, adapter)
+	editor.next.adapters.put(editor.token, adapter)
 }
 
 // RemoveAdapter removes an adapter.
 func (editor *Editor) RemoveAdapter(name string) {
-	editor.next.adapters.remove(editor.edit, name)
+	editor.next.adapters.remove(editor.token, name)
 }
 
 // PutUpstream adds or replaces an upstream.
@@ -74,30 +77,31 @@
 	remove(editor, upstreamsCopied, &editor.next.upstreams, id)
 }
 
-// PutFleet replaces the fleet's settings.
+// PutFleet replaces the settings of the whole fleet.
 func (editor *Editor) PutFleet(fleet FleetSpec) { editor.next.fleet = fleet }
 
-// Commit returns the edited configuration under a version number.
+// Commit returns the edited configuration with a version number. The Editor
+// can be used again, with the returned configuration as its base.
 func (editor *Editor) Commit(version uint64) *Config {
-	editor.next.adapters.trim(editor.edit)
+	editor.next.adapters.trimCapacity(editor.token)
 	config := editor.next
 	config.version = version
-	editor.edit = new(edit)
+	editor.token = new(editToken)
 	editor.copied = [4]bool{}
 	return &config
 }
 
 func put[T any](editor *Editor, index int, items *map[string]T, name string, item T) {
-	own(editor, index, items)
+	cloneOnce(editor, index, items)
 	(*items)[name] = item
 }
 
 func remove[T any](editor *Editor, index int, items *map[string]T, name string) {
-	own(editor, index, items)
+	cloneOnce(editor, index, items)
 	delete(*items, name)
 }
 
-func own[T any](editor *Editor, index int, items *map[string]T) {
+func cloneOnce[T any](editor *Editor, index int, items *map[string]T) {
 	if editor.copied[index] {
 		return
 	}
--- a/internal/state/creds/creds.go
+++ b/internal/state/creds/creds.go
@@ -1,4 +1,5 @@
-// Package creds issues callers' keys and checks them against their digests.
+// Package creds issues callers' API keys and authenticates requests by them. A
+// key is written as the prefix "jf_", the key's id, "_" and the secret.
 package creds
 
 import (
@@ -20,7 +21,7 @@
 	idSize     = 8
 	secretSize = 32
 	saltSize   = 16
-	// maxKeyLength bounds the work on a header that holds no key.
+	// maxKeyLength bounds the time spent on a header that is not a key.
 	maxKeyLength = 128
 )
 
@@ -29,10 +30,11 @@
 	Key(id string) (conf.KeySpec, bool)
 }
 
-// Issue generates a key for an organisation. The key itself is returned once
-// and kept nowhere; the spec holds only its salted digest.
+// Issue generates a key for an organisation. It returns the key as the caller
+// sends it, which is not stored anywhere, and the spec to configure, which
+// holds only a salted digest of the secret.
 func Issue(organisation string) (string, conf.KeySpec) {
-	id, secret, salt := random(idSize), random(secretSize), random(saltSize)
+	id, secret, salt := randomBytes(idSize), randomBytes(secretSize), randomBytes(saltSize)
 	spec := conf.KeySpec{
 		ID:           hex.EncodeToString(id),
 		Organisation: organisation,
@@ -42,12 +44,13 @@
 	return Format(spec.ID, secret), spec
 }
 
-// Format returns the written form of a key.
+// Format returns a key in the form that callers send.
 func Format(id string, secret []byte) string {
 	return Prefix + id + "_" + base64.RawURLEncoding.EncodeToString(secret)
 }
 
-// Parse splits a key into its id and secret.
+// Parse splits a key into its id and secret. ok is false if the key is
+// malformed.
 func Parse(key string) (id string, secret []byte, ok bool) {
 	if len(key) > maxKeyLength {
 		return "", nil, false
@@ -56,8 +59,8 @@
 	if !ok {
 		return "", nil, false
 	}
-	// The id is hexadecimal, so the first underscore ends it even though the
-	// secret's alphabet contains underscores.
+	// The id is hexadecimal, so the first underscore is its end. The secret may
+	// contain underscores too.
 	id, encoded, ok := strings.Cut(rest, "_")
 	if !ok || !ValidID(id) {
 		return "", nil, false
@@ -86,41 +89,45 @@
 	return [conf.DigestSize]byte(mac.Sum(nil))
 }
 
-// Check compares a secret with the digest of a key in constant time.
+// Check reports whether the secret matches the digest of a key. It compares in
+// constant time.
 func Check(spec conf.KeySpec, secret []byte) bool {
 	digest := Digest(spec.Salt, secret)
 	return hmac.Equal(digest[:], spec.Digest[:])
 }
 
-// absent stands for a key that is not configured, so that an unknown id costs
-// as much time as a wrong secret.
-var absent = conf.KeySpec{Salt: make([]byte, saltSize)}
+// unknownKey is checked in place of a key that is not configured, so that
+// requests with an unknown id take as long as those with a wrong secret and
+// don't reveal which ids exist.
+var unknownKey = conf.KeySpec{Salt: make([]byte, saltSize)}
 
-// Authenticate returns the configured key that was presented.
+// Authenticate returns the configuration of the presented key. Its error is a
+// fault of kind Unauthenticated if the key is malformed or unknown, or the
+// secret is wrong.
 func Authenticate(keys Keys, presented string) (conf.KeySpec, error) {
 	id, secret, ok := Parse(presented)
 	if !ok {
-		return conf.KeySpec{}, refuse()
+		return conf.KeySpec{}, invalidKey()
 	}
 	spec, known := keys.Key(id)
 	if !known {
-		spec = absent
+		spec = unknownKey
 	}
 	if !Check(spec, secret) || !known {
-		return conf.KeySpec{}, refuse()
+		return conf.KeySpec{}, invalidKey()
 	}
 	return spec, nil
 }
 
-func refuse() error {
+func invalidKey() error {
 	return fault.New(fault.Unauthenticated, fault.NotRun,
 		"the key is malformed, unknown or withdrawn; send a valid key as 'Authorization: Bearer %s<id>_<secret>'", Prefix)
 }
 
-func random(size int) []byte {
+func randomBytes(size int) []byte {
 	data := make([]byte, size)
-	// Read never fails: crypto/rand ends the process when the system has no
-	// random bytes.
+	// Read never returns an error: crypto/rand ends the process if the system
+	// cannot provide random bytes.
 	_, _ = rand.Read(data)
 	return data
 }
--- a/internal/state/creds/creds_test.go
+++ b/internal/state/creds/creds_test.go
@@ -14,12 +14,12 @@
 	return spec, ok
 }
 
-// Guards against keys that are accepted although a part of them is wrong or
-// they were withdrawn, and against specs that hold the secret.
+// Guards against keys that are accepted although a part of the key is wrong or
+// the key was withdrawn, and against specs that contain the secret.
 func TestAuthenticate(t *testing.T) {
 	key, spec := Issue("looms")
 	for strings.ToUpper(spec.ID) == spec.ID {
-		// One id in 1,800 has digits only, so that capitals are the same.
+		// One id in 1,800 consists of digits only and is the same in capitals.
 		key, spec = Issue("looms")
 	}
 	other, otherSpec := Issue("looms")
@@ -27,7 +27,7 @@
 	_, otherSecret, _ := strings.Cut(strings.TrimPrefix(other, Prefix), "_")
 	withdrawn, _ := Issue("looms")
 	known := keys{spec.ID: spec, otherSpec.ID: otherSpec}
-	// The last character holds two unused bits, which are zero.
+	// The last character encodes two unused bits, which are 0.
 	const alphabet = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"
 	last := strings.IndexByte(alphabet, key[len(key)-1])
 	tests := []struct {
--- a/internal/state/fleet/fleet.go
+++ b/internal/state/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet keeps the list of upstreams as the platform's instance list
-// tells it, also over times in which that list cannot be read.
+// Package fleet keeps the list of upstreams, which is read from the platform's
+// instance list. It keeps upstreams whose entries expire because the instance
+// list is unavailable.
 package fleet
 
 import (
@@ -10,9 +11,9 @@
 	"time"
 )
 
-// DefaultReturn is how long upstreams whose entries lapsed during an outage of
-// the list have to come back after its end.
-const DefaultReturn = 2 * time.Second
+// DefaultGracePeriod is how long lapsed entries are kept after an outage of the
+// instance list, so that their upstreams can register again.
+const DefaultGracePeriod = 2 * time.Second
 
 // Upstream is one listed upstream.
 type Upstream struct {
@@ -24,38 +25,44 @@
 	Draining      bool
 	// Remaining is the time until the upstream ends, 0 if it is not known.
 	Remaining time.Duration
-	// StartedAt is the start in Unix milliseconds; another value is another start.
+	// StartedAt is when the upstream started, in Unix milliseconds. Each
+	// incarnation has another value.
 	StartedAt int64
 }
 
 // Config configures a List. Zero values mean the defaults.
 type Config struct {
-	Return time.Duration
+	// GracePeriod is how long lapsed entries are kept after an outage.
+	GracePeriod time.Duration
 }
 
-// List holds the upstreams. Its methods may be called concurrently.
+// List holds the upstreams. An entry is lapsed if it was removed from the
+// instance list during an outage or within the grace period after one, but is
+// still kept. The methods of a List may be called concurrently.
 type List struct {
 	config Config
 
 	mutex     sync.Mutex
 	upstreams map[string]Upstream
-	// lapsed holds entries that were removed around an outage.
-	lapsed map[string]bool
-	down   bool
-	upAt   time.Time
-	stamp  uint64
-	// ordered holds the upstreams as they were at the stamp orderedAt.
-	ordered   []Upstream
-	orderedAt uint64
+	// lapsed holds the ids of the lapsed entries.
+	lapsed         map[string]bool
+	unavailable    bool
+	availableSince time.Time
+	generation     uint64
+	// sorted holds the upstreams of the generation sortedGeneration, ordered by
+	// id.
+	sorted           []Upstream
+	sortedGeneration uint64
 }
 
 // New returns an empty List.
 func New(config Config) *List {
-	config.Return = cmp.Or(config.Return, DefaultReturn)
+	config.GracePeriod = cmp.Or(config.GracePeriod, DefaultGracePeriod)
 	return &List{config: config, upstreams: make(map[string]Upstream), lapsed: make(map[string]bool)}
 }
 
-// Set records an entry and reports whether it differs from what was known.
+// Set adds or replaces an entry, which is not lapsed any more, and reports
+// whether the entry is new or has changed.
 func (list *List) Set(upstream Upstream) bool {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
@@ -64,13 +71,14 @@
 		return false
 	}
 	list.upstreams[upstream.ID] = upstream
-	list.stamp++
+	list.generation++
 	return true
 }
 
-// Remove records that an entry was removed, and reports whether the upstream
-// is gone. An entry that lapses during an outage or just after it is kept until
-// Expire takes it.
+// Remove records that an entry was removed from the instance list, and reports
+// whether the upstream was removed here too. During an outage and in the grace
+// period after it, the entry of an upstream that is not draining becomes lapsed
+// instead and is kept until RemoveExpired removes it.
 func (list *List) Remove(id string) bool {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
@@ -78,7 +86,7 @@
 	if !ok {
 		return false
 	}
-	if !upstream.Draining && (list.down || time.Since(list.upAt) < list.config.Return) {
+	if !upstream.Draining && (list.unavailable || time.Since(list.availableSince) < list.config.GracePeriod) {
 		list.lapsed[id] = true
 		return false
 	}
@@ -94,8 +102,7 @@
 	return ok
 }
 
-// Lapsed reports whether an upstream's entry was removed around an outage, and
-// the upstream is kept for the present.
+// Lapsed reports whether the entry of an upstream is lapsed.
 func (list *List) Lapsed(id string) bool {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
@@ -105,11 +112,11 @@
 func (list *List) remove(id string) {
 	delete(list.upstreams, id)
 	delete(list.lapsed, id)
-	list.stamp++
+	list.generation++
 }
 
-// ReplaceAll records a complete reading of the list: what is not in it was
-// removed.
+// ReplaceAll records the complete instance list, as with Set for the entries in
+// it and with Remove for all others.
 func (list *List) ReplaceAll(upstreams []Upstream) {
 	present := make(map[string]bool, len(upstreams))
 	for _, upstream := range upstreams {
@@ -123,29 +130,30 @@
 	}
 }
 
-// MarkUnavailable records that the list cannot be read.
+// MarkUnavailable records that the instance list cannot be read.
 func (list *List) MarkUnavailable() {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
-	list.down = true
+	list.unavailable = true
 }
 
-// MarkAvailable records that the list was read.
+// MarkAvailable records that the instance list was read. If that ends an outage,
+// the grace period starts.
 func (list *List) MarkAvailable() {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
-	if list.down {
-		list.down = false
-		list.upAt = time.Now()
+	if list.unavailable {
+		list.unavailable = false
+		list.availableSince = time.Now()
 	}
 }
 
-// RemoveExpired removes the lapsed entries whose time to return has passed, and
+// RemoveExpired removes the lapsed entries when the grace period has passed, and
 // returns their ids.
 func (list *List) RemoveExpired() []string {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
-	if list.down || len(list.lapsed) == 0 || time.Since(list.upAt) < list.config.Return {
+	if list.unavailable || len(list.lapsed) == 0 || time.Since(list.availableSince) < list.config.GracePeriod {
 		return nil
 	}
 	gone := slices.Sorted(maps.Keys(list.lapsed))
@@ -155,26 +163,26 @@
 	return gone
 }
 
-// Upstreams returns all upstreams, ordered by id. The result is shared and must
-// not be changed.
+// Upstreams returns all upstreams, lapsed ones included, ordered by id. The
+// result is shared and must not be changed.
 func (list *List) Upstreams() []Upstream {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
-	if list.ordered != nil && list.orderedAt == list.stamp {
-		return list.ordered
+	if list.sorted != nil && list.sortedGeneration == list.generation {
+		return list.sorted
 	}
 	ids := slices.Sorted(maps.Keys(list.upstreams))
 	upstreams := make([]Upstream, 0, len(ids))
 	for _, id := range ids {
 		upstreams = append(upstreams, list.upstreams[id])
 	}
-	list.ordered, list.orderedAt = upstreams, list.stamp
+	list.sorted, list.sortedGeneration = upstreams, list.generation
 	return upstreams
 }
 
-// Generation returns a number that grows with each change.
+// Generation returns a counter that grows with each change of the upstreams.
 func (list *List) Generation() uint64 {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
-	return list.stamp
+	return list.generation
 }
--- a/internal/state/fleet/fleet_test.go
+++ b/internal/state/fleet/fleet_test.go
@@ -16,8 +16,9 @@
 	return ids
 }
 
-// TestLapse guards against upstreams that are dropped because their entries
-// lapsed while the store was away, and against ones that are kept for ever.
+// TestLapse guards against upstreams that are removed because their entries
+// expired while the platform's store was unavailable, and against upstreams
+// that are kept for ever after that.
 func TestLapse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := New(Config{})
@@ -29,7 +30,7 @@
 		list.MarkAvailable()
 		list.ReplaceAll(nil)
 		if diff := cmp.Diff([]string{"i-1", "i-2"}, ids(list)); diff != "" {
-			t.Errorf("after the return (-want +got):\n%s", diff)
+			t.Errorf("after the outage (-want +got):\n%s", diff)
 		}
 		time.Sleep(time.Second)
 		list.Set(Upstream{ID: "i-2"})
@@ -43,15 +44,15 @@
 	})
 }
 
-// TestRemove guards against new work for an upstream whose entry was removed
-// while the store is well.
+// TestRemove guards against new requests to an upstream whose entry was removed
+// while the platform's store is available.
 func TestRemove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := New(Config{})
 		time.Sleep(time.Hour)
 		list.Set(Upstream{ID: "i-1"})
 		if !list.Remove("i-1") {
-			t.Error("the upstream is still there")
+			t.Error("the upstream was not removed")
 		}
 		if diff := cmp.Diff([]string(nil), ids(list)); diff != "" {
 			t.Errorf("upstreams (-want +got):\n%s", diff)
@@ -59,21 +60,22 @@
 	})
 }
 
-// TestLapsed guards against an entry that lapses during an outage and of which
-// the other instances of a failure domain never hear.
+// TestLapsed guards against an instance that does not tell the others of its
+// failure domain about an entry that lapsed during an outage: it tells them of
+// the entries for which Lapsed is true.
 func TestLapsed(t *testing.T) {
 	list := New(Config{})
 	list.Set(Upstream{ID: "i-1"})
 	list.MarkUnavailable()
 	list.Remove("i-1")
 	if !list.Contains("i-1") || !list.Lapsed("i-1") {
-		t.Error("an entry that lapsed in an outage is not kept as such")
+		t.Error("an entry that was removed during an outage is not kept as lapsed")
 	}
 	list.Set(Upstream{ID: "i-1"})
 	if !list.Contains("i-1") || list.Lapsed("i-1") {
-		t.Error("an entry that came back counts as lapsed")
+		t.Error("an entry that was set again is still lapsed")
 	}
 	if list.Contains("i-2") || list.Lapsed("i-2") {
-		t.Error("an entry that never was is known")
+		t.Error("an entry that was never set is known")
 	}
 }
--- a/internal/state/patch/apply.go
+++ b/internal/state/patch/apply.go
@@ -6,112 +6,113 @@
 	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// MaxOps bounds the operations of one patch.
+// MaxOps is the largest number of operations in one patch.
 const MaxOps = 10_000
 
-// maxIDLength bounds patch ids, since the last 4,096 of them are kept.
+// maxIDLength bounds the length of patch ids in bytes, since the last 4,096 ids
+// are kept in memory.
 const maxIDLength = 64
 
-// draft is a configuration while a patch is applied to it.
+// draft is a configuration to which a patch is being applied.
 type draft struct {
 	base   *conf.Config
 	editor *conf.Editor
-	// created lists the organisations that the patch adds, ended the upstreams
-	// whose shards get new hosts.
-	created []string
-	ended   []string
-	// topology is set when the patch may change which half is served by what.
-	topology bool
+	// createdOrganisations lists the organisations that the patch adds.
+	createdOrganisations []string
+	// endedUpstreams lists the upstreams whose shards are moved to others.
+	endedUpstreams []string
+	// topologyChanged is set if the patch may change which upstreams serve a half.
+	topologyChanged bool
 }
 
-func (draft *draft) now() *conf.Config { return draft.editor.Current() }
+func (draft *draft) current() *conf.Config { return draft.editor.Current() }
 
-// Apply applies a patch to the configuration of its base version. It returns
-// the new configuration when the patch is accepted, otherwise the base. The
-// outcome depends on nothing but its arguments, so that every process folds a
-// record to the same result.
+// Apply applies a patch to a configuration. It returns the new configuration if
+// the patch is accepted, otherwise the given one. The result depends only on the
+// arguments, so that all processes that read the same log get the same versions.
 func Apply(config *conf.Config, patch Patch) (*conf.Config, Result) {
 	result := Result{ID: patch.ID, Version: config.Version()}
 	if problem := Validate(patch); problem != nil {
-		return config, problem.result(result)
+		return config, problem.invalidResult(result)
 	}
 	if patch.BaseVersion > config.Version() {
-		return config, refuse("base", "version %d does not exist yet; use the current version %d",
-			patch.BaseVersion, config.Version()).result(result)
+		return config, problemf("base", "version %d does not exist yet; use the current version %d",
+			patch.BaseVersion, config.Version()).invalidResult(result)
 	}
 	if patch.BaseVersion != config.Version() {
 		result.Kind = Conflict
 		return config, result
 	}
 	draft := &draft{base: config, editor: config.Edit()}
-	if problem := draft.run(patch); problem != nil {
-		return config, problem.result(result)
+	if problem := draft.applyOps(patch); problem != nil {
+		return config, problem.invalidResult(result)
 	}
 	result.Kind = Accepted
 	result.Version = config.Version() + 1
 	return draft.editor.Commit(result.Version), result
 }
 
-func (problem *Problem) result(result Result) Result {
+func (problem *Problem) invalidResult(result Result) Result {
 	result.Kind = Invalid
 	result.Field = problem.Field
 	result.Reason = problem.Reason
 	return result
 }
 
-// Validate refuses a patch that no configuration admits.
+// Validate returns the first problem that makes the patch invalid for every
+// configuration, or nil.
 func Validate(patch Patch) *Problem {
 	if patch.ID == "" || len(patch.ID) > maxIDLength || !printable(patch.ID) {
-		return refuse("id", "must be 1 to %d printable characters without spaces", maxIDLength)
+		return problemf("id", "must be 1 to %d printable characters without spaces", maxIDLength)
 	}
 	if len(patch.Operator) > maxNameLength {
-		return refuse("operator", "must be at most %d bytes", maxNameLength)
+		return problemf("operator", "must be at most %d bytes", maxNameLength)
 	}
 	if len(patch.Ops) == 0 || len(patch.Ops) > MaxOps {
-		return refuse("ops", "has %d operations; write 1 to %d", len(patch.Ops), MaxOps)
+		return problemf("ops", "has %d operations; write 1 to %d", len(patch.Ops), MaxOps)
 	}
 	targets := make(map[string]int, len(patch.Ops))
 	for index, op := range patch.Ops {
 		if op == nil {
-			return refuse(fmt.Sprintf("ops[%d]", index), "is of an unknown kind")
+			return problemf(fmt.Sprintf("ops[%d]", index), "is of an unknown kind")
 		}
 		target := op.Target()
 		if first, ok := targets[target]; ok {
-			return refuse(path(index, op, ""), "changes %s a second time after ops[%d]; write one operation for each object", target, first)
+			return problemf(fieldPath(index, op, ""), "changes %s a second time after ops[%d]; write one operation for each object", target, first)
 		}
 		targets[target] = index
 		if problem := op.check(); problem != nil {
-			return problem.at(index, op)
+			return problem.inOp(index, op)
 		}
 	}
 	return nil
 }
 
-func (draft *draft) run(patch Patch) *Problem {
+func (draft *draft) applyOps(patch Patch) *Problem {
 	for index, op := range patch.Ops {
 		if problem := op.apply(draft); problem != nil {
-			return problem.at(index, op)
+			return problem.inOp(index, op)
 		}
 	}
 	draft.assignShards()
 	for index, op := range patch.Ops {
 		if problem := op.verify(draft); problem != nil {
-			return problem.at(index, op)
+			return problem.inOp(index, op)
 		}
 	}
-	if draft.topology && !patch.Force {
+	if draft.topologyChanged && !patch.Force {
 		return draft.checkHalves()
 	}
 	return nil
 }
 
-func (problem *Problem) at(index int, op Op) *Problem {
+func (problem *Problem) inOp(index int, op Op) *Problem {
 	located := *problem
-	located.Field = path(index, op, problem.Field)
+	located.Field = fieldPath(index, op, problem.Field)
 	return &located
 }
 
-func path(index int, op Op, field string) string {
+func fieldPath(index int, op Op, field string) string {
 	if field != "" {
 		field = "." + field
 	}
--- a/internal/state/patch/names.go
+++ b/internal/state/patch/names.go
@@ -8,9 +8,11 @@
 )
 
 const (
-	// maxNameLength bounds names, which are kept for every adapter.
+	// maxNameLength bounds the length of names in bytes, since the names of all
+	// adapters are kept in memory.
 	maxNameLength = 128
-	// maxTokens keeps rate × time within 64 bits for more than a day.
+	// maxTokens bounds rates and costs, so that a rate multiplied by a time of
+	// more than a day still fits into 64 bits.
 	maxTokens conf.Tokens = 1_000_000_000_000
 )
 
@@ -20,14 +22,14 @@
 	}) < 0
 }
 
-// checkName refuses names that cannot be written in a URL path, a header or as
-// adapter@version.
+// checkName rejects names that cannot be written in a URL path or a header, or as
+// the adapter in adapter@version.
 func checkName(field, name string) *Problem {
 	if name == "" || len(name) > maxNameLength {
-		return refuse(field, "must have 1 to %d bytes", maxNameLength)
+		return problemf(field, "must have 1 to %d bytes", maxNameLength)
 	}
 	if !printable(name) || strings.ContainsAny(name, "@/?#%\"\\,") {
-		return refuse(field, "%q must consist of printable characters without spaces and without @ / ? # %% \" \\ ,", name)
+		return problemf(field, "%q must consist of printable characters without spaces and without @ / ? # %% \" \\ ,", name)
 	}
 	return nil
 }
--- a/internal/state/patch/patch.go
+++ b/internal/state/patch/patch.go
@@ -1,5 +1,5 @@
-// Package patch holds the operations of a configuration patch, their
-// validation and their application to a configuration.
+// Package patch defines configuration patches, validates them and applies them
+// to a configuration.
 package patch
 
 import (
@@ -8,27 +8,28 @@
 	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// Patch is a change against one numbered version.
+// Patch is a list of changes to one version of the configuration.
 type Patch struct {
-	ID          string
+	ID string
+	// BaseVersion is the version that the patch applies to.
 	BaseVersion uint64
 	Operator    string
-	// Force admits a patch that leaves a half without an upstream.
+	// Force allows the patch to leave a half without an upstream.
 	Force bool
 	Ops   []Op
 }
 
-// ResultKind is the result of a patch.
+// ResultKind is the kind of a patch's result.
 type ResultKind uint8
 
 const (
 	// Unknown means that the patch has not been read back from the log.
 	Unknown ResultKind = iota
-	// Accepted means that the patch is in force as Result.Version.
+	// Accepted means that the patch was applied and created Result.Version.
 	Accepted
-	// Conflict means that the patch's base is not the current version.
+	// Conflict means that the patch's base version is not the current version.
 	Conflict
-	// Invalid means that a field has a value that is not admitted.
+	// Invalid means that a field of the patch has an invalid value.
 	Invalid
 	// Duplicate means that a patch with this id was accepted before.
 	Duplicate
@@ -36,7 +37,7 @@
 
 var kindNames = [...]string{"unknown", "accepted", "conflict", "invalid", "duplicate"}
 
-// String returns the kind as written in answers and logs.
+// String returns the kind as written in responses and logs.
 func (kind ResultKind) String() string {
 	if int(kind) < len(kindNames) {
 		return kindNames[kind]
@@ -58,14 +59,14 @@
 	return fmt.Errorf("unknown patch result %q; known results: %v", text, kindNames)
 }
 
-// Result reports what became of a patch.
+// Result is the result of a patch.
 type Result struct {
 	ID   string
 	Kind ResultKind
-	// Version is the version that the patch created, or the current version
-	// when it was void.
+	// Version is the version that the patch created, or the current version if
+	// the patch was not accepted.
 	Version uint64
-	// Field and Reason explain an invalid patch.
+	// Field and Reason name the invalid field of a patch and what is wrong.
 	Field  string
 	Reason string
 }
@@ -90,19 +91,20 @@
 type Op interface {
 	// Kind returns the operation's name, such as "put-adapter".
 	Kind() string
-	// Target returns the kind and name of the changed object. A patch changes
-	// each object at most once.
+	// Target returns the kind and name of the object to change. A patch may
+	// change each object at most once.
 	Target() string
 
-	// check refuses values that are wrong in every configuration.
+	// check rejects values that are invalid in every configuration.
 	check() *Problem
-	// apply checks the operation against the draft and edits it.
+	// apply checks the operation against the draft and applies it.
 	apply(draft *draft) *Problem
-	// verify checks references once all operations are applied.
+	// verify checks references to other objects after all operations of the patch
+	// are applied.
 	verify(draft *draft) *Problem
 }
 
-// Problem is a refused field of a patch.
+// Problem is an invalid field of a patch and the reason.
 type Problem struct {
 	Field  string
 	Reason string
@@ -111,15 +113,15 @@
 // Error implements error.
 func (problem *Problem) Error() string { return problem.Field + ": " + problem.Reason }
 
-func refuse(field, format string, args ...any) *Problem {
+func problemf(field, format string, args ...any) *Problem {
 	return &Problem{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// The operations.
+// The operations of patches.
 type (
 	// PutOrganisation adds or replaces an organisation.
 	PutOrganisation struct{ Organisation conf.OrganisationSpec }
-	// RemoveOrganisation removes an organisation that nothing refers to.
+	// RemoveOrganisation removes an organisation without keys and adapters.
 	RemoveOrganisation struct{ Name string }
 	// PutKey adds a key.
 	PutKey struct{ Key conf.KeySpec }
@@ -135,13 +137,14 @@
 	RemoveAdapter struct{ Name string }
 	// PutUpstream adds or replaces an upstream.
 	PutUpstream struct{ Upstream conf.UpstreamSpec }
-	// RemoveUpstream removes an upstream. With Ended the operator attests that
-	// its side process has ended, and its shards are given to other upstreams.
+	// RemoveUpstream removes an upstream. With Ended the operator confirms that
+	// the upstream's side process has ended, and the quota shards that it hosts
+	// are moved to other upstreams.
 	RemoveUpstream struct {
 		ID    string
 		Ended bool
 	}
-	// PutFleet replaces the settings that the whole fleet shares.
+	// PutFleet replaces the settings of the whole fleet.
 	PutFleet struct{ Fleet conf.FleetSpec }
 )
 
--- a/internal/state/patch/patch_test.go
+++ b/internal/state/patch/patch_test.go
@@ -38,9 +38,9 @@
 
 const keyID = "0123456789abcdef"
 
-// base is a configuration with two halves, each with an upstream and an
-// organisation.
-func base(t *testing.T) *conf.Config {
+// baseConfig returns a configuration with two halves, each with an upstream and
+// an organisation.
+func baseConfig(t *testing.T) *conf.Config {
 	config, result := Apply(conf.New(), Patch{ID: "base", Ops: []Op{
 		organisation("looms", "east"), organisation("kilns", "west"), route("letters", "advisor"),
 		upstream("up-1", "east"), upstream("up-2", "west"), adapter("felt", nil), key(keyID, "looms"),
@@ -52,7 +52,7 @@
 }
 
 // Guards against patches that are accepted although they break a reference or
-// a bound, and against reports that name the wrong field.
+// exceed a bound, and against results that name the wrong field.
 func TestApply(t *testing.T) {
 	longName := string(bytes.Repeat([]byte("x"), 129))
 	tests := []struct {
@@ -105,7 +105,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			editor := base(t).Edit()
+			editor := baseConfig(t).Edit()
 			config := editor.Commit(8)
 			if test.base == 0 {
 				test.base = 8
@@ -121,12 +121,13 @@
 	}
 }
 
-// Guards against shards that change their number, that stay with an ended
-// upstream, or that move without the operator's word that it has ended, which
-// would let two hosts grant from one shard.
+// Guards against a changed number of shards, against shards that stay with an
+// ended upstream, and against shards that move before the operator confirms that
+// the upstream's side process has ended: two processes would grant tokens from
+// one shard.
 func TestShards(t *testing.T) {
 	config := conf.New()
-	step := func(force bool, ops ...Op) Result {
+	applyOps := func(force bool, ops ...Op) Result {
 		t.Helper()
 		next, result := Apply(config, Patch{ID: "patch", BaseVersion: config.Version(), Force: force, Ops: ops})
 		config = next
@@ -136,30 +137,30 @@
 		organisation, _ := config.Organisation("looms")
 		return organisation.Shards
 	}
-	if result := step(false, organisation("looms", "")); result.Field != "ops[0].put-organisation.shards" {
+	if result := applyOps(false, organisation("looms", "")); result.Field != "ops[0].put-organisation.shards" {
 		t.Errorf("an organisation without any upstream got %v", result)
 	}
 	var ops []Op
 	for index := range 12 {
 		ops = append(ops, upstream(fmt.Sprintf("up-%d", index), ""))
 	}
-	step(false, append(ops, organisation("looms", ""))...)
+	applyOps(false, append(ops, organisation("looms", ""))...)
 	first := slices.Clone(shards())
 	if compact := slices.Compact(slices.Sorted(slices.Values(first))); len(first) != MaxShards || len(compact) != MaxShards {
 		t.Fatalf("got shards %v, want %d different hosts", first, MaxShards)
 	}
-	step(false, upstream("up-99", ""), organisation("looms", ""))
+	applyOps(false, upstream("up-99", ""), organisation("looms", ""))
 	if diff := cmp.Diff(first, shards()); diff != "" {
 		t.Errorf("a later change moved shards (-want +got):\n%s", diff)
 	}
-	step(false, RemoveUpstream{ID: first[2]})
+	applyOps(false, RemoveUpstream{ID: first[2]})
 	if diff := cmp.Diff(first, shards()); diff != "" {
 		t.Errorf("removal without ended moved shards (-want +got):\n%s", diff)
 	}
-	if result := step(false, upstream(first[2], "")); result.Field != "ops[0].put-upstream.id" {
-		t.Errorf("a removed host of shards came back: %v", result)
+	if result := applyOps(false, upstream(first[2], "")); result.Field != "ops[0].put-upstream.id" {
+		t.Errorf("the id of a removed host of shards was accepted again: %v", result)
 	}
-	step(false, RemoveUpstream{ID: first[2], Ended: true})
+	applyOps(false, RemoveUpstream{ID: first[2], Ended: true})
 	moved := shards()
 	if moved[2] == first[2] || slices.Contains(first, moved[2]) || len(moved) != MaxShards {
 		t.Errorf("got shards %v after %v, want the third on another host", moved, first)
@@ -170,7 +171,7 @@
 		t.Errorf("other shards moved too (-want +got):\n%s", diff)
 	}
 	for upstream := range config.AllUpstreams() {
-		result := step(false, RemoveUpstream{ID: upstream.ID, Ended: true})
+		result := applyOps(false, RemoveUpstream{ID: upstream.ID, Ended: true})
 		if left := len(config.Upstreams()); left == 1 && result.Kind == Accepted {
 			continue
 		} else if result.Kind != Accepted && left > 1 {
--- a/internal/state/patch/service.go
+++ b/internal/state/patch/service.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// maxLongestWait bounds how long a route may let a request wait.
-	maxLongestWait = time.Hour
-	// maxVersions bounds the versions of one adapter that are served at a time.
+	// maxRouteWait bounds the MaxWait of a route.
+	maxRouteWait = time.Hour
+	// maxVersions is the largest number of versions of one adapter.
 	maxVersions = 64
 )
 
@@ -21,16 +21,16 @@
 		return problem
 	}
 	if route.Class > conf.Patient {
-		return refuse("class", "%d is unknown; write interactive or patient", route.Class)
+		return problemf("class", "%d is unknown; write interactive or patient", route.Class)
 	}
-	if route.MaxWait <= 0 || route.MaxWait > maxLongestWait || route.MaxWait%time.Microsecond != 0 {
-		return refuse("longest-wait", "%v must be more than 0 and at most %v, in whole microseconds", route.MaxWait, maxLongestWait)
+	if route.MaxWait <= 0 || route.MaxWait > maxRouteWait || route.MaxWait%time.Microsecond != 0 {
+		return problemf("longest-wait", "%v must be more than 0 and at most %v, in whole microseconds", route.MaxWait, maxRouteWait)
 	}
 	if route.DefaultMaxTokens < 0 || route.DefaultMaxTokens > maxTokens {
-		return refuse("default-max-tokens", "%d must be 0 to %d", route.DefaultMaxTokens, maxTokens)
+		return problemf("default-max-tokens", "%d must be 0 to %d", route.DefaultMaxTokens, maxTokens)
 	}
 	if route.Cost < 0 || route.Cost > maxTokens {
-		return refuse("cost", "%d must be 0 to %d", route.Cost, maxTokens)
+		return problemf("cost", "%d must be 0 to %d", route.Cost, maxTokens)
 	}
 	if !route.Plain {
 		return checkModelRoute(route)
@@ -40,35 +40,35 @@
 
 func checkModelRoute(route conf.RouteSpec) *Problem {
 	if route.PathPrefix != "" || len(route.Methods) > 0 || route.Cost != 0 {
-		return refuse("plain", "is false, but path-prefix, methods and cost are for plain services; leave them out or set plain")
+		return problemf("plain", "is false, but path-prefix, methods and cost are for plain services; leave them out or set plain")
 	}
 	if route.DefaultMaxTokens == 0 {
-		return refuse("default-max-tokens", "must be at least 1 on a route that runs on an adapter")
+		return problemf("default-max-tokens", "must be at least 1 on a route that runs on an adapter")
 	}
 	return nil
 }
 
 func checkPlainRoute(route conf.RouteSpec) *Problem {
 	if !strings.HasPrefix(route.PathPrefix, "/") || len(route.PathPrefix) > maxNameLength || !printable(route.PathPrefix) {
-		return refuse("path-prefix", "%q must start with / and have at most %d printable characters", route.PathPrefix, maxNameLength)
+		return problemf("path-prefix", "%q must start with / and have at most %d printable characters", route.PathPrefix, maxNameLength)
 	}
 	if route.DefaultMaxTokens != 0 {
-		return refuse("default-max-tokens", "is for routes that run on an adapter; use cost")
+		return problemf("default-max-tokens", "is for routes that run on an adapter; use cost")
 	}
 	for index, method := range route.Methods {
 		if method == "" || len(method) > 16 || strings.Trim(method, "ABCDEFGHIJKLMNOPQRSTUVWXYZ") != "" {
-			return refuse("methods", "%q is not an HTTP method in capitals", method)
+			return problemf("methods", "%q is not an HTTP method in capitals", method)
 		}
 		if slices.Contains(route.Methods[:index], method) {
-			return refuse("methods", "%s is listed twice", method)
+			return problemf("methods", "%s is listed twice", method)
 		}
 	}
 	return nil
 }
 
 func (op PutRoute) apply(draft *draft) *Problem { //nolint:unparam // Op requires the result
-	current, exists := draft.now().Route(op.Route.Name)
-	draft.topology = draft.topology || !exists || current.Service != op.Route.Service
+	current, exists := draft.current().Route(op.Route.Name)
+	draft.topologyChanged = draft.topologyChanged || !exists || current.Service != op.Route.Service
 	draft.editor.PutRoute(op.Route)
 	return nil
 }
@@ -80,8 +80,8 @@
 func (op RemoveRoute) check() *Problem { return nil }
 
 func (op RemoveRoute) apply(draft *draft) *Problem {
-	if _, ok := draft.now().Route(op.Name); !ok {
-		return refuse("", "route %q does not exist", op.Name)
+	if _, ok := draft.current().Route(op.Name); !ok {
+		return problemf("", "route %q does not exist", op.Name)
 	}
 	draft.editor.RemoveRoute(op.Name)
 	return nil
@@ -95,17 +95,17 @@
 		return problem
 	}
 	if len(adapter.Versions) == 0 || len(adapter.Versions) > maxVersions {
-		return refuse("versions", "has %d entries; write 1 to %d", len(adapter.Versions), maxVersions)
+		return problemf("versions", "has %d entries; write 1 to %d", len(adapter.Versions), maxVersions)
 	}
 	var last uint32
 	for _, version := range adapter.Versions {
 		if version <= last {
-			return refuse("versions", "%v must be positive, ascending and without duplicates", adapter.Versions)
+			return problemf("versions", "%v must be positive, ascending and without duplicates", adapter.Versions)
 		}
 		last = version
 	}
 	if !adapter.HasVersion(adapter.DefaultVersion) {
-		return refuse("default-version", "%d is not among the versions %v", adapter.DefaultVersion, adapter.Versions)
+		return problemf("default-version", "%d is not among the versions %v", adapter.DefaultVersion, adapter.Versions)
 	}
 	return nil
 }
@@ -122,7 +122,7 @@
 		}
 	}
 	if !draft.serviceExists(op.Adapter.Service) {
-		return refuse("service", "no upstream and no route is configured for service %q; put one in this or an earlier patch", op.Adapter.Service)
+		return problemf("service", "no upstream and no route is configured for service %q; put one in this or an earlier patch", op.Adapter.Service)
 	}
 	return draft.checkPlain(op.Adapter.Service, false)
 }
@@ -130,8 +130,8 @@
 func (op RemoveAdapter) check() *Problem { return nil }
 
 func (op RemoveAdapter) apply(draft *draft) *Problem {
-	if _, ok := draft.now().Adapter(op.Name); !ok {
-		return refuse("", "adapter %q does not exist", op.Name)
+	if _, ok := draft.current().Adapter(op.Name); !ok {
+		return problemf("", "adapter %q does not exist", op.Name)
 	}
 	draft.editor.RemoveAdapter(op.Name)
 	return nil
@@ -140,12 +140,12 @@
 func (op RemoveAdapter) verify(*draft) *Problem { return nil }
 
 func (draft *draft) serviceExists(service string) bool {
-	for route := range draft.now().AllRoutes() {
+	for route := range draft.current().AllRoutes() {
 		if route.Service == service {
 			return true
 		}
 	}
-	for upstream := range draft.now().AllUpstreams() {
+	for upstream := range draft.current().AllUpstreams() {
 		if upstream.Service == service {
 			return true
 		}
@@ -153,21 +153,21 @@
 	return false
 }
 
-// checkPlain refuses a service that is plain for some of its routes and
-// upstreams and runs on adapters for others.
+// checkPlain rejects a service that is plain for some of its routes and
+// upstreams but not for others.
 func (draft *draft) checkPlain(service string, plain bool) *Problem {
-	for route := range draft.now().AllRoutes() {
+	for route := range draft.current().AllRoutes() {
 		if route.Service == service && route.Plain != plain {
-			return refuse("plain", "differs from the other routes of service %q", service)
+			return problemf("plain", "differs from the other routes of service %q", service)
 		}
 	}
-	for upstream := range draft.now().AllUpstreams() {
+	for upstream := range draft.current().AllUpstreams() {
 		if upstream.Service == service {
 			if upstream.Plain != plain {
-				return refuse("plain", "differs from the upstreams of service %q", service)
+				return problemf("plain", "differs from the upstreams of service %q", service)
 			}
-			// The upstreams of one service agree, since each was checked when it
-			// was put.
+			// All upstreams of a service agree, since each was checked when it was
+			// put.
 			break
 		}
 	}
--- a/internal/state/patch/shards.go
+++ b/internal/state/patch/shards.go
@@ -9,22 +9,23 @@
 	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// MaxShards bounds the quota shards of one organisation.
+// MaxShards is the largest number of quota shards of one organisation.
 const MaxShards = 8
 
-// loadPermits names the quota shard set of the fleet's adapter loads.
-const loadPermits = "load-permits"
+// loadShardSet names the set of quota shards for the fleet's adapter loads. It
+// is hashed in place of an organisation's name.
+const loadShardSet = "load-permits"
 
-func compareServed(left, right served) int {
+func compareHalfServices(left, right halfService) int {
 	return cmp.Or(cmp.Compare(left.half, right.half), cmp.Compare(left.service, right.service))
 }
 
-// hosts reports whether any quota shard is assigned to the upstream.
-func (draft *draft) hosts(upstream string) bool {
-	if slices.Contains(draft.now().Fleet().LoadShards, upstream) {
+// hostsShards reports whether any quota shard is assigned to the upstream.
+func (draft *draft) hostsShards(upstream string) bool {
+	if slices.Contains(draft.current().Fleet().LoadShards, upstream) {
 		return true
 	}
-	for organisation := range draft.now().AllOrganisations() {
+	for organisation := range draft.current().AllOrganisations() {
 		if slices.Contains(organisation.Shards, upstream) {
 			return true
 		}
@@ -32,60 +33,63 @@
 	return false
 }
 
-// assignShards gives shards to new organisations and moves the shards of ended
-// upstreams. The number of an organisation's shards never changes.
+// assignShards assigns shards to new organisations and moves the shards of ended
+// upstreams. It never changes the number of an organisation's shards.
 func (draft *draft) assignShards() {
-	if len(draft.ended) > 0 {
+	if len(draft.endedUpstreams) > 0 {
 		draft.moveShards()
 	}
-	for _, name := range draft.created {
-		organisation, ok := draft.now().Organisation(name)
+	for _, name := range draft.createdOrganisations {
+		organisation, ok := draft.current().Organisation(name)
 		if !ok {
 			continue
 		}
-		organisation.Shards = firstHosts(draft.now(), name)
+		organisation.Shards = initialHosts(draft.current(), name)
 		draft.editor.PutOrganisation(organisation)
 	}
-	fleet := draft.now().Fleet()
+	fleet := draft.current().Fleet()
 	if fleet.LoadRateMilli > 0 && len(fleet.LoadShards) == 0 {
-		fleet.LoadShards = firstHosts(draft.now(), loadPermits)
+		fleet.LoadShards = initialHosts(draft.current(), loadShardSet)
 		draft.editor.PutFleet(fleet)
 	}
 }
 
 func (draft *draft) moveShards() {
-	for _, organisation := range draft.now().Organisations() {
-		if shards, moved := draft.rehost(organisation.Name, organisation.Shards); moved {
+	for _, organisation := range draft.current().Organisations() {
+		if shards, moved := draft.replaceEnded(organisation.Name, organisation.Shards); moved {
 			organisation.Shards = shards
 			draft.editor.PutOrganisation(organisation)
 		}
 	}
-	fleet := draft.now().Fleet()
-	if shards, moved := draft.rehost(loadPermits, fleet.LoadShards); moved {
+	fleet := draft.current().Fleet()
+	if shards, moved := draft.replaceEnded(loadShardSet, fleet.LoadShards); moved {
 		fleet.LoadShards = shards
 		draft.editor.PutFleet(fleet)
 	}
 }
 
-// rehost replaces ended hosts by the upstreams with the fewest shards of the
-// set, in rendezvous order.
-func (draft *draft) rehost(set string, shards []string) ([]string, bool) {
-	if !slices.ContainsFunc(shards, func(host string) bool { return slices.Contains(draft.ended, host) }) {
+// replaceEnded replaces each ended upstream in a shard set with the upstream that
+// hosts the fewest shards of the set, the first by rendezvous hashing if several
+// do. It reports whether it changed anything.
+func (draft *draft) replaceEnded(set string, shards []string) ([]string, bool) {
+	if !slices.ContainsFunc(shards, func(host string) bool { return slices.Contains(draft.endedUpstreams, host) }) {
 		return shards, false
 	}
-	ranked := rank(draft.now(), set)
+	ranked := rankUpstreams(draft.current(), set)
 	if len(ranked) == 0 {
 		return shards, false
 	}
 	moved := slices.Clone(shards)
 	for index, host := range moved {
-		if slices.Contains(draft.ended, host) {
+		if slices.Contains(draft.endedUpstreams, host) {
 			moved[index] = leastUsed(ranked, moved)
 		}
 	}
 	return moved, true
 }
 
+// leastUsed returns the first of the ranked upstreams that hosts the fewest
+// shards.
 func leastUsed(ranked, shards []string) string {
 	counts := make(map[string]int, len(shards))
 	for _, host := range shards {
@@ -96,13 +100,16 @@
 	})
 }
 
-func firstHosts(config *conf.Config, set string) []string {
-	ranked := rank(config, set)
+// initialHosts returns the upstreams that host the shards of a new set: the
+// first MaxShards by rendezvous hashing, or all if there are fewer.
+func initialHosts(config *conf.Config, set string) []string {
+	ranked := rankUpstreams(config, set)
 	return slices.Clone(ranked[:min(MaxShards, len(ranked))])
 }
 
-// rank orders the upstreams by rendezvous hash for a shard set.
-func rank(config *conf.Config, set string) []string {
+// rankUpstreams returns the upstreams in the order of their rendezvous hashes
+// for a shard set.
+func rankUpstreams(config *conf.Config, set string) []string {
 	type scored struct {
 		id    string
 		score uint64
--- a/internal/state/replay/chunk.go
+++ b/internal/state/replay/chunk.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// ChunkSize is the length of a snapshot chunk's data in bytes. It keeps a
-// record well below the 4 MiB that messages may have.
+// ChunkSize is the length of a snapshot chunk's data in bytes. It keeps records
+// well below the message limit of 4 MiB.
 const ChunkSize = 256 << 10
 
-// MaxChunks bounds a snapshot to 64 MiB.
+// MaxChunks is the largest number of chunks of one snapshot, 64 MiB in all.
 const MaxChunks = 256
 
 // Chunk is a part of an encoded State.
@@ -20,22 +20,22 @@
 	Digest [sha256.Size]byte
 	Index  uint32
 	Count  uint32
-	// ResumeOffset is the offset from which a reader of the snapshot resumes: the
-	// writer had folded all records before it.
+	// ResumeOffset is the log offset at which a reader of the snapshot goes on.
+	// The writer had applied all records before it.
 	ResumeOffset uint64
 	Data         []byte
 }
 
-// Valid reports whether the chunk's numbers agree with each other.
+// Valid reports whether the chunk's fields are consistent with each other.
 func (chunk Chunk) Valid() bool {
 	last := chunk.Index+1 == chunk.Count
 	return chunk.Version > 0 && chunk.Count > 0 && chunk.Count <= MaxChunks && chunk.Index < chunk.Count &&
 		len(chunk.Data) > 0 && len(chunk.Data) <= ChunkSize && (last || len(chunk.Data) == ChunkSize)
 }
 
-// Split cuts an encoded State into chunks. The data of the chunks is shared
-// with the encoding.
-func Split(version, next uint64, encoded []byte) []Chunk {
+// Split splits an encoded State into chunks. The chunks' data refers to encoded
+// and is not copied.
+func Split(version, resumeOffset uint64, encoded []byte) []Chunk {
 	digest := sha256.Sum256(encoded)
 	count := uint32((len(encoded) + ChunkSize - 1) / ChunkSize)
 	chunks := make([]Chunk, 0, count)
@@ -43,118 +43,127 @@
 		start := int(index) * ChunkSize
 		end := min(start+ChunkSize, len(encoded))
 		chunks = append(chunks, Chunk{
-			Version: version, Digest: digest, Index: index, Count: count, ResumeOffset: next, Data: encoded[start:end],
+			Version: version, Digest: digest, Index: index, Count: count, ResumeOffset: resumeOffset, Data: encoded[start:end],
 		})
 	}
 	return chunks
 }
 
-// maxSets bounds the snapshots that are watched at a time. An older one is
-// dropped when another version's chunk arrives.
-const maxSets = 4
+// maxChunkSets bounds the number of snapshots that are tracked at a time. When
+// the first chunk of a further snapshot is read, the one that was seen first is
+// dropped.
+const maxChunkSets = 4
 
-// SnapshotTracker watches the snapshot chunks on the log. It keeps their data only
-// while Collect is set.
+// SnapshotTracker tracks which snapshots on the log are complete. It keeps the
+// data of their chunks only while CollectData is set.
 type SnapshotTracker struct {
-	CollectData bool
-	sets        []*set
-	newest      time.Time
+	CollectData    bool
+	sets           []*chunkSet
+	newestComplete time.Time
 }
 
-type set struct {
-	version uint64
-	digest  [sha256.Size]byte
-	next    uint64
-	times   []time.Time
-	data    [][]byte
+// chunkSet holds the chunks of one snapshot that were read.
+type chunkSet struct {
+	version      uint64
+	digest       [sha256.Size]byte
+	resumeOffset uint64
+	// appended holds when each chunk was appended, or the zero time if the chunk
+	// was not read yet.
+	appended []time.Time
+	data     [][]byte
 }
 
-// Add records a chunk that was appended at a time. When it completes a
-// snapshot whose data was collected, Add returns the encoded State and the
-// offset from which to resume.
-func (snapshots *SnapshotTracker) Add(chunk Chunk, appended time.Time) (encoded []byte, next uint64, ok bool) {
+// Add records a chunk and the time at which it was appended. If the chunk
+// completes a snapshot whose data was collected, Add returns the encoded State
+// and the log offset at which to go on. It ignores invalid chunks.
+func (snapshotTracker *SnapshotTracker) Add(chunk Chunk, appended time.Time) (encoded []byte, next uint64, ok bool) {
 	if !chunk.Valid() {
 		return nil, 0, false
 	}
-	set := snapshots.set(chunk)
-	set.next = max(set.next, chunk.ResumeOffset)
-	set.times[chunk.Index] = appended
-	if age := oldest(set.times); age.After(snapshots.newest) {
-		snapshots.newest = age
+	set := snapshotTracker.findOrAddSet(chunk)
+	set.resumeOffset = max(set.resumeOffset, chunk.ResumeOffset)
+	set.appended[chunk.Index] = appended
+	if oldestChunk := earliest(set.appended); oldestChunk.After(snapshotTracker.newestComplete) {
+		snapshotTracker.newestComplete = oldestChunk
 	}
-	if !snapshots.CollectData {
+	if !snapshotTracker.CollectData {
 		return nil, 0, false
 	}
 	set.data[chunk.Index] = bytes.Clone(chunk.Data)
 	return set.assemble()
 }
 
-// NewestComplete returns when the oldest chunk of the newest complete snapshot was
-// appended, or the zero time when no complete snapshot was seen.
-func (snapshots *SnapshotTracker) NewestComplete() time.Time { return snapshots.newest }
+// NewestComplete returns the time of the newest complete snapshot, at which the
+// oldest of its chunks was appended. It returns the zero time if no snapshot is
+// complete.
+func (snapshotTracker *SnapshotTracker) NewestComplete() time.Time {
+	return snapshotTracker.newestComplete
+}
 
-// RecordComplete records that another process saw a complete snapshot of this time.
-func (snapshots *SnapshotTracker) RecordComplete(newest time.Time) {
-	if newest.After(snapshots.newest) {
-		snapshots.newest = newest
+// RecordComplete records that another process has seen a complete snapshot of
+// the given time.
+func (snapshotTracker *SnapshotTracker) RecordComplete(newest time.Time) {
+	if newest.After(snapshotTracker.newestComplete) {
+		snapshotTracker.newestComplete = newest
 	}
 }
 
-// LastAppended returns when a chunk of the same snapshot was last appended, or the
-// zero time.
-func (snapshots *SnapshotTracker) LastAppended(chunk Chunk) time.Time {
-	for _, set := range snapshots.sets {
-		if set.holds(chunk) {
-			return set.times[chunk.Index]
+// LastAppended returns when the same chunk of the same snapshot was last
+// appended, or the zero time if it was not.
+func (snapshotTracker *SnapshotTracker) LastAppended(chunk Chunk) time.Time {
+	for _, set := range snapshotTracker.sets {
+		if set.matches(chunk) {
+			return set.appended[chunk.Index]
 		}
 	}
 	return time.Time{}
 }
 
-// DiscardData drops the collected data.
-func (snapshots *SnapshotTracker) DiscardData() {
-	for _, set := range snapshots.sets {
+// DiscardData discards the collected data of all chunks.
+func (snapshotTracker *SnapshotTracker) DiscardData() {
+	for _, set := range snapshotTracker.sets {
 		clear(set.data)
 	}
 }
 
-func (snapshots *SnapshotTracker) set(chunk Chunk) *set {
-	for _, set := range snapshots.sets {
-		if set.holds(chunk) {
+func (snapshotTracker *SnapshotTracker) findOrAddSet(chunk Chunk) *chunkSet {
+	for _, set := range snapshotTracker.sets {
+		if set.matches(chunk) {
 			return set
 		}
 	}
-	added := &set{
+	added := &chunkSet{
 		version: chunk.Version, digest: chunk.Digest,
-		times: make([]time.Time, chunk.Count), data: make([][]byte, chunk.Count),
+		appended: make([]time.Time, chunk.Count), data: make([][]byte, chunk.Count),
 	}
-	if len(snapshots.sets) == maxSets {
-		snapshots.sets = snapshots.sets[1:]
+	if len(snapshotTracker.sets) == maxChunkSets {
+		snapshotTracker.sets = snapshotTracker.sets[1:]
 	}
-	snapshots.sets = append(snapshots.sets, added)
+	snapshotTracker.sets = append(snapshotTracker.sets, added)
 	return added
 }
 
-func (set *set) holds(chunk Chunk) bool {
-	return set.digest == chunk.Digest && set.version == chunk.Version && len(set.times) == int(chunk.Count)
+func (chunkSet *chunkSet) matches(chunk Chunk) bool {
+	return chunkSet.digest == chunk.Digest && chunkSet.version == chunk.Version && len(chunkSet.appended) == int(chunk.Count)
 }
 
-// assemble joins the chunks when all of them are there and match the digest.
-func (set *set) assemble() ([]byte, uint64, bool) {
-	for _, data := range set.data {
+// assemble returns the encoded State and the resume offset if all chunks are
+// present and match the digest. It discards chunks that don't match.
+func (chunkSet *chunkSet) assemble() ([]byte, uint64, bool) {
+	for _, data := range chunkSet.data {
 		if data == nil {
 			return nil, 0, false
 		}
 	}
-	encoded := bytes.Join(set.data, nil)
-	if sha256.Sum256(encoded) != set.digest {
-		clear(set.data)
+	encoded := bytes.Join(chunkSet.data, nil)
+	if sha256.Sum256(encoded) != chunkSet.digest {
+		clear(chunkSet.data)
 		return nil, 0, false
 	}
-	return encoded, set.next, true
+	return encoded, chunkSet.resumeOffset, true
 }
 
-func oldest(times []time.Time) time.Time {
+func earliest(times []time.Time) time.Time {
 	first := times[0]
 	for _, at := range times[1:] {
 		if at.Before(first) {
--- a/internal/state/replay/recent.go
+++ b/internal/state/replay/recent.go
@@ -2,64 +2,69 @@
 
 import "jacinthfront.dev/jacinthfront/internal/state/patch"
 
-// recent holds the ids of the last accepted patches.
-type recent struct {
-	ids      []string
-	head     int
+// recentPatches holds the ids of the last MaxRecentPatches accepted patches in a
+// ring buffer, and the versions that they created.
+type recentPatches struct {
+	ids []string
+	// oldest is the index of the oldest id once the buffer is full.
+	oldest   int
 	versions map[string]uint64
 }
 
-func newRecent() *recent {
-	return &recent{versions: map[string]uint64{}}
+func newRecentPatches() *recentPatches {
+	return &recentPatches{versions: map[string]uint64{}}
 }
 
-func (recent *recent) version(id string) (uint64, bool) {
-	version, ok := recent.versions[id]
+func (recentPatches *recentPatches) version(id string) (uint64, bool) {
+	version, ok := recentPatches.versions[id]
 	return version, ok
 }
 
-func (recent *recent) add(id string, version uint64) {
-	recent.versions[id] = version
-	if len(recent.ids) < MaxRecentPatches {
-		recent.ids = append(recent.ids, id)
+func (recentPatches *recentPatches) add(id string, version uint64) {
+	recentPatches.versions[id] = version
+	if len(recentPatches.ids) < MaxRecentPatches {
+		recentPatches.ids = append(recentPatches.ids, id)
 		return
 	}
-	delete(recent.versions, recent.ids[recent.head])
-	recent.ids[recent.head] = id
-	recent.head = (recent.head + 1) % MaxRecentPatches
+	delete(recentPatches.versions, recentPatches.ids[recentPatches.oldest])
+	recentPatches.ids[recentPatches.oldest] = id
+	recentPatches.oldest = (recentPatches.oldest + 1) % MaxRecentPatches
 }
 
-func (recent *recent) list() []string {
-	list := make([]string, 0, len(recent.ids))
-	list = append(list, recent.ids[recent.head:]...)
-	return append(list, recent.ids[:recent.head]...)
+func (recentPatches *recentPatches) list() []string {
+	list := make([]string, 0, len(recentPatches.ids))
+	list = append(list, recentPatches.ids[recentPatches.oldest:]...)
+	return append(list, recentPatches.ids[:recentPatches.oldest]...)
 }
 
-// maxResults bounds the results of void patches. They are kept for operators'
-// queries only and decide nothing.
-const maxResults = 1024
+// maxRejectedPatches bounds the number of results of rejected patches. They
+// only serve operators' queries and have no influence on versions.
+const maxRejectedPatches = 1024
 
-// results holds the first result of each of the last void patches.
-type results struct {
-	byID  map[string]patch.Result
-	order []string
+// rejectedPatches holds the results of the last rejected patches, the first
+// result for each id.
+type rejectedPatches struct {
+	results map[string]patch.Result
+	order   []string
 }
 
-func newResults() *results { return &results{byID: map[string]patch.Result{}} }
+func newRejectedPatches() *rejectedPatches {
+	return &rejectedPatches{results: map[string]patch.Result{}}
+}
 
-func (results *results) find(id string) (patch.Result, bool) {
-	result, ok := results.byID[id]
+func (rejectedPatches *rejectedPatches) result(id string) (patch.Result, bool) {
+	result, ok := rejectedPatches.results[id]
 	return result, ok
 }
 
-func (results *results) add(result patch.Result) {
-	if _, ok := results.byID[result.ID]; ok {
+func (rejectedPatches *rejectedPatches) add(result patch.Result) {
+	if _, ok := rejectedPatches.results[result.ID]; ok {
 		return
 	}
-	if len(results.order) == maxResults {
-		delete(results.byID, results.order[0])
-		results.order = results.order[1:]
+	if len(rejectedPatches.order) == maxRejectedPatches {
+		delete(rejectedPatches.results, rejectedPatches.order[0])
+		rejectedPatches.order = rejectedPatches.order[1:]
 	}
-	results.byID[result.ID] = result
-	results.order = append(results.order, result.ID)
+	rejectedPatches.results[result.ID] = result
+	rejectedPatches.order = append(rejectedPatches.order, result.ID)
 }
--- a/internal/state/replay/replay.go
+++ b/internal/state/replay/replay.go
@@ -1,5 +1,6 @@
-// Package replay folds the records of the configuration's log stream in order
-// into numbered versions.
+// Package replay derives the versions of the configuration by applying the
+// records of its log stream in order. All processes that apply the same records
+// get the same versions.
 package replay
 
 import (
@@ -7,122 +8,130 @@
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 )
 
-// MaxRecentPatches is the number of accepted patches whose ids are kept, so that a
-// second append of one of them is void as a duplicate. A later second append
-// is void by its base version.
+// MaxRecentPatches is the number of accepted patches whose ids are kept, so
+// that a patch that is appended twice is recognised as a duplicate. If the
+// second copy comes later than that, it is a conflict because of its base
+// version. It has no effect in either case.
 const MaxRecentPatches = 4096
 
-// State is the outcome of folding the log up to the patch that created a
-// version. It depends on the accepted patches alone: void records leave no
-// trace in it, so that a process that learnt the accepted patches from a peer
-// has the same state as one that read the log.
+// State is the result of applying the log up to the patch that created a
+// version. It depends only on the accepted patches, not on rejected ones, so
+// that a process that received the accepted patches from a peer has the same
+// state as one that read the log.
 type State struct {
 	Config *conf.Config
 	// VersionOffset is the log offset of the patch that created the version.
 	VersionOffset uint64
-	// RecentPatches lists the ids of the last accepted patches, the oldest first.
-	// The last one created the version.
+	// RecentPatches lists the ids of the last accepted patches, oldest first. The
+	// last of them created the version.
 	RecentPatches []string
 }
 
-// Replayer is a State that advances with the log. It is not safe for concurrent
-// use.
+// Replayer keeps a State up to date by applying the records of the log. It is
+// not safe for concurrent use.
 type Replayer struct {
-	config   *conf.Config
-	offset   uint64
-	next     uint64
-	accepted *recent
-	void     *results
+	config        *conf.Config
+	versionOffset uint64
+	nextOffset    uint64
+	recent        *recentPatches
+	rejected      *rejectedPatches
 }
 
-// New returns the state before the first record.
+// New returns a Replayer with the empty configuration, before the first record.
 func New() *Replayer {
-	return &Replayer{config: conf.New(), accepted: newRecent(), void: newResults()}
+	return &Replayer{config: conf.New(), recent: newRecentPatches(), rejected: newRejectedPatches()}
 }
 
 // Config returns the current version.
-func (fold *Replayer) Config() *conf.Config { return fold.config }
+func (replayer *Replayer) Config() *conf.Config { return replayer.config }
 
-// NextOffset returns the offset of the first record that is not folded.
-func (fold *Replayer) NextOffset() uint64 { return fold.next }
+// NextOffset returns the offset of the first record that is not applied yet.
+func (replayer *Replayer) NextOffset() uint64 { return replayer.nextOffset }
 
 // VersionOffset returns the offset of the patch that created the current version.
-func (fold *Replayer) VersionOffset() uint64 { return fold.offset }
+func (replayer *Replayer) VersionOffset() uint64 { return replayer.versionOffset }
 
-// ApplyPatch folds the patch record at an offset. A record at an offset that was
-// folded before changes nothing and reports false.
-func (fold *Replayer) ApplyPatch(offset uint64, record patch.Patch) (patch.Result, bool) {
-	if offset < fold.next {
-		fold.passed(record)
-		return fold.Result(record.ID), false
+// ApplyPatch applies the patch record at an offset and returns its result. It
+// returns false and changes no version if the record at this offset has been
+// applied before.
+func (replayer *Replayer) ApplyPatch(offset uint64, record patch.Patch) (patch.Result, bool) {
+	if offset < replayer.nextOffset {
+		replayer.recordOutdated(record)
+		return replayer.Result(record.ID), false
 	}
-	fold.next = offset + 1
-	if version, ok := fold.accepted.version(record.ID); ok {
+	replayer.nextOffset = offset + 1
+	if version, ok := replayer.recent.version(record.ID); ok {
 		return patch.Result{ID: record.ID, Kind: patch.Duplicate, Version: version}, true
 	}
-	config, result := patch.Apply(fold.config, record)
+	config, result := patch.Apply(replayer.config, record)
 	if result.Kind != patch.Accepted {
-		fold.void.add(result)
+		replayer.rejected.add(result)
 		return result, true
 	}
-	fold.config = config
-	fold.offset = offset
-	fold.accepted.add(record.ID, result.Version)
+	replayer.config = config
+	replayer.versionOffset = offset
+	replayer.recent.add(record.ID, result.Version)
 	return result, true
 }
 
-// passed notes the result of a void record that lies before the state, because
-// the accepted patches after it were learnt from a peer first.
-func (fold *Replayer) passed(record patch.Patch) {
-	if fold.Result(record.ID).Kind != patch.Unknown || record.BaseVersion+MaxRecentPatches < fold.config.Version() {
+// recordOutdated records the result of a rejected patch that lies before
+// NextOffset and whose result is still unknown, since a state that includes
+// later patches was received from a peer first. It ignores patches that are older
+// than the recent ones, since they may have been accepted.
+func (replayer *Replayer) recordOutdated(record patch.Patch) {
+	if replayer.Result(record.ID).Kind != patch.Unknown || record.BaseVersion+MaxRecentPatches < replayer.config.Version() {
 		return
 	}
-	result := patch.Result{ID: record.ID, Kind: patch.Conflict, Version: fold.config.Version()}
+	result := patch.Result{ID: record.ID, Kind: patch.Conflict, Version: replayer.config.Version()}
 	if problem := patch.Validate(record); problem != nil {
 		result.Kind, result.Field, result.Reason = patch.Invalid, problem.Field, problem.Reason
 	}
-	fold.void.add(result)
+	replayer.rejected.add(result)
 }
 
-// SkipRecord passes over a record that is no patch or is malformed.
-func (fold *Replayer) SkipRecord(offset uint64) {
-	fold.next = max(fold.next, offset+1)
+// SkipRecord skips a record that is malformed or not a patch.
+func (replayer *Replayer) SkipRecord(offset uint64) {
+	replayer.nextOffset = max(replayer.nextOffset, offset+1)
 }
 
-// AdvanceTo records that the version is still the newest when all records before
-// next are folded.
-func (fold *Replayer) AdvanceTo(next uint64) { fold.next = max(fold.next, next) }
+// AdvanceTo records that the log has no accepted patch between the current
+// version and the offset next, so that reading can go on there.
+func (replayer *Replayer) AdvanceTo(next uint64) {
+	replayer.nextOffset = max(replayer.nextOffset, next)
+}
 
-// InstallState replaces the state by a newer one that holds until the record before
-// next. It reports false when the state is not newer.
-func (fold *Replayer) InstallState(state State, next uint64) bool {
-	if state.Config.Version() <= fold.config.Version() {
+// InstallState replaces the state with a newer one, which includes all records
+// before the offset next. It returns false and changes nothing if the state is
+// not newer.
+func (replayer *Replayer) InstallState(state State, next uint64) bool {
+	if state.Config.Version() <= replayer.config.Version() {
 		return false
 	}
-	fold.config = state.Config
-	fold.offset = state.VersionOffset
-	fold.next = max(fold.next, next, state.VersionOffset+1)
-	fold.accepted = newRecent()
-	first := state.Config.Version() - uint64(len(state.RecentPatches)) + 1
+	replayer.config = state.Config
+	replayer.versionOffset = state.VersionOffset
+	replayer.nextOffset = max(replayer.nextOffset, next, state.VersionOffset+1)
+	replayer.recent = newRecentPatches()
+	firstVersion := state.Config.Version() - uint64(len(state.RecentPatches)) + 1
 	for index, id := range state.RecentPatches {
-		fold.accepted.add(id, first+uint64(index))
+		replayer.recent.add(id, firstVersion+uint64(index))
 	}
 	return true
 }
 
-// State returns the state for a snapshot.
-func (fold *Replayer) State() State {
-	return State{Config: fold.config, VersionOffset: fold.offset, RecentPatches: fold.accepted.list()}
+// State returns the current state, for a snapshot.
+func (replayer *Replayer) State() State {
+	return State{Config: replayer.config, VersionOffset: replayer.versionOffset, RecentPatches: replayer.recent.list()}
 }
 
-// Result returns what is known of a patch. The first outcome of an id counts,
-// which is the one that its operator was told.
-func (fold *Replayer) Result(id string) patch.Result {
-	if version, ok := fold.accepted.version(id); ok {
+// Result returns the result of a patch by its id, of kind Unknown if it is not
+// known. If several patches have the id, it returns the result of the first
+// one, which is the one that the operator was told.
+func (replayer *Replayer) Result(id string) patch.Result {
+	if version, ok := replayer.recent.version(id); ok {
 		return patch.Result{ID: id, Kind: patch.Accepted, Version: version}
 	}
-	if result, ok := fold.void.find(id); ok {
+	if result, ok := replayer.rejected.result(id); ok {
 		return result
 	}
-	return patch.Result{ID: id, Kind: patch.Unknown, Version: fold.config.Version()}
+	return patch.Result{ID: id, Kind: patch.Unknown, Version: replayer.config.Version()}
 }
--- a/internal/state/routes/routes.go
+++ b/internal/state/routes/routes.go
@@ -1,6 +1,6 @@
-// Package routes holds one version of the routing configuration: which request
-// goes to which service, for which organisation, and within which limits. A
-// Table never changes; a new version is a new Table.
+// Package routes holds the relay's routing table: which service serves a
+// request, and which limits apply to it and to its organisation. A Table is
+// immutable and belongs to one version of the configuration.
 package routes
 
 import (
@@ -11,65 +11,72 @@
 	"time"
 )
 
-// Semantics says what may be repeated of a request.
+// Semantics tells whether a request may run more than once.
 type Semantics uint8
 
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Semantics = iota
-	// AtMostOnce requests must not run twice.
+	// AtMostOnce requests must not run more than once.
 	AtMostOnce
 )
 
-// WeightedService is one of the services of a route with its part of the requests.
+// WeightedService is one of the services of a route. It gets the part of the
+// requests that its weight has in the sum of the route's weights.
 type WeightedService struct {
 	Service string
 	Weight  float64
 }
 
-// Route sends the requests of a host and path prefix to services.
+// Route configures the requests for a host and path prefix.
 type Route struct {
 	Name      string
 	Host      string
 	Prefix    string
 	Semantics Semantics
-	// Streaming marks answers that are a series of events.
+	// Streaming means that the responses are event streams.
 	Streaming bool
-	// Resumable streams may go on at another upstream.
+	// Resumable streams may be continued by another upstream.
 	Resumable bool
 	// Timeout is the longest time that a caller is kept waiting.
 	Timeout time.Duration
-	// ResponseGoal is the response-time goal, up to the first event of a stream.
+	// ResponseGoal is the response-time goal; for a stream, the time to its first
+	// event.
 	ResponseGoal time.Duration
-	// EventGapGoal is the longest pause between events that meets the goal.
+	// EventGapGoal is the longest time between two events of a stream that meets
+	// the goal.
 	EventGapGoal time.Duration
-	// CallerStreamTimeout is the pause after which callers give up a stream, also before its
-	// first event; 0 if it is not known.
+	// CallerStreamTimeout is the time without an event after which callers abandon
+	// a stream, also before its first event. 0 means that it is not known.
 	CallerStreamTimeout time.Duration
-	// Priority ranks routes; 0 is the most urgent.
+	// Priority ranks routes; 0 is the highest priority.
 	Priority int
 	Services []WeightedService
-	// MaxAttempts is the largest number of upstreams that one request may run on.
+	// MaxAttempts is the largest number of upstreams that are tried for one
+	// request.
 	MaxAttempts int
-	// Open routes need no key.
+	// Open admits requests without a key.
 	Open bool
 }
 
-// Model is a base model with its adapters.
+// Model is a base model.
 type Model struct {
 	Name string
-	// WeightMegabytes is the size of the weights.
+	// WeightMegabytes is the size of the model's weights.
 	WeightMegabytes float64
-	Adapters        int
+	// Adapters is the number of the model's adapters.
+	Adapters int
 }
 
-// Engine describes the model engines of a service.
+// Engine describes the inference engines of a service.
 type Engine struct {
-	// Slots is the number of requests that run at once.
-	Slots        int
-	Models       []Model
+	// Slots is the number of requests that an engine runs at once.
+	Slots  int
+	Models []Model
+	// AdapterSlots is the number of adapters that an engine holds at once.
 	AdapterSlots int
-	// KVTokens is the engine's memory for requests and cached prompts.
+	// KVTokens is the size of the engine's KV cache in tokens, for running
+	// requests and cached prompts.
 	KVTokens int64
 	// WeightMegabytes is the engine's memory for weights.
 	WeightMegabytes float64
@@ -81,24 +88,26 @@
 type Service struct {
 	Name string
 	// MaxConnections is the largest number of connections that an upstream
-	// accepts from all callers together.
+	// accepts from all its clients together.
 	MaxConnections int
-	// Engine is nil for plain services.
+	// Engine is nil for a plain service.
 	Engine *Engine
 }
 
-// Organisation is a group of callers with keys and a rate.
+// Organisation is a group of callers that share a rate limit.
 type Organisation struct {
 	Name string
 	Keys []string
-	// Priority goes before the route's priority where it is set.
+	// Priority overrides the route's priority unless it is nil.
 	Priority *int
-	// RateInTokens means that Rate and Burst count tokens in place of requests.
+	// RateInTokens means that Rate and Burst count tokens, not requests.
 	RateInTokens bool
-	// DefaultTokenCost is the cost in tokens of a request that names no tokens.
+	// DefaultTokenCost is the cost in tokens of a request whose number of tokens
+	// is not known.
 	DefaultTokenCost float64
-	// Rate is the units per second; 0 means no limit.
-	Rate  float64
+	// Rate is the number of requests or tokens per second; 0 means no limit.
+	Rate float64
+	// Burst is the number of requests or tokens that may be spent at once.
 	Burst float64
 }
 
@@ -108,34 +117,34 @@
 	Routes        []Route
 	Services      []Service
 	Organisations []Organisation
-	// IdleTimeout is how long a caller's connection may stay unused.
+	// IdleTimeout is how long an unused connection of a caller is kept open.
 	IdleTimeout time.Duration
 }
 
-type digest [sha256.Size]byte
+type keyDigest [sha256.Size]byte
 
-// Table is one version of the configuration with its lookups. Its methods may
-// be called concurrently.
+// Table is a Config with indexes for look-ups. Its methods may be called
+// concurrently.
 type Table struct {
-	config   Config
-	hosts    map[string][]*Route
-	services map[string]*Service
-	keys     map[digest]*Organisation
+	config        Config
+	routesByHost  map[string][]*Route
+	services      map[string]*Service
+	organisations map[keyDigest]*Organisation
 }
 
 // New returns the Table of a configuration.
 func New(config Config) *Table {
 	table := &Table{
-		config:   config,
-		hosts:    make(map[string][]*Route),
-		services: make(map[string]*Service, len(config.Services)),
-		keys:     make(map[digest]*Organisation),
+		config:        config,
+		routesByHost:  make(map[string][]*Route),
+		services:      make(map[string]*Service, len(config.Services)),
+		organisations: make(map[keyDigest]*Organisation),
 	}
 	for i := range config.Routes {
 		route := &config.Routes[i]
-		table.hosts[route.Host] = append(table.hosts[route.Host], route)
+		table.routesByHost[route.Host] = append(table.routesByHost[route.Host], route)
 	}
-	for _, routes := range table.hosts {
+	for _, routes := range table.routesByHost {
 		slices.SortStableFunc(routes, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
 	for i := range config.Services {
@@ -144,25 +153,25 @@
 	for i := range config.Organisations {
 		organisation := &config.Organisations[i]
 		for _, key := range organisation.Keys {
-			table.keys[sha256.Sum256([]byte(key))] = organisation
+			table.organisations[sha256.Sum256([]byte(key))] = organisation
 		}
 	}
 	return table
 }
 
-// Version returns the number of the configuration.
+// Version returns the version number of the configuration.
 func (table *Table) Version() uint64 { return table.config.Version }
 
-// IdleTimeout returns how long a caller's connection may stay unused, or 0 if
-// the configuration does not say.
+// IdleTimeout returns how long an unused connection of a caller is kept open, or
+// 0 if it is not configured.
 func (table *Table) IdleTimeout() time.Duration { return table.config.IdleTimeout }
 
 // Organisations returns all organisations.
 func (table *Table) Organisations() []Organisation { return table.config.Organisations }
 
-// Match returns the route of a request, the one with the longest prefix.
+// Match returns the route with the longest prefix that matches a request.
 func (table *Table) Match(host, path string) (*Route, bool) {
-	for _, route := range table.hosts[host] {
+	for _, route := range table.routesByHost[host] {
 		if strings.HasPrefix(path, route.Prefix) {
 			return route, true
 		}
@@ -178,12 +187,12 @@
 
 // Authenticate returns the organisation that holds the key.
 func (table *Table) Authenticate(key string) (*Organisation, bool) {
-	organisation, ok := table.keys[sha256.Sum256([]byte(key))]
+	organisation, ok := table.organisations[sha256.Sum256([]byte(key))]
 	return organisation, ok
 }
 
-// ShortestEventGapGoal returns the shortest goal for pauses between events among the
-// routes to a service, or 0 if none has one.
+// ShortestEventGapGoal returns the shortest EventGapGoal of all routes to a
+// service, or 0 if none of them has one.
 func (table *Table) ShortestEventGapGoal(service string) time.Duration {
 	var shortest time.Duration
 	for _, route := range table.config.Routes {
@@ -197,17 +206,18 @@
 	return shortest
 }
 
-// PickService returns the service for a request, by the weights of the route. point is
-// uniform in [0, 1).
+// PickService returns a service of the route, or "" if there is none. If point
+// is uniformly distributed in [0, 1), each service is picked in proportion to
+// its weight.
 func (route *Route) PickService(point float64) string {
 	var total float64
 	for _, share := range route.Services {
 		total += share.Weight
 	}
-	rest := point * total
+	remaining := point * total
 	for _, share := range route.Services {
-		rest -= share.Weight
-		if rest < 0 {
+		remaining -= share.Weight
+		if remaining < 0 {
 			return share.Service
 		}
 	}
@@ -217,8 +227,8 @@
 	return route.Services[len(route.Services)-1].Service
 }
 
-// Cost returns what a request counts against the organisation's rate. tokens
-// is 0 if the request names none.
+// Cost returns how much of the organisation's rate a request uses. tokens is the
+// request's number of tokens, or 0 if it is not known.
 func (organisation *Organisation) Cost(tokens int64) float64 {
 	switch {
 	case !organisation.RateInTokens:
--- a/internal/wire/codec/codec_test.go
+++ b/internal/wire/codec/codec_test.go
@@ -15,7 +15,7 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// everyOp holds each operation with every field set.
+// everyOp returns a patch with an operation of each kind and every field set.
 func everyOp() patch.Patch {
 	return patch.Patch{ID: "patch-1", BaseVersion: 7, Operator: "anna", Force: true, Ops: []patch.Op{
 		patch.PutOrganisation{Organisation: conf.OrganisationSpec{Name: "looms", Half: "east", Rate: 5, Burst: 9, Shards: []string{"up-1"}}},
@@ -63,8 +63,8 @@
 	}
 }
 
-// Guards against values that become valid because they do not fit the model,
-// and against chunks whose numbers contradict each other.
+// Guards against values that are out of range on the wire and become valid when
+// they are converted, and against chunks with inconsistent fields.
 func TestDecodeRecordRefuses(t *testing.T) {
 	route := func(change func(*wirepb.Route)) *wirepb.Record {
 		route := routeToWire(conf.RouteSpec{Name: "letters", Service: "advisor", MaxWait: time.Second, DefaultMaxTokens: 1})
@@ -106,7 +106,7 @@
 	}
 }
 
-// Guards against JSON that is taken although it holds a mistake.
+// Guards against JSON that is accepted although it is wrong.
 func TestDecodePatchJSONRefuses(t *testing.T) {
 	for _, text := range []string{
 		``, `{`, `[]`, `{"id":"a","bas":1}`, `{"id":"a"} {}`,
@@ -115,21 +115,22 @@
 		`{"ops":[{"put-route":{"class":"lazy"}}]}`, `{"ops":[{"put-key":{"digest":"AA=="}}]}`,
 	} {
 		if got, err := DecodePatchJSON([]byte(text)); err == nil {
-			t.Errorf("%s was taken as %+v", text, got)
+			t.Errorf("%s was accepted as %+v", text, got)
 		}
 	}
 }
 
-// filled returns a state with adapters, put in one patch each of 5,000.
-func filled(t testing.TB, adapters int) *replay.Replayer {
-	folded := replay.New()
+// replayerWithAdapters returns a replayer whose state has the given number of
+// adapters, which are put in patches of at most 5,000.
+func replayerWithAdapters(t testing.TB, adapters int) *replay.Replayer {
+	replayer := replay.New()
 	ops := []patch.Op{patch.PutOrganisation{Organisation: conf.OrganisationSpec{Name: "looms", Rate: 1, Burst: 1}}}
 	for index := range 40 {
 		ops = append(ops, patch.PutUpstream{Upstream: conf.UpstreamSpec{ID: fmt.Sprintf("up-%d", index), Service: "advisor", FailureDomain: "one"}})
 	}
 	commit := func() {
-		version := folded.Config().Version()
-		result, _ := folded.ApplyPatch(version, patch.Patch{ID: fmt.Sprintf("patch-%d", version), BaseVersion: version, Ops: ops})
+		version := replayer.Config().Version()
+		result, _ := replayer.ApplyPatch(version, patch.Patch{ID: fmt.Sprintf("patch-%d", version), BaseVersion: version, Ops: ops})
 		if result.Kind != patch.Accepted {
 			t.Fatal(result)
 		}
@@ -142,7 +143,7 @@
 			commit()
 		}
 	}
-	return folded
+	return replayer
 }
 
 func adapterNamed(index int, version uint32) conf.AdapterSpec {
@@ -153,9 +154,9 @@
 	}
 }
 
-// Guards against a state that differs after a snapshot.
+// Guards against a state that differs after it was encoded and decoded.
 func TestStateRoundTrip(t *testing.T) {
-	want := filled(t, 12_000).State()
+	want := replayerWithAdapters(t, 12_000).State()
 	data, err := EncodeState(want)
 	if err != nil {
 		t.Fatal(err)
@@ -176,8 +177,8 @@
 	}
 }
 
-// Guards against records that stop a process or that are void in one process
-// only: folding any bytes must not panic and must give equal states.
+// Guards against records that stop a process, or that one process accepts and
+// another rejects: applying any bytes must not panic and must give equal states.
 func FuzzDecodeRecord(f *testing.F) {
 	data, _ := EncodePatch(everyOp())
 	f.Add(data)
@@ -191,7 +192,7 @@
 		data, _ = EncodeChunk(chunk)
 		f.Add(data)
 	}
-	base, _ := EncodeState(filled(f, 10).State())
+	base, _ := EncodeState(replayerWithAdapters(f, 10).State())
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var encodings [2][]byte
 		for index := range encodings {
@@ -199,36 +200,37 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			folded := replay.New()
-			folded.InstallState(state, 2)
+			replayer := replay.New()
+			replayer.InstallState(state, 2)
 			record, err := DecodeRecord(data)
 			switch {
 			case err != nil:
-				folded.SkipRecord(2)
+				replayer.SkipRecord(2)
 			case record.Patch != nil:
-				folded.ApplyPatch(2, *record.Patch)
+				replayer.ApplyPatch(2, *record.Patch)
 			case record.Chunk != nil:
-				snapshots := replay.SnapshotTracker{CollectData: true}
-				if encoded, _, ok := snapshots.Add(*record.Chunk, time.Time{}); ok {
+				tracker := replay.SnapshotTracker{CollectData: true}
+				if encoded, _, ok := tracker.Add(*record.Chunk, time.Time{}); ok {
 					_, _ = DecodeState(encoded)
 				}
 			}
-			if encodings[index], err = EncodeState(folded.State()); err != nil {
+			if encodings[index], err = EncodeState(replayer.State()); err != nil {
 				t.Fatalf("an accepted patch cannot be encoded: %v", err)
 			}
 		}
 		if !bytes.Equal(encodings[0], encodings[1]) {
-			t.Error("two processes fold the record to different states")
+			t.Error("two processes have different states after the record")
 		}
 		if state, err := DecodeState(encodings[0]); err != nil {
 			t.Errorf("the state cannot be decoded: %v", err)
 		} else if again, _ := EncodeState(state); !bytes.Equal(encodings[0], again) {
-			t.Error("the state differs after a snapshot")
+			t.Error("the state differs after it was encoded and decoded")
 		}
 	})
 }
 
-// Guards against JSON that stops a process or changes on its way to the log.
+// Guards against JSON that stops a process, or whose patch is valid as JSON but
+// not in its log record, or the reverse.
 func FuzzDecodePatchJSON(f *testing.F) {
 	data, _ := EncodePatchJSON(everyOp())
 	f.Add(data)
@@ -248,14 +250,14 @@
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(problem, patch.Validate(*decoded.Patch)); diff != "" {
-			t.Errorf("the patch is checked differently on the log (-JSON +log):\n%s", diff)
+			t.Errorf("the patch is validated differently in its log record (-JSON +log):\n%s", diff)
 		}
 	})
 }
 
 // Guards against snapshots that stop a process.
 func FuzzDecodeState(f *testing.F) {
-	data, _ := EncodeState(filled(f, 10).State())
+	data, _ := EncodeState(replayerWithAdapters(f, 10).State())
 	f.Add(data)
 	f.Add([]byte{8, 1, 82, 1, 65})
 	f.Fuzz(func(_ *testing.T, data []byte) {
@@ -266,9 +268,9 @@
 		for adapter := range state.Config.AllAdapters() {
 			state.Config.Adapter(adapter.Name)
 		}
-		folded := replay.New()
-		folded.InstallState(state, 1)
-		folded.ApplyPatch(1, patch.Patch{ID: "next", BaseVersion: state.Config.Version(), Ops: []patch.Op{patch.RemoveAdapter{Name: "a"}}})
+		replayer := replay.New()
+		replayer.InstallState(state, 1)
+		replayer.ApplyPatch(1, patch.Patch{ID: "next", BaseVersion: state.Config.Version(), Ops: []patch.Op{patch.RemoveAdapter{Name: "a"}}})
 	})
 }
 
@@ -276,7 +278,7 @@
 
 func BenchmarkState(b *testing.B) {
 	for _, size := range sizes {
-		state := filled(b, size).State()
+		state := replayerWithAdapters(b, size).State()
 		encoded, err := EncodeState(state)
 		if err != nil {
 			b.Fatal(err)
@@ -297,14 +299,14 @@
 	}
 }
 
-// BenchmarkRecord measures a record from its bytes to the next version.
+// BenchmarkRecord measures the time to encode a record, decode it and apply it.
 func BenchmarkRecord(b *testing.B) {
 	for _, size := range sizes {
-		folded := filled(b, size)
+		replayer := replayerWithAdapters(b, size)
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				version := folded.Config().Version()
+				version := replayer.Config().Version()
 				data, err := EncodePatch(patch.Patch{ID: fmt.Sprintf("patch-%d", version), BaseVersion: version, Ops: []patch.Op{
 					patch.PutAdapter{Adapter: adapterNamed(int(version)*7919%size, uint32(version))},
 				}})
@@ -315,7 +317,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				if result, _ := folded.ApplyPatch(version+1000, *record.Patch); result.Kind != patch.Accepted {
+				if result, _ := replayer.ApplyPatch(version+1000, *record.Patch); result.Kind != patch.Accepted {
 					b.Fatal(result)
 				}
 			}
--- a/internal/wire/codec/fleet.go
+++ b/internal/wire/codec/datagram.go
@@ -8,7 +8,8 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// millisecondsPerSecond converts rates: the wire has whole tokens a second.
+// millisecondsPerSecond converts rates: tokens per millisecond in memory, whole
+// tokens per second on the wire.
 const millisecondsPerSecond = 1000
 
 // EncodeAdapters encodes adapters with their versions.
@@ -41,7 +42,7 @@
 	return encoded
 }
 
-// DecodeAdapterUses decodes what EncodeUses encoded.
+// DecodeAdapterUses decodes what EncodeAdapterUses encoded.
 func DecodeAdapterUses(encoded []*wirepb.AdapterUse) []lora.AdapterUse {
 	uses := make([]lora.AdapterUse, 0, len(encoded))
 	for _, use := range encoded {
@@ -53,38 +54,38 @@
 	return uses
 }
 
-// EncodeRequests encodes requests that wait for their turn.
-func EncodeRequests(asks []admit.Request) []*wirepb.Ask {
-	encoded := make([]*wirepb.Ask, 0, len(asks))
-	for _, ask := range asks {
+// EncodeRequests encodes the waiting requests of an entry instance.
+func EncodeRequests(requests []admit.Request) []*wirepb.Ask {
+	encoded := make([]*wirepb.Ask, 0, len(requests))
+	for _, request := range requests {
 		encoded = append(encoded, &wirepb.Ask{
-			Id: ask.ID, Adapter: ask.Adapter.Name, Version: ask.Adapter.Version,
-			PromptTokens: ask.PromptTokens, OutputTokens: ask.OutputTokens, Priority: uint32(max(ask.Priority, 0)), Late: ask.Late,
-			WaitedMs: uint32(ask.Waited.Milliseconds()),
+			Id: request.ID, Adapter: request.Adapter.Name, Version: request.Adapter.Version,
+			PromptTokens: request.PromptTokens, OutputTokens: request.OutputTokens, Priority: uint32(max(request.Priority, 0)), Late: request.Late,
+			WaitedMs: uint32(request.Waited.Milliseconds()),
 		})
 	}
 	return encoded
 }
 
-// DecodeRequests decodes what EncodeAsks encoded.
+// DecodeRequests decodes what EncodeRequests encoded.
 func DecodeRequests(encoded []*wirepb.Ask) []admit.Request {
-	asks := make([]admit.Request, 0, len(encoded))
-	for _, ask := range encoded {
-		asks = append(asks, admit.Request{
-			ID: ask.GetId(), Adapter: lora.Adapter{Name: ask.GetAdapter(), Version: ask.GetVersion()},
-			PromptTokens: ask.GetPromptTokens(), OutputTokens: ask.GetOutputTokens(), Priority: int(ask.GetPriority()), Late: ask.GetLate(),
-			Waited: time.Duration(ask.GetWaitedMs()) * time.Millisecond,
+	requests := make([]admit.Request, 0, len(encoded))
+	for _, request := range encoded {
+		requests = append(requests, admit.Request{
+			ID: request.GetId(), Adapter: lora.Adapter{Name: request.GetAdapter(), Version: request.GetVersion()},
+			PromptTokens: request.GetPromptTokens(), OutputTokens: request.GetOutputTokens(), Priority: int(request.GetPriority()), Late: request.GetLate(),
+			Waited: time.Duration(request.GetWaitedMs()) * time.Millisecond,
 		})
 	}
-	return asks
+	return requests
 }
 
-// EncodeSpeed encodes how fast an engine works.
-func EncodeSpeed(pace admit.Speed) *wirepb.Pace {
-	return &wirepb.Pace{ReadRate: EncodeTokenRate(pace.PrefillRate), EventUs: uint32(pace.EventInterval.Microseconds())}
+// EncodeSpeed encodes the speed of an engine.
+func EncodeSpeed(speed admit.Speed) *wirepb.Pace {
+	return &wirepb.Pace{ReadRate: EncodeTokenRate(speed.PrefillRate), EventUs: uint32(speed.EventInterval.Microseconds())}
 }
 
-// DecodeSpeed decodes what EncodePace encoded.
+// DecodeSpeed decodes what EncodeSpeed encoded.
 func DecodeSpeed(encoded *wirepb.Pace) admit.Speed {
 	return admit.Speed{
 		PrefillRate:   DecodeTokenRate(encoded.GetReadRate()),
@@ -92,32 +93,32 @@
 	}
 }
 
-// EncodeTokenRate encodes tokens in a millisecond.
+// EncodeTokenRate encodes a rate in tokens per millisecond.
 func EncodeTokenRate(rate float64) uint32 { return uint32(rate * millisecondsPerSecond) }
 
-// DecodeTokenRate decodes what EncodeRate encoded.
+// DecodeTokenRate decodes what EncodeTokenRate encoded.
 func DecodeTokenRate(encoded uint32) float64 { return float64(encoded) / millisecondsPerSecond }
 
-// EncodeMeasurements encodes what streams showed of an engine's pace.
-func EncodeMeasurements(readings []admit.Measurement) []*wirepb.Reading {
-	encoded := make([]*wirepb.Reading, 0, len(readings))
-	for _, reading := range readings {
+// EncodeMeasurements encodes measurements of an engine's speed.
+func EncodeMeasurements(measurements []admit.Measurement) []*wirepb.Reading {
+	encoded := make([]*wirepb.Reading, 0, len(measurements))
+	for _, measurement := range measurements {
 		encoded = append(encoded, &wirepb.Reading{
-			Ask: reading.RequestID, FirstUs: uint32(reading.FirstEvent.Microseconds()), PauseUs: uint32(reading.EventInterval.Microseconds()),
+			Ask: measurement.RequestID, FirstUs: uint32(measurement.FirstEvent.Microseconds()), PauseUs: uint32(measurement.EventInterval.Microseconds()),
 		})
 	}
 	return encoded
 }
 
-// DecodeMeasurements decodes what EncodeReadings encoded.
+// DecodeMeasurements decodes what EncodeMeasurements encoded.
 func DecodeMeasurements(encoded []*wirepb.Reading) []admit.Measurement {
-	readings := make([]admit.Measurement, 0, len(encoded))
-	for _, reading := range encoded {
-		readings = append(readings, admit.Measurement{
-			RequestID:     reading.GetAsk(),
-			FirstEvent:    time.Duration(reading.GetFirstUs()) * time.Microsecond,
-			EventInterval: time.Duration(reading.GetPauseUs()) * time.Microsecond,
+	measurements := make([]admit.Measurement, 0, len(encoded))
+	for _, measurement := range encoded {
+		measurements = append(measurements, admit.Measurement{
+			RequestID:     measurement.GetAsk(),
+			FirstEvent:    time.Duration(measurement.GetFirstUs()) * time.Microsecond,
+			EventInterval: time.Duration(measurement.GetPauseUs()) * time.Microsecond,
 		})
 	}
-	return readings
+	return measurements
 }
--- a/internal/wire/codec/json.go
+++ b/internal/wire/codec/json.go
@@ -12,15 +12,15 @@
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 )
 
-// The JSON forms of a patch and its operations. An operation is an object with
-// one field, named for its kind.
+// The JSON forms of a patch and its operations. An operation is a JSON object
+// with one field, whose name is the operation's kind.
 type (
 	patchJSON struct {
-		ID       string   `json:"id"`
-		Base     uint64   `json:"base"`
-		Operator string   `json:"operator,omitempty"`
-		Force    bool     `json:"force,omitempty"`
-		Ops      []opJSON `json:"ops"`
+		ID          string   `json:"id"`
+		BaseVersion uint64   `json:"base"`
+		Operator    string   `json:"operator,omitempty"`
+		Force       bool     `json:"force,omitempty"`
+		Ops         []opJSON `json:"ops"`
 	}
 	opJSON struct {
 		PutOrganisation    *OrganisationJSON   `json:"put-organisation,omitempty"`
@@ -62,7 +62,7 @@
 		PathPrefix       string     `json:"path-prefix,omitempty"`
 		Methods          []string   `json:"methods,omitempty"`
 		Class            conf.Class `json:"class"`
-		LongestWait      duration   `json:"longest-wait"`
+		MaxWait          duration   `json:"longest-wait"`
 		Idempotent       bool       `json:"idempotent,omitempty"`
 		Open             bool       `json:"open,omitempty"`
 		DefaultMaxTokens int64      `json:"default-max-tokens,omitempty"`
@@ -85,7 +85,7 @@
 		FailureDomain  string `json:"failure-domain"`
 		FencingChecked bool   `json:"fencing-checked,omitempty"`
 	}
-	// FleetJSON is the JSON form of the fleet's settings.
+	// FleetJSON is the JSON form of the settings of the whole fleet.
 	FleetJSON struct {
 		LoadRateMilli int64    `json:"load-rate-milli"`
 		LoadBurst     int64    `json:"load-burst"`
@@ -93,7 +93,7 @@
 	}
 )
 
-// duration is written as "1.5s".
+// duration is a time.Duration that is written as text, such as "1.5s".
 type duration time.Duration
 
 // MarshalText implements encoding.TextMarshaler.
@@ -114,7 +114,7 @@
 // EncodePatchJSON returns the JSON form of a patch.
 func EncodePatchJSON(record patch.Patch) ([]byte, error) {
 	form := patchJSON{
-		ID: record.ID, Base: record.BaseVersion, Operator: record.Operator, Force: record.Force,
+		ID: record.ID, BaseVersion: record.BaseVersion, Operator: record.Operator, Force: record.Force,
 		Ops: make([]opJSON, 0, len(record.Ops)),
 	}
 	for _, op := range record.Ops {
@@ -123,7 +123,8 @@
 	return json.Marshal(form)
 }
 
-// DecodePatchJSON reads the JSON form of a patch. Unknown fields are errors.
+// DecodePatchJSON decodes the JSON form of a patch. Unknown fields, text after
+// the JSON object and operations without exactly one field are errors.
 func DecodePatchJSON(data []byte) (patch.Patch, error) {
 	var form patchJSON
 	decoder := json.NewDecoder(bytes.NewReader(data))
@@ -134,7 +135,7 @@
 	if _, err := decoder.Token(); err != io.EOF { //nolint:errorlint // Token returns io.EOF unwrapped
 		return patch.Patch{}, Class.New("the patch is followed by more text; send one JSON object")
 	}
-	record := patch.Patch{ID: form.ID, BaseVersion: form.Base, Operator: form.Operator, Force: form.Force}
+	record := patch.Patch{ID: form.ID, BaseVersion: form.BaseVersion, Operator: form.Operator, Force: form.Force}
 	for index, op := range form.Ops {
 		converted, err := opFromJSON(op)
 		if err != nil {
--- a/internal/wire/codec/patch.go
+++ b/internal/wire/codec/patch.go
@@ -5,7 +5,7 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// PatchToWire converts a patch.
+// PatchToWire converts a patch to its wire form.
 func PatchToWire(record patch.Patch) *wirepb.PatchRecord {
 	wire := &wirepb.PatchRecord{
 		Id:       record.ID,
@@ -20,8 +20,8 @@
 	return wire
 }
 
-// PatchFromWire converts a patch. An operation of an unknown kind becomes nil,
-// which patches refuse.
+// PatchFromWire converts a patch from its wire form. An operation of an unknown
+// kind becomes nil, which patch.Validate rejects.
 func PatchFromWire(wire *wirepb.PatchRecord) patch.Patch {
 	record := patch.Patch{
 		ID:          wire.GetId(),
--- a/internal/wire/codec/record.go
+++ b/internal/wire/codec/record.go
@@ -11,24 +11,27 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// Class is the errs class of malformed records and states.
+// Class is the errs class of the errors for malformed records, states and
+// patches.
 var Class = errs.Class("codec")
 
-// MaxRecord bounds a log record in bytes.
+// MaxRecord is the largest size of a log record in bytes.
 const MaxRecord = 1 << 20
 
-// Record is one entry of the stream "config": a patch or a snapshot chunk.
+// Record is one record of the log stream "config": a patch or a snapshot chunk.
 type Record struct {
 	Patch *patch.Patch
 	Chunk *replay.Chunk
 }
 
-// EncodePatch encodes a patch as a log record.
+// EncodePatch encodes a patch as a log record. A record that exceeds MaxRecord
+// is an error.
 func EncodePatch(record patch.Patch) ([]byte, error) {
 	return encodeRecord(&wirepb.Record{Body: &wirepb.Record_Patch{Patch: PatchToWire(record)}})
 }
 
-// EncodeChunk encodes a snapshot chunk as a log record.
+// EncodeChunk encodes a snapshot chunk as a log record. A record that exceeds
+// MaxRecord is an error.
 func EncodeChunk(chunk replay.Chunk) ([]byte, error) {
 	return encodeRecord(&wirepb.Record{Body: &wirepb.Record_Chunk{Chunk: ChunkToWire(chunk)}})
 }
@@ -44,8 +47,8 @@
 	return data, nil
 }
 
-// DecodeRecord decodes a log record. A malformed one is void in every process,
-// so the decision depends on the bytes alone.
+// DecodeRecord decodes a log record. Whether it returns an error depends only on
+// data, since all processes must skip the same malformed records.
 func DecodeRecord(data []byte) (Record, error) {
 	if len(data) > MaxRecord {
 		return Record{}, Class.New("the record has %d bytes, at most %d are admitted", len(data), MaxRecord)
@@ -66,7 +69,7 @@
 	}
 }
 
-// ChunkToWire converts a snapshot chunk.
+// ChunkToWire converts a snapshot chunk to its wire form.
 func ChunkToWire(chunk replay.Chunk) *wirepb.SnapshotChunk {
 	return &wirepb.SnapshotChunk{
 		Version: chunk.Version,
@@ -78,7 +81,8 @@
 	}
 }
 
-// ChunkFromWire converts a snapshot chunk and refuses inconsistent numbers.
+// ChunkFromWire converts a snapshot chunk from its wire form. A chunk whose
+// fields are inconsistent is an error.
 func ChunkFromWire(wire *wirepb.SnapshotChunk) (replay.Chunk, error) {
 	if len(wire.GetDigest()) != sha256.Size {
 		return replay.Chunk{}, Class.New("the snapshot chunk has a digest of %d bytes", len(wire.GetDigest()))
--- a/internal/wire/codec/spec.go
+++ b/internal/wire/codec/spec.go
@@ -1,5 +1,6 @@
-// Package codec converts the configuration between its model and its wire and
-// JSON forms.
+// Package codec converts the types of the configuration, and the values in
+// datagrams between entry instances and loaders, to and from their forms on the
+// wire. It also converts configuration patches to and from JSON.
 package codec
 
 import (
@@ -34,8 +35,8 @@
 	return &wirepb.Key{Id: key.ID, Organisation: key.Organisation, Salt: key.Salt, Digest: key.Digest[:]}
 }
 
-// keyFromWire leaves the digest empty, which patches refuse, when it does not
-// have the right length.
+// keyFromWire converts a key. A digest of the wrong length becomes an empty one,
+// which patch.Validate rejects.
 func keyFromWire(key *wirepb.Key) conf.KeySpec {
 	spec := conf.KeySpec{ID: key.GetId(), Organisation: key.GetOrganisation(), Salt: key.GetSalt()}
 	if len(key.GetDigest()) == conf.DigestSize {
@@ -76,8 +77,8 @@
 	}
 }
 
-// classFromWire keeps classes that do not fit the model's type out of range,
-// so that patches refuse them.
+// classFromWire converts a class. A value that does not fit into conf.Class
+// becomes an unknown class, which patch.Validate rejects.
 func classFromWire(class wirepb.Class) conf.Class {
 	if class < 0 || class > math.MaxUint8 {
 		return math.MaxUint8
@@ -85,8 +86,9 @@
 	return conf.Class(class)
 }
 
-// microseconds converts a duration; one that overflows stays out of range, so
-// that patches refuse it.
+// microseconds converts a count of microseconds to a duration. A count that is
+// negative or overflows becomes a negative duration, which patch.Validate
+// rejects.
 func microseconds(count int64) time.Duration {
 	if count > math.MaxInt64/int64(time.Microsecond) || count < 0 {
 		return -1
@@ -100,6 +102,7 @@
 	return wire
 }
 
+// fillAdapter sets all fields of wire.
 func fillAdapter(wire *wirepb.Adapter, adapter conf.AdapterSpec) {
 	wire.Name = adapter.Name
 	wire.Organisation = adapter.Organisation
--- a/internal/wire/codec/specjson.go
+++ b/internal/wire/codec/specjson.go
@@ -8,7 +8,7 @@
 	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// OrganisationToJSON converts an organisation.
+// OrganisationToJSON returns the JSON form of an organisation.
 func OrganisationToJSON(organisation conf.OrganisationSpec) OrganisationJSON {
 	return OrganisationJSON{
 		Name:   organisation.Name,
@@ -29,7 +29,7 @@
 	}
 }
 
-// KeyToJSON converts a key without its salt and digest.
+// KeyToJSON returns the JSON form of a key, without its salt and digest.
 func KeyToJSON(key conf.KeySpec) KeyJSON {
 	return KeyJSON{ID: key.ID, Organisation: key.Organisation}
 }
@@ -48,7 +48,7 @@
 	}, nil
 }
 
-// RouteToJSON converts a route.
+// RouteToJSON returns the JSON form of a route.
 func RouteToJSON(route conf.RouteSpec) RouteJSON {
 	return RouteJSON{
 		Name:             route.Name,
@@ -57,7 +57,7 @@
 		PathPrefix:       route.PathPrefix,
 		Methods:          route.Methods,
 		Class:            route.Class,
-		LongestWait:      duration(route.MaxWait),
+		MaxWait:          duration(route.MaxWait),
 		Idempotent:       route.Idempotent,
 		Open:             route.Open,
 		DefaultMaxTokens: int64(route.DefaultMaxTokens),
@@ -73,7 +73,7 @@
 		PathPrefix:       form.PathPrefix,
 		Methods:          form.Methods,
 		Class:            form.Class,
-		MaxWait:          time.Duration(form.LongestWait),
+		MaxWait:          time.Duration(form.MaxWait),
 		Idempotent:       form.Idempotent,
 		Open:             form.Open,
 		DefaultMaxTokens: conf.Tokens(form.DefaultMaxTokens),
@@ -81,12 +81,12 @@
 	}
 }
 
-// AdapterToJSON converts an adapter.
+// AdapterToJSON returns the JSON form of an adapter.
 func AdapterToJSON(adapter conf.AdapterSpec) AdapterJSON { return AdapterJSON(adapter) }
 
 func (form AdapterJSON) spec() conf.AdapterSpec { return conf.AdapterSpec(form) }
 
-// UpstreamToJSON converts an upstream.
+// UpstreamToJSON returns the JSON form of an upstream.
 func UpstreamToJSON(upstream conf.UpstreamSpec) UpstreamJSON {
 	return UpstreamJSON{
 		ID:             upstream.ID,
@@ -109,7 +109,7 @@
 	}
 }
 
-// FleetToJSON converts the fleet's settings.
+// FleetToJSON returns the JSON form of the settings of the whole fleet.
 func FleetToJSON(fleet conf.FleetSpec) FleetJSON { return FleetJSON(fleet) }
 
 func (form FleetJSON) spec() conf.FleetSpec { return conf.FleetSpec(form) }
--- a/internal/wire/codec/state.go
+++ b/internal/wire/codec/state.go
@@ -9,7 +9,7 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// Field numbers of wirepb.State.
+// Field numbers of the message wirepb.State.
 const (
 	stateVersion       protowire.Number = 1
 	stateOffset        protowire.Number = 2
@@ -22,12 +22,12 @@
 	stateAccepted      protowire.Number = 10
 )
 
-// EncodeState encodes a state as a wirepb.State, entry by entry, so that no
-// second copy of the whole configuration is built. Equal states have equal
-// encodings.
+// EncodeState encodes a state as a wirepb.State. It encodes one entry at a time,
+// so that no second copy of the whole configuration is built in memory. Equal
+// states have equal encodings.
 func EncodeState(state replay.State) ([]byte, error) {
 	config := state.Config
-	encoder := encoder{data: make([]byte, 0, sizeBase+sizeAdapter*config.AdapterCount())}
+	encoder := encoder{data: make([]byte, 0, estimatedBaseSize+estimatedAdapterSize*config.AdapterCount())}
 	encoder.varint(stateVersion, config.Version())
 	encoder.varint(stateOffset, state.VersionOffset)
 	for _, organisation := range config.Organisations() {
@@ -55,13 +55,15 @@
 	return encoder.data, encoder.err
 }
 
-// sizeBase and sizeAdapter estimate the length of an encoded state in bytes, so
-// that the buffer seldom grows, which would double the memory in use.
+// Estimates of the size of an encoded state in bytes, without adapters and for
+// each adapter. With them the buffer seldom has to grow, which would double the
+// memory in use.
 const (
-	sizeBase    = 64 << 10
-	sizeAdapter = 64
+	estimatedBaseSize    = 64 << 10
+	estimatedAdapterSize = 64
 )
 
+// encoder appends fields to an encoded message and keeps the first error.
 type encoder struct {
 	data []byte
 	err  error
@@ -83,7 +85,7 @@
 	encoder.data, encoder.err = data, Class.Wrap(err)
 }
 
-// DecodeState decodes a state, entry by entry.
+// DecodeState decodes what EncodeState encoded, one entry at a time.
 func DecodeState(data []byte) (replay.State, error) {
 	decoder := decoder{editor: conf.New().Edit()}
 	for len(data) > 0 {
@@ -95,7 +97,7 @@
 		if value < 0 {
 			return replay.State{}, Class.Wrap(protowire.ParseError(value))
 		}
-		if err := decoder.field(field, kind, data[size:size+value]); err != nil {
+		if err := decoder.decodeField(field, kind, data[size:size+value]); err != nil {
 			return replay.State{}, err
 		}
 		data = data[size+value:]
@@ -108,6 +110,7 @@
 	}, nil
 }
 
+// decoder collects the decoded fields of a state.
 type decoder struct {
 	editor   *conf.Editor
 	version  uint64
@@ -116,7 +119,7 @@
 	adapter  wirepb.Adapter
 }
 
-func (decoder *decoder) field(field protowire.Number, kind protowire.Type, value []byte) error {
+func (decoder *decoder) decodeField(field protowire.Number, kind protowire.Type, value []byte) error {
 	switch kind {
 	case protowire.VarintType:
 		number, _ := protowire.ConsumeVarint(value)
@@ -129,13 +132,13 @@
 		return nil
 	case protowire.BytesType:
 		content, _ := protowire.ConsumeBytes(value)
-		return decoder.entry(field, content)
+		return decoder.decodeEntry(field, content)
 	default:
 		return nil
 	}
 }
 
-func (decoder *decoder) entry(field protowire.Number, content []byte) error {
+func (decoder *decoder) decodeEntry(field protowire.Number, content []byte) error {
 	editor := decoder.editor
 	switch field {
 	case stateOrganisations:
@@ -145,8 +148,8 @@
 	case stateRoutes:
 		return entry(content, &wirepb.Route{}, routeFromWire, editor.PutRoute)
 	case stateAdapters:
-		// The message is used again, since there are many adapters. The editor
-		// keeps nothing of it.
+		// The message is reused to save memory, since there are many adapters. The
+		// editor keeps no reference to it.
 		return entry(content, &decoder.adapter, adapterFromWire, editor.PutAdapter)
 	case stateUpstreams:
 		return entry(content, &wirepb.Upstream{}, upstreamFromWire, editor.PutUpstream)
--- a/internal/wire/conns/certs.go
+++ b/internal/wire/conns/certs.go
@@ -11,98 +11,100 @@
 )
 
 const (
-	// CertDNSName is the DNS name that the certificates of all processes carry.
+	// CertDNSName is the DNS name in the certificates of all processes.
 	CertDNSName = "jacinthfront.internal"
 
-	certRecheck = 10 * time.Second
+	certCheckInterval = 10 * time.Second
 )
 
-// CertFiles names the PEM files of one process.
+// CertFiles holds the paths of the PEM files of one process.
 type CertFiles struct {
 	Cert string
 	Key  string
 	CA   string
 }
 
-// CertReloader loads certificates and reloads them when the files change. It checks
-// the files at most every 10 s.
+// CertReloader loads certificates and reloads them when the files change. It
+// checks the files at most every 10 s. If reloading fails, the loaded
+// certificates stay in use.
 type CertReloader struct {
 	files CertFiles
 
-	mu       sync.Mutex
-	checked  time.Time
-	modified time.Time
-	pair     *tls.Certificate
-	pool     *x509.CertPool
+	mu          sync.Mutex
+	checkedAt   time.Time
+	modifiedAt  time.Time
+	certificate *tls.Certificate
+	authorities *x509.CertPool
 }
 
-// NewCertReloader loads the files once, so that wrong ones are found at start.
+// NewCertReloader loads the files and returns an error if they are missing or
+// invalid.
 func NewCertReloader(files CertFiles) (*CertReloader, error) {
-	certs := &CertReloader{files: files}
-	if _, _, err := certs.current(); err != nil {
+	certReloader := &CertReloader{files: files}
+	if _, _, err := certReloader.current(); err != nil {
 		return nil, err
 	}
-	return certs, nil
+	return certReloader, nil
 }
 
-// ServerConfig returns the configuration of a listener that admits only peers with a
-// certificate of the fleet's CA.
-func (certs *CertReloader) ServerConfig() *tls.Config {
+// ServerConfig returns the TLS configuration of a listener that accepts only
+// clients with a certificate of the fleet's CA.
+func (certReloader *CertReloader) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			pair, pool, err := certs.current()
+			certificate, authorities, err := certReloader.current()
 			if err != nil {
 				return nil, err
 			}
 			return &tls.Config{
 				MinVersion:   tls.VersionTLS13,
-				Certificates: []tls.Certificate{*pair},
+				Certificates: []tls.Certificate{*certificate},
 				ClientAuth:   tls.RequireAndVerifyClientCert,
-				ClientCAs:    pool,
+				ClientCAs:    authorities,
 			}, nil
 		},
 	}
 }
 
-// ClientConfig returns the configuration for one outgoing connection.
-func (certs *CertReloader) ClientConfig() (*tls.Config, error) {
-	pair, pool, err := certs.current()
+// ClientConfig returns the TLS configuration for one outgoing connection.
+func (certReloader *CertReloader) ClientConfig() (*tls.Config, error) {
+	certificate, authorities, err := certReloader.current()
 	if err != nil {
 		return nil, err
 	}
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
-		Certificates: []tls.Certificate{*pair},
-		RootCAs:      pool,
+		Certificates: []tls.Certificate{*certificate},
+		RootCAs:      authorities,
 		ServerName:   CertDNSName,
 	}, nil
 }
 
-func (certs *CertReloader) current() (*tls.Certificate, *x509.CertPool, error) {
-	certs.mu.Lock()
-	defer certs.mu.Unlock()
-	if certs.pair != nil && time.Since(certs.checked) < certRecheck {
-		return certs.pair, certs.pool, nil
+func (certReloader *CertReloader) current() (*tls.Certificate, *x509.CertPool, error) {
+	certReloader.mu.Lock()
+	defer certReloader.mu.Unlock()
+	if certReloader.certificate != nil && time.Since(certReloader.checkedAt) < certCheckInterval {
+		return certReloader.certificate, certReloader.authorities, nil
 	}
-	certs.checked = time.Now()
-	modified := certs.newest()
-	if certs.pair != nil && modified.Equal(certs.modified) {
-		return certs.pair, certs.pool, nil
+	certReloader.checkedAt = time.Now()
+	modifiedAt := certReloader.latestModTime()
+	if certReloader.certificate != nil && modifiedAt.Equal(certReloader.modifiedAt) {
+		return certReloader.certificate, certReloader.authorities, nil
 	}
-	if err := certs.load(); err != nil {
-		if certs.pair != nil {
-			return certs.pair, certs.pool, nil
+	if err := certReloader.load(); err != nil {
+		if certReloader.certificate != nil {
+			return certReloader.certificate, certReloader.authorities, nil
 		}
 		return nil, nil, err
 	}
-	certs.modified = modified
-	return certs.pair, certs.pool, nil
+	certReloader.modifiedAt = modifiedAt
+	return certReloader.certificate, certReloader.authorities, nil
 }
 
-func (certs *CertReloader) newest() time.Time {
+func (certReloader *CertReloader) latestModTime() time.Time {
 	var newest time.Time
-	for _, name := range []string{certs.files.Cert, certs.files.Key, certs.files.CA} {
+	for _, name := range []string{certReloader.files.Cert, certReloader.files.Key, certReloader.files.CA} {
 		if info, err := os.Stat(name); err == nil && info.ModTime().After(newest) {
 			newest = info.ModTime()
 		}
@@ -110,19 +112,19 @@
 	return newest
 }
 
-func (certs *CertReloader) load() error {
-	pair, err := tls.LoadX509KeyPair(certs.files.Cert, certs.files.Key)
+func (certReloader *CertReloader) load() error {
+	certificate, err := tls.LoadX509KeyPair(certReloader.files.Cert, certReloader.files.Key)
 	if err != nil {
 		return fault.New(fault.Invalid, fault.NotRun, "cannot load the certificate: %v; check tls.cert-file and tls.key-file", err)
 	}
-	pem, err := os.ReadFile(certs.files.CA)
+	pem, err := os.ReadFile(certReloader.files.CA)
 	if err != nil {
 		return fault.New(fault.Invalid, fault.NotRun, "cannot read the CA file: %v; check tls.ca-file", err)
 	}
-	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(pem) {
-		return fault.New(fault.Invalid, fault.NotRun, "%s holds no PEM certificate; write the fleet's CA there", certs.files.CA)
+	authorities := x509.NewCertPool()
+	if !authorities.AppendCertsFromPEM(pem) {
+		return fault.New(fault.Invalid, fault.NotRun, "%s holds no PEM certificate; write the fleet's CA there", certReloader.files.CA)
 	}
-	certs.pair, certs.pool = &pair, pool
+	certReloader.certificate, certReloader.authorities = &certificate, authorities
 	return nil
 }
--- a/internal/wire/conns/conns_test.go
+++ b/internal/wire/conns/conns_test.go
@@ -28,7 +28,7 @@
 	return &wirepb.StatusResponse{Instance: "side-1"}, nil
 }
 
-// newAuthority and issue fail the test when a certificate cannot be made.
+// newAuthority returns a certificate authority, or fails the test.
 func newAuthority(t *testing.T) *certs.Authority {
 	t.Helper()
 	authority, err := certs.NewAuthority()
@@ -38,6 +38,8 @@
 	return authority
 }
 
+// issue writes a certificate of the authority and its key to a directory and
+// returns the files, or fails the test.
 func issue(t *testing.T, authority *certs.Authority, directory string, serial int64) conns.CertFiles {
 	t.Helper()
 	files, err := authority.Issue(directory, serial)
@@ -103,8 +105,9 @@
 	return wirepb.NewDRPCPeerClient(conn).Status(ctx, &wirepb.StatusRequest{})
 }
 
-// TestNothingSent guards against a failed dial that looks like a lost answer,
-// which made non-idempotent work end as unknown.
+// TestNothingSent guards against a failed dial that is reported like a lost
+// response. Requests that are not idempotent then ended with an unknown outcome
+// instead of being sent again.
 func TestNothingSent(t *testing.T) {
 	pool := conns.New(conns.Config{Dial: func(context.Context, string) (net.Conn, error) {
 		return nil, errors.New("connection refused")
--- a/internal/wire/conns/pool.go
+++ b/internal/wire/conns/pool.go
@@ -17,32 +17,35 @@
 )
 
 const (
-	// MaxMessage bounds one message in bytes, on both sides of a connection.
+	// MaxMessage is the largest size of a message in bytes, on both sides of a
+	// connection.
 	MaxMessage = 4 << 20
 
-	defaultDialTimeout = time.Second
-	defaultIdle        = time.Minute
-	defaultIdlePerPeer = 64
+	defaultDialTimeout       = time.Second
+	defaultIdleTimeout       = time.Minute
+	defaultMaxIdlePerAddress = 64
 )
 
-// Dialer opens a stream connection to an address.
+// Dialer opens a connection to an address.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
 // Config configures a Pool.
 type Config struct {
-	// Dial defaults to TCP with a timeout of one second.
+	// Dial opens connections. It defaults to TCP with a timeout of one second.
 	Dial Dialer
-	// TLS returns the client configuration for the next connection; nil means
-	// plain connections.
+	// TLS returns the client configuration for the next connection. If TLS is nil,
+	// connections don't use TLS.
 	TLS func() (*tls.Config, error)
-	// Idle is how long an unused connection is kept; it defaults to a minute.
-	Idle time.Duration
-	// MaxIdlePerAddress bounds the unused connections to one address.
+	// IdleTimeout is how long an unused connection is kept; it defaults to one
+	// minute.
+	IdleTimeout time.Duration
+	// MaxIdlePerAddress is the largest number of unused connections to one address
+	// that are kept; it defaults to 64.
 	MaxIdlePerAddress int
 }
 
-// Pool keeps unused connections by address. A connection returns to the pool
-// only after its last stream has ended on both sides.
+// Pool keeps unused connections by address, for reuse. A connection returns to
+// the pool only after its last stream has ended on both sides.
 type Pool struct {
 	config Config
 	pool   *drpcpool.Pool[string, *drpcconn.Conn]
@@ -53,23 +56,24 @@
 	if config.Dial == nil {
 		config.Dial = dialTCP
 	}
-	if config.Idle == 0 {
-		config.Idle = defaultIdle
+	if config.IdleTimeout == 0 {
+		config.IdleTimeout = defaultIdleTimeout
 	}
 	if config.MaxIdlePerAddress == 0 {
-		config.MaxIdlePerAddress = defaultIdlePerPeer
+		config.MaxIdlePerAddress = defaultMaxIdlePerAddress
 	}
 	return &Pool{
 		config: config,
 		pool: drpcpool.New[string, *drpcconn.Conn](drpcpool.Options{
-			Expiration:  config.Idle,
+			Expiration:  config.IdleTimeout,
 			KeyCapacity: config.MaxIdlePerAddress,
 		}),
 	}
 }
 
-// Get returns a connection to address for one call at a time: an unused one, or
-// a new one. An error means that nothing was sent.
+// Get returns a connection to address for one call at a time, a pooled one if
+// there is one. An error is a fault of kind NoUpstream and means that no request
+// was sent.
 func (pool *Pool) Get(ctx context.Context, address string) (*Conn, error) {
 	if address == "" {
 		return nil, fault.New(fault.NoUpstream, fault.NotRun, "the instance list has no address for this instance; try again")
@@ -87,7 +91,7 @@
 // Close closes all unused connections.
 func (pool *Pool) Close() error { return pool.pool.Close() }
 
-// Conn makes drpc calls to one address, one at a time.
+// Conn makes drpc calls to one address, one call at a time.
 type Conn struct {
 	*drpcconn.Conn
 
@@ -95,8 +99,8 @@
 	address string
 }
 
-// Release gives the connection back. It is used again only after its last
-// stream has ended on both sides; a closed one is dropped.
+// Release returns the connection to the pool. The pool reuses it after its last
+// stream has ended on both sides, and drops it if it is closed.
 func (conn *Conn) Release() { conn.pool.pool.Put(conn.address, conn.Conn) }
 
 func (pool *Pool) dial(ctx context.Context, address string) (*drpcconn.Conn, error) {
--- a/internal/wire/conns/serve.go
+++ b/internal/wire/conns/serve.go
@@ -13,7 +13,8 @@
 // RegisterServices adds services to the mux of a server.
 type RegisterServices func(mux drpc.Mux) error
 
-// Serve accepts connections until ctx ends. A nil config serves without TLS.
+// Serve serves drpc calls on the listener's connections until ctx ends. If config
+// is nil, connections don't use TLS.
 func Serve(ctx context.Context, listener net.Listener, config *tls.Config, register RegisterServices) error {
 	mux := drpcmux.New()
 	if err := register(mux); err != nil {
