--- a/internal/daemon/side/cancel.go
+++ b/internal/daemon/side/cancel.go
@@ -10,34 +10,36 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// Cancel implements wirepb.DRPCSideServer.
+// Cancel implements wirepb.DRPCSideServer. An attempt that still waits is
+// removed from the queue; a dispatched one is not stopped.
 func (server *Server) Cancel(_ context.Context, request *wirepb.CancelRequest) (*wirepb.CancelResponse, error) {
 	attempt := dedup.Attempt{RequestID: request.GetRequestId(), Number: request.GetAttempt()}
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	ran := server.records.Cancel(time.Now(), attempt, request.GetIncarnation())
+	ran := server.attempts.Cancel(time.Now(), attempt, request.GetIncarnation())
 	if ran == fault.NotRun {
 		server.count("cancelled-before-dispatch")
-		server.pull(attempt)
+		server.removeCancelled(attempt)
 	}
 	return &wirepb.CancelResponse{Ran: wireRan(ran), Incarnation: server.config.Incarnation}, nil
 }
 
-// pull takes a cancelled attempt out of the queue.
-func (server *Server) pull(attempt dedup.Attempt) {
-	var waiting *ticket
-	server.queue.All(func(entry *fairq.Entry[*ticket]) bool {
+// removeCancelled removes a cancelled attempt from the queue.
+func (server *Server) removeCancelled(attempt dedup.Attempt) {
+	var waiting *task
+	server.queue.All(func(entry *fairq.Entry[*task]) bool {
 		if entry.Value.attempt == attempt {
 			waiting = entry.Value
 		}
 		return waiting == nil
 	})
 	if waiting != nil {
-		server.refuse(waiting, fault.New(fault.Cancelled, fault.NotRun, "the attempt was cancelled; send the request anew"))
+		server.refuseQueued(waiting, fault.New(fault.Cancelled, fault.NotRun, "the attempt was cancelled; send the request anew"))
 	}
 }
 
-// Outcome implements wirepb.DRPCSideServer.
+// Outcome implements wirepb.DRPCSideServer. It tells an organisation about its
+// own requests only.
 func (server *Server) Outcome(_ context.Context, request *wirepb.OutcomeRequest) (*wirepb.OutcomeResponse, error) {
 	record, ok := server.lookup(request.GetRequestId())
 	if !ok || record.Organisation != request.GetOrganisation() {
--- a/internal/daemon/side/claims.go
+++ b/internal/daemon/side/claims.go
@@ -16,103 +16,109 @@
 const (
 	// claimTimeout bounds the log calls of one claim.
 	claimTimeout = 2 * time.Second
-	// readWait is how long a read waits for a record that was just appended.
-	readWait = 100 * time.Millisecond
-	// logRetryAfter is what callers are told while the log is out.
+	// claimReadWait is how long a read waits for a record that was just
+	// appended.
+	claimReadWait = 100 * time.Millisecond
+	// logRetryAfter is the retry-after of a refusal while the log is
+	// unavailable.
 	logRetryAfter = 2 * time.Second
 )
 
-// claimer claims idempotency keys on the log.
+// claimer claims idempotency keys on the platform's log, so that at most one
+// side process runs the request of a key.
 type claimer struct {
-	config   Config
-	sequence atomic.Uint64
-	mu       sync.Mutex
-	byIndex  map[int]*partition
+	config     Config
+	sequence   atomic.Uint64
+	mu         sync.Mutex
+	partitions map[int]*partition
 }
 
-// partition is the claim stream of some of the keys.
+// partition is the claim stream of the keys whose hash falls into it.
 type partition struct {
 	stream string
-	// busy is held during log calls.
-	busy chan struct{}
-	fold *dedup.Claims
-	// pending are outcomes and releases that are not on the log yet.
+	// semaphore is held during log calls. Unlike a mutex, it can be awaited
+	// with a deadline.
+	semaphore chan struct{}
+	// claims is the state up to the last record read.
+	claims *dedup.Claims
+	// pending holds the outcomes and releases that are not on the log yet.
 	pending [][]byte
 }
 
 func newClaimer(config Config) *claimer {
-	return &claimer{config: config, byIndex: map[int]*partition{}}
+	return &claimer{config: config, partitions: map[int]*partition{}}
 }
 
 func (claimer *claimer) partition(hash []byte) *partition {
 	index := dedup.PartitionOf(hash, claimer.config.ClaimPartitions)
 	claimer.mu.Lock()
 	defer claimer.mu.Unlock()
-	known, ok := claimer.byIndex[index]
+	known, ok := claimer.partitions[index]
 	if !ok {
 		known = &partition{
-			stream: dedup.StreamName(index), busy: make(chan struct{}, 1), fold: dedup.NewClaims(claimer.config.ClaimWindow),
+			stream: dedup.StreamName(index), semaphore: make(chan struct{}, 1), claims: dedup.NewClaims(claimer.config.ClaimWindow),
 		}
-		claimer.byIndex[index] = known
+		claimer.partitions[index] = known
 	}
 	return known
 }
 
 func (partition *partition) lock(ctx context.Context) bool {
 	select {
-	case partition.busy <- struct{}{}:
+	case partition.semaphore <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func (partition *partition) unlock() { <-partition.busy }
+func (partition *partition) unlock() { <-partition.semaphore }
 
 // claim decides whether a request with an idempotency key may run. It returns
-// the stored outcome of an earlier run, or why the request does not run; with
-// neither, the key is claimed for this run. Requests that admit refuses are not
-// claimed.
-func (claimer *claimer) claim(ctx context.Context, ticket *ticket, admit func() *fault.Fault) (*dedup.Outcome, *fault.Fault) {
+// the stored outcome of an earlier run, or why the request must not run. With
+// neither, the key is claimed for this run. No claim is written for a request
+// that admit refuses.
+func (claimer *claimer) claim(ctx context.Context, task *task, admit func() *fault.Fault) (*dedup.Outcome, *fault.Fault) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	partition := claimer.partition(ticket.request.GetIdempotencyKeyHash())
+	partition := claimer.partition(task.request.GetIdempotencyKeyHash())
 	if !partition.lock(ctx) {
-		return nil, logUnavailable()
+		return nil, errLogUnavailable()
 	}
 	defer partition.unlock()
-	organisation, hash := ticket.organisation, ticket.request.GetIdempotencyKeyHash()
-	if holder, ok := partition.fold.ActiveClaim(time.Now(), organisation, hash); ok && holder.Outcome != nil {
-		return judge(ticket, holder)
+	organisation, hash := task.organisation, task.request.GetIdempotencyKeyHash()
+	if existing, ok := partition.claims.ActiveClaim(time.Now(), organisation, hash); ok && existing.Outcome != nil {
+		return resultOfClaim(task, existing)
 	}
 	if claimer.config.Log == nil {
-		return nil, logUnavailable()
+		return nil, errLogUnavailable()
 	}
-	if err := claimer.settlePending(ctx, partition); err != nil {
-		return nil, logUnavailable()
+	if err := claimer.appendPending(ctx, partition); err != nil {
+		return nil, errLogUnavailable()
 	}
-	if _, ok := partition.fold.ActiveClaim(time.Now(), organisation, hash); ok {
+	if _, ok := partition.claims.ActiveClaim(time.Now(), organisation, hash); ok {
 		if err := claimer.readAll(ctx, partition); err != nil {
-			return nil, logUnavailable()
+			return nil, errLogUnavailable()
 		}
-		if holder, ok := partition.fold.ActiveClaim(time.Now(), organisation, hash); ok {
-			return judge(ticket, holder)
+		if existing, ok := partition.claims.ActiveClaim(time.Now(), organisation, hash); ok {
+			return resultOfClaim(task, existing)
 		}
 	}
 	if refusal := admit(); refusal != nil {
 		return nil, refusal
 	}
-	return claimer.append(ctx, partition, ticket)
+	return claimer.append(ctx, partition, task)
 }
 
-// append writes the claim and reads the stream up to it; the first claim wins.
-func (claimer *claimer) append(ctx context.Context, partition *partition, ticket *ticket) (*dedup.Outcome, *fault.Fault) {
-	hash := ticket.request.GetIdempotencyKeyHash()
-	ticket.claim = dedup.Claim{
-		RequestID: ticket.attempt.RequestID, RequestDigest: ticket.request.GetRequestDigest(),
+// append writes the claim and reads the stream up to it. The first claim on the
+// stream wins.
+func (claimer *claimer) append(ctx context.Context, partition *partition, task *task) (*dedup.Outcome, *fault.Fault) {
+	hash := task.request.GetIdempotencyKeyHash()
+	task.claim = dedup.Claim{
+		RequestID: task.attempt.RequestID, RequestDigest: task.request.GetRequestDigest(),
 		Claimant: fmt.Sprintf("%s/%d/%d", claimer.config.UpstreamID, claimer.config.Incarnation, claimer.sequence.Add(1)),
 	}
-	record, err := dedup.ClaimRecord(ticket.organisation, hash, ticket.claim)
+	record, err := dedup.ClaimRecord(task.organisation, hash, task.claim)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.NotRun)
 	}
@@ -120,69 +126,72 @@
 	if err == nil {
 		err = claimer.readTo(ctx, partition, offset)
 	} else {
-		// The reply may be lost although the claim is on the log.
-		err = claimer.readBack(ctx, partition, ticket, err)
+		// The reply may have been lost although the claim is on the log.
+		err = claimer.findAppended(ctx, partition, task, err)
 	}
 	if err != nil {
 		claimer.config.Logger.Warn("claim: log unavailable", zap.String("stream", partition.stream), zap.Error(err))
-		claimer.abandon(partition, ticket)
-		return nil, logUnavailable()
+		claimer.releaseClaim(partition, task)
+		return nil, errLogUnavailable()
 	}
-	holder, ok := partition.fold.FirstClaim(ticket.organisation, hash)
+	existing, ok := partition.claims.FirstClaim(task.organisation, hash)
 	if !ok {
-		return nil, outcomeUnknown()
+		return nil, errOutcomeUnknown()
 	}
-	if holder.Claimant == ticket.claim.Claimant && holder.Outcome == nil {
+	if existing.Claimant == task.claim.Claimant && existing.Outcome == nil {
 		return nil, nil
 	}
-	return judge(ticket, holder)
+	return resultOfClaim(task, existing)
 }
 
-// judge answers a request whose key is held by an earlier claim.
-func judge(ticket *ticket, holder dedup.Claim) (*dedup.Outcome, *fault.Fault) {
+// resultOfClaim returns the result of a request whose key is held by an earlier
+// claim.
+func resultOfClaim(task *task, existing dedup.Claim) (*dedup.Outcome, *fault.Fault) {
 	switch {
-	case !holder.MatchesRequest(ticket.request.GetRequestDigest()):
-		return nil, keyReused()
-	case holder.Outcome != nil:
-		return holder.Outcome, nil
+	case !existing.MatchesRequest(task.request.GetRequestDigest()):
+		return nil, errKeyReused()
+	case existing.Outcome != nil:
+		return existing.Outcome, nil
 	default:
-		return nil, outcomeUnknown()
+		return nil, errOutcomeUnknown()
 	}
 }
 
-func logUnavailable() *fault.Fault {
+func errLogUnavailable() *fault.Fault {
 	return fault.New(fault.LogUnavailable, fault.NotRun,
 		"the platform's log is out, so that the idempotency key cannot be claimed; come back after the time in retry-after").
 		WithRetryAfter(logRetryAfter)
 }
 
-// settle stores how the run of a claim ended. A request that did not run gives
-// its claim up; one whose end is unknown keeps it without an outcome.
-func (claimer *claimer) settle(ticket *ticket, outcome *dedup.Outcome, reason *fault.Fault) {
+// storeOutcome stores how the run of a claim ended. The claim of a request that
+// did not run is released; a claim whose request may have run is kept without
+// an outcome.
+func (claimer *claimer) storeOutcome(task *task, outcome *dedup.Outcome, reason *fault.Fault) {
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
-	hash := ticket.request.GetIdempotencyKeyHash()
+	hash := task.request.GetIdempotencyKeyHash()
 	partition := claimer.partition(hash)
-	partition.busy <- struct{}{}
+	partition.semaphore <- struct{}{}
 	defer partition.unlock()
 	if outcome == nil {
 		if reason.Ran() != fault.NotRun {
 			return
 		}
-		claimer.abandon(partition, ticket)
+		claimer.releaseClaim(partition, task)
 	} else {
-		partition.fold.StoreOutcome(ticket.organisation, hash, ticket.attempt.RequestID, *outcome)
-		record, err := dedup.OutcomeRecord(ticket.organisation, hash, ticket.attempt.RequestID, *outcome)
+		partition.claims.StoreOutcome(task.organisation, hash, task.attempt.RequestID, *outcome)
+		record, err := dedup.OutcomeRecord(task.organisation, hash, task.attempt.RequestID, *outcome)
 		if err == nil {
 			partition.pending = append(partition.pending, record)
 		}
 	}
-	_ = claimer.settlePending(ctx, partition)
+	_ = claimer.appendPending(ctx, partition)
 }
 
-// abandon plans the release of a claim whose request did not run.
-func (claimer *claimer) abandon(partition *partition, ticket *ticket) {
-	record, err := dedup.ReleaseRecord(ticket.organisation, ticket.request.GetIdempotencyKeyHash(), ticket.claim)
+// releaseClaim queues a release record for the claim of a request that did not
+// run.
+func (claimer *claimer) releaseClaim(partition *partition, task *task) {
+	record, err := dedup.ReleaseRecord(task.organisation, task.request.GetIdempotencyKeyHash(), task.claim)
 	if err == nil {
 		partition.pending = append(partition.pending, record)
 	}
--- a/internal/daemon/side/digest.go
+++ b/internal/daemon/side/digest.go
@@ -5,7 +5,8 @@
 	"hash"
 )
 
-// hashWriter digests an answer that is too large to keep.
+// hashWriter computes the SHA-256 digest of a response body, which is stored
+// when the body is too large to keep.
 type hashWriter struct{ hash hash.Hash }
 
 func newHashWriter() hashWriter { return hashWriter{hash: sha256.New()} }
--- a/internal/daemon/side/dispatch.go
+++ b/internal/daemon/side/dispatch.go
@@ -10,122 +10,124 @@
 	"jacinthfront.dev/jacinthfront/internal/flow/dedup"
 )
 
-// dispatch passes a committed ticket through the last gate. It returns false
-// without a fault when the ticket waits again.
-func (server *Server) dispatch(ctx context.Context, ticket *ticket) (bool, *fault.Fault) {
-	if refusal := server.recheck(ticket); refusal != nil {
+// dispatch reserves tokens for a scheduled request and marks it as dispatched
+// if all checks still hold. It returns false without a fault when the request
+// waits in the queue again.
+func (server *Server) dispatch(ctx context.Context, task *task) (bool, *fault.Fault) {
+	if refusal := server.checkBeforeReserve(task); refusal != nil {
 		return false, refusal
 	}
-	debit, err := ticket.debit, error(nil)
-	if debit == nil {
-		debit, err = server.take(ctx, ticket)
+	reservation, err := task.reservation, error(nil)
+	if reservation == nil {
+		reservation, err = server.reserve(ctx, task)
 	}
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	defer server.pump()
+	defer server.schedule()
 	switch {
 	case err != nil:
-		server.release(ticket)
+		server.unschedule(task)
 		return false, fault.Wrap(err, fault.NotRun)
-	case debit == nil:
-		server.starve(ctx, ticket)
+	case reservation == nil:
+		server.queueForTokens(ctx, task)
 		return false, nil
-	case ticket.debit == nil:
-		server.queue.Unblock(ticket.organisation)
-		ticket.debit = debit
+	case task.reservation == nil:
+		server.queue.Unblock(task.organisation)
+		task.reservation = reservation
 	}
-	return server.pass(ticket)
+	return server.tryDispatch(task)
 }
 
-// pass is the last gate: it checks everything once more, since the debit may
-// have taken a while, and marks the attempt as dispatched under the same lock.
-func (server *Server) pass(ticket *ticket) (bool, *fault.Fault) {
-	if refusal := server.gate(ticket); refusal != nil {
-		server.release(ticket)
+// tryDispatch runs all checks once more, since the reservation may have taken a
+// while, and marks the attempt as dispatched under the same lock.
+func (server *Server) tryDispatch(task *task) (bool, *fault.Fault) {
+	if refusal := server.checkDispatch(task); refusal != nil {
+		server.unschedule(task)
 		return false, refusal
 	}
-	if server.overtaken(ticket) || !ticket.debit.Commit() {
-		server.refund(ticket)
-		server.wait(ticket)
+	if server.outdated(task) || !task.reservation.Commit() {
+		server.refund(task)
+		server.requeue(task)
 		return false, nil
 	}
-	if !server.records.Dispatch(time.Now(), ticket.attempt, ticket.repeat()) {
-		server.release(ticket)
+	if !server.attempts.Dispatch(time.Now(), task.attempt, task.runLimit()) {
+		server.unschedule(task)
 		return false, fault.New(fault.OutcomeUnknown, fault.RunUnknown, "the request was dispatched before; query its outcome by its id")
 	}
-	server.mark(ticket)
+	server.markDispatched(task)
 	return true, nil
 }
 
-// overtaken reports whether the engine started anew or a move between halves
-// began since the ticket was committed.
-func (server *Server) overtaken(ticket *ticket) bool {
-	return !ticket.plain && ticket.generation != server.engine.generation || server.moving()
+// outdated reports whether the engine restarted since the request was
+// scheduled, or requests of another half still run.
+func (server *Server) outdated(task *task) bool {
+	return !task.plain && task.generation != server.engine.generation || server.halfChanging()
 }
 
-// wait puts a committed ticket back into the queue. It holds neither a place
-// at the upstream nor its adapter meanwhile.
-func (server *Server) wait(ticket *ticket) {
-	server.release(ticket)
-	server.queue.Requeue(ticket.entry)
+// requeue returns a scheduled request to the queue. It gives up its running
+// slot and the pin on its adapter meanwhile.
+func (server *Server) requeue(task *task) {
+	server.unschedule(task)
+	server.queue.Requeue(task.entry)
 }
 
-// recheck runs the gate before tokens are taken, so that a request which will
-// be refused takes none.
-func (server *Server) recheck(ticket *ticket) *fault.Fault {
+// checkBeforeReserve runs the checks before tokens are reserved, so that a
+// request that will be refused takes none.
+func (server *Server) checkBeforeReserve(task *task) *fault.Fault {
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	refusal := server.gate(ticket)
+	refusal := server.checkDispatch(task)
 	if refusal != nil {
-		server.release(ticket)
-		server.pump()
+		server.unschedule(task)
+		server.schedule()
 	}
 	return refusal
 }
 
-// mark notes that a ticket is being sent to the upstream.
-func (server *Server) mark(ticket *ticket) {
-	organisation, _ := server.current().Organisation(ticket.organisation)
-	ticket.half, ticket.sent = organisation.Half, true
-	server.taking[ticket.organisation]--
-	ticket.waited = time.Since(ticket.arrived)
+// markDispatched records that a request is being sent to the upstream.
+func (server *Server) markDispatched(task *task) {
+	organisation, _ := server.current().Organisation(task.organisation)
+	task.half, task.dispatched = organisation.Half, true
+	server.reserving[task.organisation]--
+	task.queueWait = time.Since(task.arrived)
 	server.count("dispatched")
-	server.place("dispatched request", ticket, zap.String("upstream", server.config.UpstreamID),
-		zap.String("reason", "next in fair order"), zap.Duration("waited", ticket.waited),
-		zap.Duration("load-wait", ticket.loadWait), zap.Int("queued", server.queue.Len()))
+	server.logPlacement("dispatched request", task, zap.String("upstream", server.config.UpstreamID),
+		zap.String("reason", "next in fair order"), zap.Duration("waited", task.queueWait),
+		zap.Duration("load-wait", task.loadWait), zap.Int("queued", server.queue.Len()))
 }
 
-// ending is how a dispatched request ended.
-type ending struct {
+// runEnd is how a dispatched request ended.
+type runEnd struct {
 	ran    fault.Execution
 	status uint32
 	// confirmed says that the upstream reported the end.
 	confirmed bool
 }
 
-// finish ends a dispatched ticket. Without the upstream's confirmation, the
-// adapter stays pinned until the engine's state shows that the request is over.
-func (server *Server) finish(ticket *ticket, ending ending) {
+// finishTask ends a dispatched request. Unless the upstream confirmed the end,
+// the adapter stays pinned until the engine's state shows that the request has
+// ended.
+func (server *Server) finishTask(task *task, end runEnd) {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	now := time.Now()
-	server.records.End(now, ticket.attempt, ending.ran, ending.status)
-	delete(server.running, ticket)
-	server.ends = append(server.ends, now)
-	ticket.committed = false
-	if ticket.plain || ending.confirmed {
-		server.unpin(ticket)
+	server.attempts.End(now, task.attempt, end.ran, end.status)
+	delete(server.running, task)
+	server.recentEnds = append(server.recentEnds, now)
+	task.scheduled = false
+	if task.plain || end.confirmed {
+		server.unpin(task)
 	} else {
-		server.lingers = append(server.lingers, linger{
-			requestID: ticket.attempt.RequestID, ref: ticket.ref, generation: ticket.generation, ended: now,
+		server.unconfirmed = append(server.unconfirmed, unconfirmedEnd{
+			requestID: task.attempt.RequestID, ref: task.ref, generation: task.generation, endedAt: now,
 		})
 	}
-	server.pump()
+	server.schedule()
 }
 
-// lookup returns what is known of a request.
+// lookup returns the record of a request's attempts.
 func (server *Server) lookup(requestID string) (dedup.AttemptRecord, bool) {
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	return server.records.Lookup(requestID)
+	return server.attempts.Lookup(requestID)
 }
--- a/internal/daemon/side/drain.go
+++ b/internal/daemon/side/drain.go
@@ -7,26 +7,26 @@
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 )
 
-// Drain stops new work, hands queued work back as not run and waits until the
-// running work has ended, at most for the drain limit.
+// Drain refuses new requests, returns queued ones as not run, and waits until
+// the running ones have ended, at most for the drain timeout.
 func (server *Server) Drain(ctx context.Context) error {
 	server.mu.Lock()
 	server.draining = true
-	server.review()
-	live := server.live
+	server.recheckQueue()
+	inFlight := server.inFlight
 	server.mu.Unlock()
 	timer := time.NewTimer(server.config.DrainTimeout)
 	defer timer.Stop()
-	for live > 0 {
+	for inFlight > 0 {
 		select {
-		case <-server.empty:
+		case <-server.idle:
 		case <-timer.C:
-			return fault.New(fault.DeadlineExceeded, fault.DidRun, "%d requests still run at the drain limit; raise drain-limit", live)
+			return fault.New(fault.DeadlineExceeded, fault.DidRun, "%d requests still run at the drain limit; raise drain-limit", inFlight)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 		server.mu.Lock()
-		live = server.live
+		inFlight = server.inFlight
 		server.mu.Unlock()
 	}
 	server.claims.flush(ctx)
--- a/internal/daemon/side/fakes_test.go
+++ b/internal/daemon/side/fakes_test.go
@@ -28,36 +28,40 @@
 
 var ignoreDetail = cmpopts.IgnoreUnexported(result{})
 
-func plainUpstream(config *Config) { config.UpstreamID = "shop" }
+// servePlain makes the server serve the plain service's upstream.
+func servePlain(config *Config) { config.UpstreamID = "shop" }
 
-// plainCall makes a request a call of the plain service that must run once.
+// plainCall makes a request one to the plain service, which must run at most
+// once.
 func plainCall(request *wirepb.RunRequest) {
 	request.Route, request.Adapter, request.AdapterVersion = "book", "", 0
 	request.Method, request.Path, request.Idempotent = "POST", "/kilns", false
 }
 
-func adapter(name string) func(*wirepb.RunRequest) {
+// withAdapter sets the adapter of a request.
+func withAdapter(name string) func(*wirepb.RunRequest) {
 	return func(request *wirepb.RunRequest) { request.Adapter = name }
 }
 
-// ash makes a request one of the other organisation.
-func ash(request *wirepb.RunRequest) { request.Organisation, request.KeyId = "ash", "ash-key" }
+// fromAsh makes a request one of the organisation ash.
+func fromAsh(request *wirepb.RunRequest) { request.Organisation, request.KeyId = "ash", "ash-key" }
 
-// fakeConfigs is a configuration that tests change.
-type fakeConfigs struct {
+// fakeConfigSource is a ConfigSource whose configuration tests change.
+type fakeConfigSource struct {
 	config   atomic.Pointer[conf.Config]
 	changed  atomic.Pointer[chan struct{}]
 	isolated atomic.Bool
-	hinted   atomic.Uint64
+	observed atomic.Uint64
 }
 
-func (configs *fakeConfigs) Current() *conf.Config         { return configs.config.Load() }
-func (configs *fakeConfigs) Changed() <-chan struct{}      { return *configs.changed.Load() }
-func (configs *fakeConfigs) ObserveVersion(version uint64) { configs.hinted.Store(version) }
-func (configs *fakeConfigs) Isolated() bool                { return configs.isolated.Load() }
-func (*fakeConfigs) ConfirmedAge() time.Duration           { return time.Hour }
+func (configs *fakeConfigSource) Current() *conf.Config         { return configs.config.Load() }
+func (configs *fakeConfigSource) Changed() <-chan struct{}      { return *configs.changed.Load() }
+func (configs *fakeConfigSource) ObserveVersion(version uint64) { configs.observed.Store(version) }
+func (configs *fakeConfigSource) Isolated() bool                { return configs.isolated.Load() }
+func (*fakeConfigSource) ConfirmedAge() time.Duration           { return time.Hour }
 
-func (configs *fakeConfigs) edit(change func(*conf.Editor)) {
+// edit changes the configuration and announces the change.
+func (configs *fakeConfigSource) edit(change func(*conf.Editor)) {
 	editor := configs.Current().Edit()
 	change(editor)
 	configs.config.Store(editor.Commit(configs.Current().Version() + 1))
@@ -65,10 +69,10 @@
 	close(*configs.changed.Swap(&next))
 }
 
-// newFakeConfigs returns two organisations of different halves, a model
-// service and a plain one.
-func newFakeConfigs() *fakeConfigs {
-	configs, changed := &fakeConfigs{}, make(chan struct{})
+// newFakeConfigSource returns a configuration with two organisations of different
+// halves, a model service and a plain one.
+func newFakeConfigSource() *fakeConfigSource {
+	configs, changed := &fakeConfigSource{}, make(chan struct{})
 	configs.config.Store(conf.New())
 	configs.changed.Store(&changed)
 	configs.edit(func(editor *conf.Editor) {
@@ -90,7 +94,7 @@
 	return configs
 }
 
-// fakeEngine is an engine and a plain service whose behaviour tests replace.
+// fakeEngine is an engine and a plain service with configurable behaviour.
 type fakeEngine struct {
 	mu      sync.Mutex
 	epoch   string
@@ -99,25 +103,28 @@
 	loaded  map[slots.AdapterRef]bool
 	inUse   map[slots.AdapterRef]int
 	running int
-	// reports are the running requests over time; State lags behind.
-	reports []report
-	silent  bool
-	// afterlife is how long a request goes on after its connection was closed.
-	afterlife time.Duration
-	// refusals is how many orders to unload are refused.
-	refusals int
-	calls    []string
-	loadTime time.Duration
-	loadErr  error
-	// tokens is the length of an answer, pace the time between tokens.
-	tokens int64
-	pace   time.Duration
-	// token changes the token at an index; an error breaks the stream.
-	token func(generation GenerateRequest, token *Token) error
-	// call answers a plain call.
+	// reports are the counts of running requests over time, of which State
+	// reports an older one.
+	reports      []report
+	unresponsive bool
+	// cancelDelay is how long a request continues after its connection was
+	// closed.
+	cancelDelay time.Duration
+	// refusedUnloads is how many orders to unload are refused.
+	refusedUnloads int
+	calls          []string
+	loadTime       time.Duration
+	loadErr        error
+	// tokens is the length of a response, tokenInterval the time between two
+	// tokens.
+	tokens        int64
+	tokenInterval time.Duration
+	// token changes the token at an index. An error breaks the stream.
+	token func(request GenerateRequest, token *Token) error
+	// call responds to a plain request.
 	call func(ctx context.Context, call PlainRequest) (*PlainResponse, error)
-	// faults are violations that the engine saw.
-	faults []string
+	// violations are the errors of the server that the engine noticed.
+	violations []string
 }
 
 type report struct {
@@ -125,11 +132,11 @@
 	running int
 }
 
-// reportedLag is how far the fake engine's report lags.
-const reportedLag = 600 * time.Millisecond
+// fakeReportLag is how far the count that the fake engine reports lags behind.
+const fakeReportLag = 600 * time.Millisecond
 
-// work changes the number of running requests.
-func (engine *fakeEngine) work(change int) {
+// changeRunning changes the number of running requests.
+func (engine *fakeEngine) changeRunning(change int) {
 	engine.running += change
 	engine.reports = append(engine.reports, report{time.Now(), engine.running})
 }
@@ -137,11 +144,11 @@
 func newFakeEngine() *fakeEngine {
 	return &fakeEngine{
 		epoch: "e1", slots: 2, loaded: map[slots.AdapterRef]bool{}, inUse: map[slots.AdapterRef]int{},
-		loadTime: 100 * time.Millisecond, afterlife: 300 * time.Millisecond, tokens: 3, pace: 10 * time.Millisecond,
+		loadTime: 100 * time.Millisecond, cancelDelay: 300 * time.Millisecond, tokens: 3, tokenInterval: 10 * time.Millisecond,
 	}
 }
 
-func (engine *fakeEngine) note(format string, args ...any) {
+func (engine *fakeEngine) recordCall(format string, args ...any) {
 	engine.calls = append(engine.calls, fmt.Sprintf(format, args...))
 }
 
@@ -152,8 +159,8 @@
 	change()
 }
 
-// seen returns the calls with a prefix.
-func (engine *fakeEngine) seen(prefix string) []string {
+// callsWith returns the calls with a prefix.
+func (engine *fakeEngine) callsWith(prefix string) []string {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	var list []string
@@ -170,19 +177,19 @@
 		engine.epoch += "+"
 		clear(engine.loaded)
 		clear(engine.inUse)
-		engine.work(-engine.running)
+		engine.changeRunning(-engine.running)
 	})
 }
 
 func (engine *fakeEngine) State(context.Context) (EngineState, error) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	if engine.silent {
+	if engine.unresponsive {
 		return EngineState{}, errCut
 	}
 	state := EngineState{Epoch: engine.epoch, Slots: engine.slots, FencingToken: engine.fence, Loaded: slices.Collect(maps.Keys(engine.loaded))}
 	for _, report := range engine.reports {
-		if time.Since(report.at) >= reportedLag {
+		if time.Since(report.at) >= fakeReportLag {
 			state.Running = report.running
 		}
 	}
@@ -191,7 +198,7 @@
 
 func (engine *fakeEngine) Load(ctx context.Context, adapter string, version uint32) (err error) {
 	var wait time.Duration
-	engine.set(func() { wait, err = engine.loadTime, engine.loadErr; engine.note("load %s@%d", adapter, version) })
+	engine.set(func() { wait, err = engine.loadTime, engine.loadErr; engine.recordCall("load %s@%d", adapter, version) })
 	select {
 	case <-time.After(wait):
 	case <-ctx.Done():
@@ -203,7 +210,7 @@
 		engine.loaded[slots.AdapterRef{Adapter: adapter, Version: version}] = true
 	}
 	if len(engine.loaded) > engine.slots {
-		engine.faults = append(engine.faults, "too many adapters")
+		engine.violations = append(engine.violations, "too many adapters")
 	}
 	return err
 }
@@ -212,43 +219,43 @@
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	ref := slots.AdapterRef{Adapter: adapter, Version: version}
-	if engine.refusals--; engine.refusals >= 0 {
+	if engine.refusedUnloads--; engine.refusedUnloads >= 0 {
 		return errCut
 	}
-	engine.note("unload %s", ref)
+	engine.recordCall("unload %s", ref)
 	if engine.inUse[ref] > 0 {
-		engine.faults = append(engine.faults, "evicted in use: "+ref.String())
+		engine.violations = append(engine.violations, "evicted in use: "+ref.String())
 	}
 	delete(engine.loaded, ref)
 	return nil
 }
 
-func (engine *fakeEngine) Generate(ctx context.Context, generation GenerateRequest) (Stream, error) {
+func (engine *fakeEngine) Generate(ctx context.Context, request GenerateRequest) (Stream, error) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	engine.note("generate %s/%d %s from %d", generation.RequestID, generation.Attempt, generation.Ref, generation.ResumeFrom)
-	if !engine.loaded[generation.Ref] {
-		engine.faults = append(engine.faults, "not loaded: "+generation.Ref.String())
+	engine.recordCall("generate %s/%d %s from %d", request.RequestID, request.Attempt, request.Ref, request.ResumeFrom)
+	if !engine.loaded[request.Ref] {
+		engine.violations = append(engine.violations, "not loaded: "+request.Ref.String())
 	}
-	for _, header := range generation.Headers {
-		engine.note("header %s=%s", header.Name, header.Value)
+	for _, header := range request.Headers {
+		engine.recordCall("header %s=%s", header.Name, header.Value)
 	}
-	engine.inUse[generation.Ref]++
-	engine.work(1)
-	return &fakeStream{engine: engine, ctx: ctx, generation: generation, next: generation.ResumeFrom}, nil
+	engine.inUse[request.Ref]++
+	engine.changeRunning(1)
+	return &fakeStream{engine: engine, ctx: ctx, request: request, next: request.ResumeFrom}, nil
 }
 
 type fakeStream struct {
-	engine     *fakeEngine
-	ctx        context.Context
-	generation GenerateRequest
-	next       int64
-	ended      bool
+	engine  *fakeEngine
+	ctx     context.Context
+	request GenerateRequest
+	next    int64
+	ended   bool
 }
 
 func (stream *fakeStream) Next() (Token, error) {
 	select {
-	case <-time.After(stream.engine.pace):
+	case <-time.After(stream.engine.tokenInterval):
 	case <-stream.ctx.Done():
 		return Token{}, stream.ctx.Err()
 	}
@@ -258,10 +265,10 @@
 		stream.end()
 		return Token{}, io.EOF
 	}
-	token := Token{Index: stream.next, Text: fmt.Sprintf("t%d ", stream.next), RequestID: stream.generation.RequestID,
-		Attempt: stream.generation.Attempt, Model: stream.generation.Ref.String()}
+	token := Token{Index: stream.next, Text: fmt.Sprintf("t%d ", stream.next), RequestID: stream.request.RequestID,
+		Attempt: stream.request.Attempt, Model: stream.request.Ref.String()}
 	if stream.engine.token != nil {
-		if err := stream.engine.token(stream.generation, &token); err != nil {
+		if err := stream.engine.token(stream.request, &token); err != nil {
 			return Token{}, err
 		}
 	}
@@ -274,26 +281,26 @@
 func (stream *fakeStream) end() {
 	if !stream.ended {
 		stream.ended = true
-		stream.engine.inUse[stream.generation.Ref]--
-		stream.engine.work(-1)
+		stream.engine.inUse[stream.request.Ref]--
+		stream.engine.changeRunning(-1)
 	}
 }
 
 func (stream *fakeStream) FinishReason() string { return "stop" }
 
-// Close cancels the request; the engine works on for a while.
+// Close cancels the request. The engine ends it after cancelDelay.
 func (stream *fakeStream) Close() {
 	stream.engine.mu.Lock()
 	defer stream.engine.mu.Unlock()
 	if !stream.ended {
-		stream.engine.note("cancel %s", stream.generation.RequestID)
-		time.AfterFunc(stream.engine.afterlife, func() { stream.engine.set(stream.end) })
+		stream.engine.recordCall("cancel %s", stream.request.RequestID)
+		time.AfterFunc(stream.engine.cancelDelay, func() { stream.engine.set(stream.end) })
 	}
 }
 
 func (engine *fakeEngine) CallPlain(ctx context.Context, call PlainRequest) (*PlainResponse, error) {
 	engine.mu.Lock()
-	engine.note("call %s %s %s", call.RequestID, call.Method, call.Path)
+	engine.recordCall("call %s %s %s", call.RequestID, call.Method, call.Path)
 	answer := engine.call
 	engine.mu.Unlock()
 	if answer != nil {
@@ -302,25 +309,26 @@
 	return &PlainResponse{Status: 201, Body: io.NopCloser(strings.NewReader("booked"))}, nil
 }
 
-// fakeLimiter makes organisations wait that have no tokens.
+// fakeLimiter makes organisations without tokens wait.
 type fakeLimiter struct {
 	mu      sync.Mutex
 	level   map[string]conf.Tokens
 	settled []conf.Tokens
-	// taken is called after each debit.
+	// taken is called after each reservation.
 	taken func()
-	// lapsed makes the next debits lapse before their commit.
-	lapsed int
+	// lapsing is how many of the next reservations expire before their commit.
+	lapsing int
 }
 
-type fakeDebit struct {
+// fakeReservation is a reservation of a fakeLimiter.
+type fakeReservation struct {
 	limiter      *fakeLimiter
 	organisation string
 	tokens       conf.Tokens
 }
 
 func (limiter *fakeLimiter) Reserve(ctx context.Context, organisation string, tokens conf.Tokens) (Reservation, error) {
-	for !limiter.debit(organisation, tokens) {
+	for !limiter.tryReserve(organisation, tokens) {
 		select {
 		case <-time.After(5 * time.Millisecond):
 		case <-ctx.Done():
@@ -330,10 +338,10 @@
 	if limiter.taken != nil {
 		limiter.taken()
 	}
-	return fakeDebit{limiter, organisation, tokens}, nil
+	return fakeReservation{limiter, organisation, tokens}, nil
 }
 
-func (limiter *fakeLimiter) debit(organisation string, tokens conf.Tokens) bool {
+func (limiter *fakeLimiter) tryReserve(organisation string, tokens conf.Tokens) bool {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	enough := limiter.level[organisation] >= tokens
@@ -349,45 +357,45 @@
 	limiter.level[organisation] = tokens
 }
 
-func (debit fakeDebit) Commit() bool {
-	debit.limiter.mu.Lock()
-	defer debit.limiter.mu.Unlock()
-	debit.limiter.lapsed--
-	return debit.limiter.lapsed < 0
+func (reservation fakeReservation) Commit() bool {
+	reservation.limiter.mu.Lock()
+	defer reservation.limiter.mu.Unlock()
+	reservation.limiter.lapsing--
+	return reservation.limiter.lapsing < 0
 }
 
-func (debit fakeDebit) Settle(used conf.Tokens) {
-	debit.limiter.mu.Lock()
-	defer debit.limiter.mu.Unlock()
-	debit.limiter.level[debit.organisation] += debit.tokens - used
-	debit.limiter.settled = append(debit.limiter.settled, used)
+func (reservation fakeReservation) Settle(used conf.Tokens) {
+	reservation.limiter.mu.Lock()
+	defer reservation.limiter.mu.Unlock()
+	reservation.limiter.level[reservation.organisation] += reservation.tokens - used
+	reservation.limiter.settled = append(reservation.limiter.settled, used)
 }
 
-// fakeLog is a log that can be out or lose replies.
+// fakeLog is a log that can be unavailable or lose replies.
 type fakeLog struct {
-	mu      sync.Mutex
-	records map[string][]LogRecord
-	out     atomic.Bool
-	lose    int
-	// outAfter says that the log is out after a lost reply.
-	outAfter bool
+	mu          sync.Mutex
+	records     map[string][]LogRecord
+	unavailable atomic.Bool
+	lostReplies int
+	// unavailableAfterLoss makes the log unavailable after a lost reply.
+	unavailableAfterLoss bool
 }
 
-var errOut = errors.New("log out")
+var errFakeLogUnavailable = errors.New("log unavailable")
 
 func (log *fakeLog) Append(_ context.Context, stream string, record []byte) (uint64, error) {
 	time.Sleep(time.Millisecond)
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	if log.out.Load() {
-		return 0, errOut
+	if log.unavailable.Load() {
+		return 0, errFakeLogUnavailable
 	}
 	offset := uint64(len(log.records[stream]))
 	log.records[stream] = append(log.records[stream], LogRecord{Offset: offset, Time: time.Now(), Data: record})
-	if log.lose > 0 {
-		log.lose--
-		log.out.Store(log.outAfter)
-		return 0, errOut
+	if log.lostReplies > 0 {
+		log.lostReplies--
+		log.unavailable.Store(log.unavailableAfterLoss)
+		return 0, errFakeLogUnavailable
 	}
 	return offset, nil
 }
@@ -395,8 +403,8 @@
 func (log *fakeLog) Read(_ context.Context, stream string, from uint64, _ time.Duration) (LogPage, error) {
 	log.mu.Lock()
 	defer log.mu.Unlock()
-	if log.out.Load() {
-		return LogPage{}, errOut
+	if log.unavailable.Load() {
+		return LogPage{}, errFakeLogUnavailable
 	}
 	records := log.records[stream]
 	if from >= uint64(len(records)) {
@@ -405,59 +413,60 @@
 	return LogPage{Records: records[from:], NextOffset: uint64(len(records))}, nil
 }
 
-// fakeRoster says whether the upstream is leaving.
-type fakeRoster struct{ leaving atomic.Bool }
+// fakeRoster says whether the upstream is draining.
+type fakeRoster struct{ draining atomic.Bool }
 
-func (roster *fakeRoster) Draining(string) bool { return roster.leaving.Load() }
+func (roster *fakeRoster) Draining(string) bool { return roster.draining.Load() }
 
-// rig is a Server with its fakes, served over net.Pipe.
-type rig struct {
+// harness is a Server with its fakes, served over net.Pipe.
+type harness struct {
 	*Server
-	t       testing.TB
-	ctx     context.Context
-	configs *fakeConfigs
-	fake    *fakeEngine
-	limiter *fakeLimiter
-	log     *fakeLog
-	roster  *fakeRoster
-	metrics *expvar.Map
-	serial  int
-}
-
-// inRig runs a test in virtual time.
-func inRig(t *testing.T, change func(*Config), test func(rig *rig)) {
+	t          testing.TB
+	ctx        context.Context
+	configs    *fakeConfigSource
+	fakeEngine *fakeEngine
+	limiter    *fakeLimiter
+	log        *fakeLog
+	roster     *fakeRoster
+	metrics    *expvar.Map
+	serial     int
+}
+
+// withHarness runs a test in virtual time. It checks that the server handles no
+// request at the end and that the engine noticed no violation.
+func withHarness(t *testing.T, change func(*Config), test func(harness *harness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		rig := newRig(t, change)
-		rig.ctx = ctx
-		over := make(chan struct{})
-		go func() { defer close(over); _ = rig.Serve(ctx) }()
+		harness := newHarness(t, change)
+		harness.ctx = ctx
+		done := make(chan struct{})
+		go func() { defer close(done); _ = harness.Serve(ctx) }()
 		time.Sleep(time.Millisecond)
-		test(rig)
+		test(harness)
 		time.Sleep(10 * time.Second)
 		cancel()
-		<-over
-		if rig.queue.Len() > 0 || len(rig.running) > 0 || rig.live > 0 || len(rig.gathering) > 0 {
-			t.Errorf("left over: %d queued, %d running, %d live, %d gathering",
-				rig.queue.Len(), len(rig.running), rig.live, len(rig.gathering))
+		<-done
+		if harness.queue.Len() > 0 || len(harness.running) > 0 || harness.inFlight > 0 || len(harness.tokenWaits) > 0 {
+			t.Errorf("left over: %d queued, %d running, %d in flight, %d waiting for tokens",
+				harness.queue.Len(), len(harness.running), harness.inFlight, len(harness.tokenWaits))
 		}
-		for _, seen := range rig.fake.faults {
-			t.Errorf("engine saw: %s", seen)
+		for _, got := range harness.fakeEngine.violations {
+			t.Errorf("engine saw: %s", got)
 		}
 	})
 }
 
-func newRig(t testing.TB, change func(*Config)) *rig {
+func newHarness(t testing.TB, change func(*Config)) *harness {
 	t.Helper()
-	rig := &rig{
-		t: t, configs: newFakeConfigs(), fake: newFakeEngine(), log: &fakeLog{records: map[string][]LogRecord{}}, roster: &fakeRoster{},
+	harness := &harness{
+		t: t, configs: newFakeConfigSource(), fakeEngine: newFakeEngine(), log: &fakeLog{records: map[string][]LogRecord{}}, roster: &fakeRoster{},
 		limiter: &fakeLimiter{level: map[string]conf.Tokens{"oak": 1e6, "ash": 1e6}},
 		metrics: new(expvar.Map).Init(),
 	}
 	config := Config{
-		UpstreamID: "up", ConfigSource: rig.configs, UpstreamClient: rig.fake, Limiter: rig.limiter, Log: rig.log,
-		Roster: rig.roster, Metrics: rig.metrics, Incarnation: 77,
+		UpstreamID: "up", ConfigSource: harness.configs, UpstreamClient: harness.fakeEngine, Limiter: harness.limiter, Log: harness.log,
+		Roster: harness.roster, Metrics: harness.metrics, Incarnation: 77,
 	}
 	if change != nil {
 		change(&config)
@@ -466,28 +475,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rig.Server = server
-	return rig
+	harness.Server = server
+	return harness
 }
 
-// client returns a new drpc connection to the server.
-func (rig *rig) client(ctx context.Context) wirepb.DRPCSideClient {
+// client returns a client with a new connection to the server.
+func (harness *harness) client(ctx context.Context) wirepb.DRPCSideClient {
 	near, far := net.Pipe()
 	mux := drpcmux.New()
-	if err := wirepb.DRPCRegisterSide(mux, rig.Server); err != nil {
-		rig.t.Fatal(err)
+	if err := wirepb.DRPCRegisterSide(mux, harness.Server); err != nil {
+		harness.t.Fatal(err)
 	}
-	go func() { _ = drpcserver.New(mux).ServeOne(rig.ctx, far) }()
+	go func() { _ = drpcserver.New(mux).ServeOne(harness.ctx, far) }()
 	conn := drpcconn.New(near)
 	context.AfterFunc(ctx, func() { _ = conn.Close() })
 	return wirepb.NewDRPCSideClient(conn)
 }
 
 // request returns a model request of the organisation oak.
-func (rig *rig) request(change ...func(*wirepb.RunRequest)) *wirepb.RunRequest {
-	rig.serial++
+func (harness *harness) request(change ...func(*wirepb.RunRequest)) *wirepb.RunRequest {
+	harness.serial++
 	request := &wirepb.RunRequest{
-		RequestId: fmt.Sprintf("r%d", rig.serial), Attempt: 1, Organisation: "oak", KeyId: "oak-key", Route: "chat",
+		RequestId: fmt.Sprintf("r%d", harness.serial), Attempt: 1, Organisation: "oak", KeyId: "oak-key", Route: "chat",
 		Adapter: "a", AdapterVersion: 1, PromptTokens: 10, MaxTokens: 20, Idempotent: true, Stream: true,
 	}
 	for _, edit := range change {
@@ -496,7 +505,7 @@
 	return request
 }
 
-// result is what the caller of one attempt saw.
+// result is what the caller of one attempt received.
 type result struct {
 	Text    string
 	Refused string
@@ -509,19 +518,19 @@
 	err     error
 }
 
-// start runs a request and delivers its result.
-func (rig *rig) start(ctx context.Context, request *wirepb.RunRequest) <-chan result {
+// start runs a request in the background and delivers its result.
+func (harness *harness) start(ctx context.Context, request *wirepb.RunRequest) <-chan result {
 	results := make(chan result, 1)
-	go func() { results <- rig.do(ctx, request) }()
+	go func() { results <- harness.do(ctx, request) }()
 	return results
 }
 
-func (rig *rig) do(ctx context.Context, request *wirepb.RunRequest) (seen result) {
+func (harness *harness) do(ctx context.Context, request *wirepb.RunRequest) (got result) {
 	began := time.Now()
-	defer func() { seen.took = time.Since(began) }()
+	defer func() { got.took = time.Since(began) }()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stream, err := rig.client(ctx).Run(ctx, request)
+	stream, err := harness.client(ctx).Run(ctx, request)
 	if err != nil {
 		return result{err: err}
 	}
@@ -529,26 +538,26 @@
 		event, err := stream.Recv()
 		if err != nil {
 			if !errors.Is(err, io.EOF) {
-				seen.err = err
+				got.err = err
 			}
-			return seen
+			return got
 		}
-		seen.add(event)
+		got.add(event)
 	}
 }
 
-func (seen *result) add(event *wirepb.RunEvent) {
-	seen.events = append(seen.events, event)
+func (got *result) add(event *wirepb.RunEvent) {
+	got.events = append(got.events, event)
 	switch event.GetEvent().(type) {
 	case *wirepb.RunEvent_Refused:
-		seen.Refused, seen.Ran = event.GetRefused().GetKind(), wirepb.Ran_RAN_NOT_RUN
+		got.Refused, got.Ran = event.GetRefused().GetKind(), wirepb.Ran_RAN_NOT_RUN
 	case *wirepb.RunEvent_Failed:
-		seen.Failed, seen.Ran = event.GetFailed().GetKind(), event.GetFailed().GetRan()
+		got.Failed, got.Ran = event.GetFailed().GetKind(), event.GetFailed().GetRan()
 	case *wirepb.RunEvent_Started:
-		seen.status = event.GetStarted().GetStatus()
+		got.status = event.GetStarted().GetStatus()
 	case *wirepb.RunEvent_Chunk:
-		seen.Text += string(event.GetChunk().GetData())
+		got.Text += string(event.GetChunk().GetData())
 	case *wirepb.RunEvent_Done:
-		seen.Done, seen.Ran = true, wirepb.Ran_RAN_RAN
+		got.Done, got.Ran = true, wirepb.Ran_RAN_RAN
 	}
 }
--- a/internal/daemon/side/hosted.go
+++ b/internal/daemon/side/hosted.go
@@ -16,35 +16,35 @@
 
 // shards holds the quota shards that this process hosts.
 type shards struct {
-	upstream string
-	make     func(ShardConfig) Shard
-	base     ShardConfig
-	version  uint64
-	filled   bool
-	hosted   map[shardKey]Shard
-	sizes    map[shardKey]shardSize
+	upstream    string
+	newShard    func(ShardConfig) Shard
+	defaults    ShardConfig
+	version     uint64
+	initialised bool
+	hosted      map[shardKey]Shard
+	sizes       map[shardKey]shardSize
 }
 
 func newShards(config Config) *shards {
 	return &shards{
-		upstream: config.UpstreamID, make: config.NewShard,
-		base:   ShardConfig{Lifetime: config.GrantLifetime, Margin: config.GrantMargin},
-		hosted: map[shardKey]Shard{}, sizes: map[shardKey]shardSize{},
+		upstream: config.UpstreamID, newShard: config.NewShard,
+		defaults: ShardConfig{Lifetime: config.GrantLifetime, Margin: config.GrantMargin},
+		hosted:   map[shardKey]Shard{}, sizes: map[shardKey]shardSize{},
 	}
 }
 
-// refresh brings the hosted shards in line with a configuration.
-func (shards *shards) refresh(config *conf.Config) {
-	if shards.make == nil || shards.filled && config.Version() == shards.version {
+// update makes the hosted shards match a configuration.
+func (shards *shards) update(config *conf.Config) {
+	if shards.newShard == nil || shards.initialised && config.Version() == shards.version {
 		return
 	}
-	shards.version, shards.filled = config.Version(), true
+	shards.version, shards.initialised = config.Version(), true
 	wanted := map[shardKey]bool{}
 	for _, organisation := range config.Organisations() {
-		shards.host(wanted, organisation.Name, organisation.Shards, organisation.Rate, organisation.Burst)
+		shards.updateOrganisation(wanted, organisation.Name, organisation.Shards, organisation.Rate, organisation.Burst)
 	}
 	fleet := config.Fleet()
-	shards.host(wanted, LoadPermitOrganisation, fleet.LoadShards, conf.Tokens(fleet.LoadRateMilli), conf.Tokens(fleet.LoadBurst)*PermitCost)
+	shards.updateOrganisation(wanted, LoadPermitOrganisation, fleet.LoadShards, conf.Tokens(fleet.LoadRateMilli), conf.Tokens(fleet.LoadBurst)*PermitCost)
 	for key := range shards.hosted {
 		if !wanted[key] {
 			delete(shards.hosted, key)
@@ -53,30 +53,31 @@
 	}
 }
 
-// part returns a shard's part of a rate or burst. The parts add up to the whole.
-func part(whole conf.Tokens, index, count int) conf.Tokens {
-	share := whole / conf.Tokens(count)
+// shardPortion returns one shard's portion of a rate or burst. The portions of
+// all shards add up to the whole.
+func shardPortion(whole conf.Tokens, index, count int) conf.Tokens {
+	portion := whole / conf.Tokens(count)
 	if conf.Tokens(index) < whole%conf.Tokens(count) {
-		share++
+		portion++
 	}
-	return share
+	return portion
 }
 
-// host creates or resizes the shards of an organisation that are on this
-// upstream.
-func (shards *shards) host(wanted map[shardKey]bool, organisation string, hosts []string, rate, burst conf.Tokens) {
+// updateOrganisation creates or resizes those shards of an organisation that
+// are hosted at this upstream, and adds their keys to wanted.
+func (shards *shards) updateOrganisation(wanted map[shardKey]bool, organisation string, hosts []string, rate, burst conf.Tokens) {
 	now := time.Now()
 	for index, upstream := range hosts {
 		if upstream != shards.upstream {
 			continue
 		}
 		key := shardKey{organisation, uint32(index)}
-		size := shardSize{part(rate, index, len(hosts)), part(burst, index, len(hosts))}
+		size := shardSize{shardPortion(rate, index, len(hosts)), shardPortion(burst, index, len(hosts))}
 		wanted[key] = true
 		if shard, ok := shards.hosted[key]; !ok {
-			config := shards.base
+			config := shards.defaults
 			config.Rate, config.Burst, config.Start = size.rate, size.burst, now
-			shards.hosted[key] = shards.make(config)
+			shards.hosted[key] = shards.newShard(config)
 		} else if shards.sizes[key] != size {
 			shard.Resize(now, size.rate, size.burst)
 		}
@@ -84,6 +85,6 @@
 	}
 }
 
-func (shards *shards) missing(organisation string) error {
+func (shards *shards) errNotHosted(organisation string) error {
 	return fault.New(fault.NoUpstream, fault.NotRun, "this side process hosts no such shard of %q; read the configuration anew", organisation)
 }
--- a/internal/daemon/side/loads.go
+++ b/internal/daemon/side/loads.go
@@ -12,23 +12,26 @@
 	"jacinthfront.dev/jacinthfront/internal/flow/slots"
 )
 
-// errOvertaken is an order for an engine that started anew meanwhile.
-var errOvertaken = errors.New("the engine started anew")
+// errEngineRestarted is the error of an order that was planned for an earlier
+// epoch of the engine.
+var errEngineRestarted = errors.New("the engine restarted")
 
-// errNotEvicted is an order whose eviction the engine did not carry out.
-var errNotEvicted = errors.New("the engine did not evict")
+// errNotEvicted is the error of an order whose eviction the engine did not
+// carry out.
+var errNotEvicted = errors.New("the engine did not evict the adapter")
 
-// execute gives one order to the engine and reports its end to the table.
-func (server *Server) execute(order slots.Order, generation uint64) {
-	defer server.loads.Done()
+// executeOrder sends one order to the engine and records its result in the slot
+// table.
+func (server *Server) executeOrder(order slots.Order, generation uint64) {
+	defer server.workers.Done()
 	ctx, cancel := context.WithTimeout(server.background, loadTimeout)
 	defer cancel()
 	began := time.Now()
-	err := server.give(ctx, order, generation)
+	err := server.sendOrder(ctx, order, generation)
 	server.logOrder(order, time.Since(began), err)
-	var held *EngineState
+	var engineState *EngineState
 	if err != nil {
-		held = server.held(ctx)
+		engineState = server.readEngineState(ctx)
 	}
 	server.mu.Lock()
 	defer server.mu.Unlock()
@@ -36,27 +39,27 @@
 		return
 	}
 	now := time.Now()
-	giveUp := false
+	refuseWaiting := false
 	if errors.Is(err, errNotEvicted) {
 		server.table.EvictionRefused(now, order)
 	} else {
-		giveUp = server.table.LoadFinished(now, order.Load, err)
+		refuseWaiting = server.table.LoadFinished(now, order.Load, err)
 	}
-	if held != nil && held.Epoch == server.engine.epoch {
-		server.table.Reconcile(now, held.Loaded)
+	if engineState != nil && engineState.Epoch == server.engine.epoch {
+		server.table.Reconcile(now, engineState.Loaded)
 	}
-	if giveUp && !server.table.Ready(order.Load) {
-		server.giveUp(order.Load)
+	if refuseWaiting && !server.table.Ready(order.Load) {
+		server.refuseWaitingFor(order.Load)
 	}
 	if err == nil {
-		server.noteLoaded(now, order.Load)
+		server.recordLoadWait(now, order.Load)
 	}
-	server.pump()
+	server.schedule()
 }
 
-// held reads what the engine holds after an order failed: its reply may be
-// lost although the engine carried it out.
-func (server *Server) held(ctx context.Context) *EngineState {
+// readEngineState reads which adapters the engine holds after an order failed:
+// the reply may have been lost although the engine carried out the order.
+func (server *Server) readEngineState(ctx context.Context) *EngineState {
 	state, err := server.config.UpstreamClient.State(ctx)
 	if err != nil {
 		return nil
@@ -64,14 +67,14 @@
 	return &state
 }
 
-// give evicts and loads.
-func (server *Server) give(ctx context.Context, order slots.Order, generation uint64) error {
+// sendOrder makes the engine evict and load the adapters of an order.
+func (server *Server) sendOrder(ctx context.Context, order slots.Order, generation uint64) error {
 	server.mu.Lock()
 	current := generation == server.engine.generation
 	server.table.LoadStarted(time.Now(), order.Load)
 	server.mu.Unlock()
 	if !current {
-		return errOvertaken
+		return errEngineRestarted
 	}
 	if order.Evict != (slots.AdapterRef{}) {
 		server.count("evictions")
@@ -86,7 +89,7 @@
 	return server.config.UpstreamClient.Load(ctx, order.Load.Adapter, order.Load.Version)
 }
 
-// logOrder logs an order to the engine and its end.
+// logOrder logs an order to the engine and its result.
 func (server *Server) logOrder(order slots.Order, took time.Duration, err error) {
 	fields := []zap.Field{zap.Stringer("adapter", order.Load), zap.Duration("took", took), zap.String("upstream", server.config.UpstreamID)}
 	if order.Evict != (slots.AdapterRef{}) {
@@ -100,9 +103,10 @@
 	server.config.Logger.Info("place: loaded adapter", append(fields, zap.String("reason", "requests wait for it"))...)
 }
 
-// noteLoaded attributes the wait of the waiting requests to the load.
-func (server *Server) noteLoaded(now time.Time, ref slots.AdapterRef) {
-	server.queue.All(func(entry *fairq.Entry[*ticket]) bool {
+// recordLoadWait attributes the time that requests for the adapter have waited
+// so far to its load.
+func (server *Server) recordLoadWait(now time.Time, ref slots.AdapterRef) {
+	server.queue.All(func(entry *fairq.Entry[*task]) bool {
 		if entry.Value.ref == ref {
 			entry.Value.loadWait = now.Sub(entry.Value.arrived)
 		}
@@ -110,23 +114,23 @@
 	})
 }
 
-func loadFailed(ticket *ticket) *fault.Fault {
+func errLoadFailed(task *task) *fault.Fault {
 	return fault.New(fault.LoadFailed, fault.NotRun,
-		"the adapter %s could not be loaded here; send the request to another upstream", ticket.ref)
+		"the adapter %s could not be loaded here; send the request to another upstream", task.ref)
 }
 
-// giveUp hands the requests that wait for an adapter back to their entry
-// instances.
-func (server *Server) giveUp(ref slots.AdapterRef) {
-	var waiting []*ticket
-	server.queue.All(func(entry *fairq.Entry[*ticket]) bool {
+// refuseWaitingFor returns the requests that wait for an adapter to their entry
+// instances, after its load failed repeatedly.
+func (server *Server) refuseWaitingFor(ref slots.AdapterRef) {
+	var waiting []*task
+	server.queue.All(func(entry *fairq.Entry[*task]) bool {
 		if entry.Value.ref == ref {
 			waiting = append(waiting, entry.Value)
 		}
 		return true
 	})
-	after, _ := server.table.RejectFor(time.Now(), ref)
-	for _, ticket := range waiting {
-		server.refuse(ticket, loadFailed(ticket).WithRetryAfter(after))
+	retryAfter, _ := server.table.RejectFor(time.Now(), ref)
+	for _, task := range waiting {
+		server.refuseQueued(task, errLoadFailed(task).WithRetryAfter(retryAfter))
 	}
 }
--- a/internal/daemon/side/loads_test.go
+++ b/internal/daemon/side/loads_test.go
@@ -14,15 +14,15 @@
 )
 
 // Guards against several loads of one adapter, against requests that wait for
-// another one's load, and against an eviction of an adapter in use, which the
-// fake engine reports.
+// the load of another adapter, and against the eviction of an adapter in use,
+// which the fake engine reports.
 func TestLoads(t *testing.T) {
 	var permits countingPermits
-	inRig(t, func(config *Config) { config.Permits = &permits }, func(rig *rig) {
-		rig.do(rig.ctx, rig.request())
+	withHarness(t, func(config *Config) { config.Permits = &permits }, func(harness *harness) {
+		harness.do(harness.ctx, harness.request())
 		var results []<-chan result
 		for _, name := range []string{"a", "b", "b", "c", "a", "d", "b", "a"} {
-			results = append(results, rig.start(rig.ctx, rig.request(adapter(name))))
+			results = append(results, harness.start(harness.ctx, harness.request(withAdapter(name))))
 			time.Sleep(time.Millisecond)
 		}
 		for index, results := range results {
@@ -34,7 +34,7 @@
 				t.Errorf("a request for a loaded adapter took %v", got.took)
 			}
 		}
-		if loads := rig.fake.seen("load"); len(rig.fake.seen("load b")) != 1 || int(permits) != len(loads) {
+		if loads := harness.fakeEngine.callsWith("load"); len(harness.fakeEngine.callsWith("load b")) != 1 || int(permits) != len(loads) {
 			t.Errorf("loads %v with %d permits", loads, permits)
 		}
 	})
@@ -47,134 +47,134 @@
 	return nil
 }
 
-// Guards against loads that cost nothing: an organisation that causes one lets
-// others go first.
+// Guards against loads that are not charged: an organisation that causes a load
+// lets others go first.
 func TestLoadCharge(t *testing.T) {
 	charged := func(config *Config) { config.MaxRunning, config.Queue.Quantum = 1, 50 }
-	inRig(t, charged, func(rig *rig) {
-		rig.fake.loadTime = time.Millisecond
-		rig.do(rig.ctx, rig.request())
+	withHarness(t, charged, func(harness *harness) {
+		harness.fakeEngine.loadTime = time.Millisecond
+		harness.do(harness.ctx, harness.request())
 		var last <-chan result
-		for _, change := range []func(*wirepb.RunRequest){ash, adapter("b"), ash, ash, ash} {
-			last = rig.start(rig.ctx, rig.request(change))
+		for _, change := range []func(*wirepb.RunRequest){fromAsh, withAdapter("b"), fromAsh, fromAsh, fromAsh} {
+			last = harness.start(harness.ctx, harness.request(change))
 			time.Sleep(time.Millisecond)
 		}
 		<-last
 		time.Sleep(100 * time.Millisecond)
-		if sent := rig.fake.seen("generate"); !strings.Contains(sent[len(sent)-1], "r3") {
+		if sent := harness.fakeEngine.callsWith("generate"); !strings.Contains(sent[len(sent)-1], "r3") {
 			t.Errorf("the organisation that caused a load did not go last: %v", sent)
 		}
 	})
 }
 
 // Guards against an eviction that the engine refuses and that counts as a
-// failed load, which would turn the waiting requests away.
+// failed load, which would refuse the waiting requests.
 func TestRefusedEviction(t *testing.T) {
-	inRig(t, func(config *Config) { config.UpstreamClient.(*fakeEngine).slots = 1 }, func(rig *rig) {
-		rig.do(rig.ctx, rig.request())
-		rig.fake.set(func() { rig.fake.refusals = 1; rig.fake.loadErr = errCut })
-		time.AfterFunc(time.Millisecond, func() { rig.fake.set(func() { rig.fake.loadErr = nil }) })
-		if got := rig.do(rig.ctx, rig.request(adapter("b"))); !got.Done || rig.table.LoadConcurrency() < 2 {
+	withHarness(t, func(config *Config) { config.UpstreamClient.(*fakeEngine).slots = 1 }, func(harness *harness) {
+		harness.do(harness.ctx, harness.request())
+		harness.fakeEngine.set(func() { harness.fakeEngine.refusedUnloads = 1; harness.fakeEngine.loadErr = errCut })
+		time.AfterFunc(time.Millisecond, func() { harness.fakeEngine.set(func() { harness.fakeEngine.loadErr = nil }) })
+		if got := harness.do(harness.ctx, harness.request(withAdapter("b"))); !got.Done || harness.table.LoadConcurrency() < 2 {
 			t.Errorf("result %+v", got)
 		}
 	})
 }
 
-// Guards against requests that wait for a load which keeps failing: after the
-// second failure they go to another upstream.
+// Guards against requests that wait for a load that keeps failing: after the
+// second failure they are refused, to be sent to another upstream.
 func TestLoadFailure(t *testing.T) {
-	inRig(t, nil, func(rig *rig) {
-		rig.fake.loadErr = errors.New("store down")
-		got := rig.do(rig.ctx, rig.request())
-		if got.Refused != "load-failed" || !got.events[0].GetRefused().GetTryElsewhere() || len(rig.fake.seen("load")) != 2 {
-			t.Errorf("result %+v, loads %v", got, rig.fake.seen("load"))
+	withHarness(t, nil, func(harness *harness) {
+		harness.fakeEngine.loadErr = errors.New("store down")
+		got := harness.do(harness.ctx, harness.request())
+		if got.Refused != "load-failed" || !got.events[0].GetRefused().GetTryElsewhere() || len(harness.fakeEngine.callsWith("load")) != 2 {
+			t.Errorf("result %+v, loads %v", got, harness.fakeEngine.callsWith("load"))
 		}
-		if again := rig.do(rig.ctx, rig.request()); again.Refused != "load-failed" || again.took > time.Millisecond {
+		if again := harness.do(harness.ctx, harness.request()); again.Refused != "load-failed" || again.took > time.Millisecond {
 			t.Errorf("during the backoff: %+v", again)
 		}
 	})
 }
 
-// Guards against the use of adapters that an engine lost when it started anew.
+// Guards against the use of adapters that an engine lost when it restarted.
 func TestEngineRestart(t *testing.T) {
-	inRig(t, nil, func(rig *rig) {
-		rig.do(rig.ctx, rig.request())
-		rig.fake.restart()
-		time.Sleep(statePoll + time.Millisecond)
-		if got := rig.do(rig.ctx, rig.request()); !got.Done || len(rig.fake.seen("load a")) != 2 {
-			t.Errorf("result %+v, loads %v", got, rig.fake.seen("load"))
+	withHarness(t, nil, func(harness *harness) {
+		harness.do(harness.ctx, harness.request())
+		harness.fakeEngine.restart()
+		time.Sleep(pollInterval + time.Millisecond)
+		if got := harness.do(harness.ctx, harness.request()); !got.Done || len(harness.fakeEngine.callsWith("load a")) != 2 {
+			t.Errorf("result %+v, loads %v", got, harness.fakeEngine.callsWith("load"))
 		}
-		rig.limiter.taken = func() {
-			rig.limiter.taken = nil
-			rig.fake.restart()
-			rig.poll(rig.ctx)
+		harness.limiter.taken = func() {
+			harness.limiter.taken = nil
+			harness.fakeEngine.restart()
+			harness.pollEngine(harness.ctx)
 		}
-		if got := rig.do(rig.ctx, rig.request()); !got.Done || len(rig.fake.seen("load a")) != 3 {
-			t.Errorf("restart while tokens are taken: %+v, loads %v", got, rig.fake.seen("load"))
+		if got := harness.do(harness.ctx, harness.request()); !got.Done || len(harness.fakeEngine.callsWith("load a")) != 3 {
+			t.Errorf("restart while tokens are reserved: %+v, loads %v", got, harness.fakeEngine.callsWith("load"))
 		}
 	})
 }
 
-// Guards against an organisation without tokens that holds up another one,
-// against interactive work that waits behind patient work for tokens, and
-// against a wait-exceeded refusal that comes late.
+// Guards against an organisation without tokens that delays another one,
+// against interactive requests that wait for tokens behind patient ones, and
+// against a late wait-exceeded refusal.
 func TestTokenWait(t *testing.T) {
-	inRig(t, func(config *Config) { config.MaxRunning = 1 }, func(rig *rig) {
-		rig.do(rig.ctx, rig.request())
-		rig.limiter.set("oak", 0)
-		patient := rig.start(rig.ctx, rig.request(func(request *wirepb.RunRequest) { request.Class = wirepb.Class_CLASS_PATIENT }))
+	withHarness(t, func(config *Config) { config.MaxRunning = 1 }, func(harness *harness) {
+		harness.do(harness.ctx, harness.request())
+		harness.limiter.set("oak", 0)
+		patient := harness.start(harness.ctx, harness.request(func(request *wirepb.RunRequest) { request.Class = wirepb.Class_CLASS_PATIENT }))
 		time.Sleep(50 * time.Millisecond)
-		other := rig.do(rig.ctx, rig.request(ash))
+		other := harness.do(harness.ctx, harness.request(fromAsh))
 		if !other.Done || other.took > 45*time.Millisecond {
 			t.Errorf("other organisation: %+v", other)
 		}
-		interactive := rig.start(rig.ctx, rig.request())
+		interactive := harness.start(harness.ctx, harness.request())
 		time.Sleep(500 * time.Millisecond)
-		rig.limiter.set("oak", 30)
+		harness.limiter.set("oak", 30)
 		if got := <-interactive; !got.Done || got.took > 600*time.Millisecond {
 			t.Errorf("interactive, after tokens for one: %+v", got)
 		}
-		rig.limiter.set("oak", 0)
+		harness.limiter.set("oak", 0)
 		if got := <-patient; got.Refused != "wait-exceeded" || got.took != 2*time.Second {
 			t.Errorf("patient, without tokens: %+v", got)
 		}
-		rig.limiter.set("oak", 30)
-		if got := rig.do(rig.ctx, rig.request()); !got.Done {
+		harness.limiter.set("oak", 30)
+		if got := harness.do(harness.ctx, harness.request()); !got.Done {
 			t.Errorf("after a withdrawn request: %+v", got)
 		}
 	})
 }
 
-// Guards against requests that wait for an engine which does not answer, while
-// other upstreams could serve them.
-func TestSilentEngine(t *testing.T) {
-	inRig(t, nil, func(rig *rig) {
-		rig.fake.set(func() { rig.fake.silent, rig.fake.loadTime = true, time.Minute })
-		got := rig.do(rig.ctx, rig.request())
-		if got.Refused != "upstream-failed" || got.took > silence+statePoll || !got.events[0].GetRefused().GetTryElsewhere() {
+// Guards against requests that wait for an engine that does not report its
+// state, while other upstreams could serve them.
+func TestUnresponsiveEngine(t *testing.T) {
+	withHarness(t, nil, func(harness *harness) {
+		harness.fakeEngine.set(func() { harness.fakeEngine.unresponsive, harness.fakeEngine.loadTime = true, time.Minute })
+		got := harness.do(harness.ctx, harness.request())
+		if got.Refused != "upstream-failed" || got.took > unresponsiveAfter+pollInterval || !got.events[0].GetRefused().GetTryElsewhere() {
 			t.Errorf("result %+v", got)
 		}
 	})
 }
 
-// Guards against a request that is sent on tokens which have lapsed, and
-// against tokens that are not given back.
-func TestDebits(t *testing.T) {
-	inRig(t, nil, func(rig *rig) {
-		rig.limiter.lapsed = 2
-		got := rig.do(rig.ctx, rig.request())
+// Guards against a request that is sent on an expired reservation, and against
+// tokens that are not returned.
+func TestReservations(t *testing.T) {
+	withHarness(t, nil, func(harness *harness) {
+		harness.limiter.lapsing = 2
+		got := harness.do(harness.ctx, harness.request())
 		for index, event := range got.events {
 			if edge := index == 0 || index == len(got.events)-1; !got.Done || edge != (event.GetLoad() != nil) {
 				t.Errorf("event %d of %+v: %v", index, got, event)
 			}
 		}
-		if diff := cmp.Diff([]conf.Tokens{0, 0, 13}, rig.limiter.settled); diff != "" {
+		if diff := cmp.Diff([]conf.Tokens{0, 0, 13}, harness.limiter.settled); diff != "" {
 			t.Errorf("settled (-want +got):\n%s", diff)
 		}
 	})
 }
 
-// fakeShard notes its configuration and answers with it.
+// fakeShard records its configuration and grants according to it.
 type fakeShard struct{ config ShardConfig }
 
 func (shard *fakeShard) Draw(_ time.Time, want, _ conf.Tokens) (Grant, bool) {
@@ -189,16 +189,16 @@
 	shard.config.Rate, shard.config.Burst = rate, burst
 }
 
-// Guards against a shard that is granted from by a process that does not host
-// it, at an outdated size, or credited for a former incarnation.
+// Guards against a shard that grants tokens at a process that does not host it,
+// that has an outdated size, or that is credited for an earlier incarnation.
 func TestShards(t *testing.T) {
 	newShard := func(config ShardConfig) Shard { return &fakeShard{config} }
-	inRig(t, func(config *Config) { config.NewShard = newShard }, func(rig *rig) {
-		rig.configs.edit(func(editor *conf.Editor) {
+	withHarness(t, func(config *Config) { config.NewShard = newShard }, func(harness *harness) {
+		harness.configs.edit(func(editor *conf.Editor) {
 			editor.PutOrganisation(conf.OrganisationSpec{Name: "oak", Rate: 501, Burst: 701, Shards: []string{"up", "else"}})
 			editor.PutFleet(conf.FleetSpec{LoadRateMilli: 3000, LoadBurst: 8, LoadShards: []string{"up"}})
 		})
-		client := rig.client(rig.ctx)
+		client := harness.client(harness.ctx)
 		tests := []struct {
 			name   string
 			draw   *wirepb.DrawRequest
@@ -212,13 +212,13 @@
 			{"load permits", &wirepb.DrawRequest{Organisation: LoadPermitOrganisation, Tokens: 10000}, 8000, 3000, false},
 		}
 		for _, test := range tests {
-			got, err := client.Draw(rig.ctx, test.draw)
+			got, err := client.Draw(harness.ctx, test.draw)
 			if (err != nil) != test.fails || got.GetTokens() != test.tokens || got.GetLevel() != test.level {
 				t.Errorf("%s: %v, %v", test.name, got, err)
 			}
 		}
 		for incarnation, want := range map[uint64]int64{77: 9, 76: 0} {
-			got, err := client.Return(rig.ctx, &wirepb.ReturnRequest{Organisation: "oak", Tokens: 9, Incarnation: incarnation})
+			got, err := client.Return(harness.ctx, &wirepb.ReturnRequest{Organisation: "oak", Tokens: 9, Incarnation: incarnation})
 			if err != nil || got.GetCredited() != want {
 				t.Errorf("return to %d: %v, %v", incarnation, got, err)
 			}
@@ -226,7 +226,7 @@
 	})
 }
 
-// slowPermits gives a permit some time after it was asked for.
+// slowPermits gives a permit some time after the request for it.
 type slowPermits struct{}
 
 func (slowPermits) Acquire(ctx context.Context) error {
@@ -238,21 +238,21 @@
 	}
 }
 
-// Guards against loads that are chosen before their permit is there: a request
-// that goes first may arrive meanwhile.
+// Guards against choosing the adapter to load before the permit is held: a
+// request with higher priority may arrive meanwhile.
 func TestPermitBeforeChoice(t *testing.T) {
-	inRig(t, func(config *Config) { config.Permits = slowPermits{} }, func(rig *rig) {
+	withHarness(t, func(config *Config) { config.Permits = slowPermits{} }, func(harness *harness) {
 		patient := func(request *wirepb.RunRequest) { request.Class = wirepb.Class(conf.Patient) }
-		letter := rig.start(rig.ctx, rig.request(adapter("a"), patient))
+		patientRun := harness.start(harness.ctx, harness.request(withAdapter("a"), patient))
 		time.Sleep(100 * time.Millisecond)
-		chat := rig.start(rig.ctx, rig.request(adapter("b")))
-		if got := <-chat; !got.Done || got.took > 2*time.Second {
+		interactiveRun := harness.start(harness.ctx, harness.request(withAdapter("b")))
+		if got := <-interactiveRun; !got.Done || got.took > 2*time.Second {
 			t.Errorf("interactive: %+v", got)
 		}
-		if got := <-letter; !got.Done {
+		if got := <-patientRun; !got.Done {
 			t.Errorf("patient: %+v", got)
 		}
-		if loads := rig.fake.seen("load "); len(loads) != 2 || !strings.Contains(loads[0], "b") {
+		if loads := harness.fakeEngine.callsWith("load "); len(loads) != 2 || !strings.Contains(loads[0], "b") {
 			t.Errorf("loads %v", loads)
 		}
 	})
--- a/internal/daemon/side/logs.go
+++ b/internal/daemon/side/logs.go
@@ -7,14 +7,14 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// logRefusal logs and counts why a request was refused.
+// logRefusal logs and counts a refused request.
 func (server *Server) logRefusal(request *wirepb.RunRequest, reason *fault.Fault) {
 	server.count("refused-" + string(reason.Kind()))
 	server.config.Logger.Info("admit: refused request", faultFields(request, reason)...)
 }
 
-// logFailure logs and counts why a request that was or may have been
-// dispatched failed.
+// logFailure logs and counts a request that failed after it was, or may have
+// been, dispatched.
 func (server *Server) logFailure(request *wirepb.RunRequest, reason *fault.Fault) {
 	server.count("failed-" + string(reason.Kind()))
 	server.config.Logger.Warn("place: request failed", faultFields(request, reason)...)
@@ -29,15 +29,15 @@
 	}
 }
 
-// place logs a placement decision.
-func (server *Server) place(message string, ticket *ticket, fields ...zap.Field) {
-	server.config.Logger.Info("place: "+message, append(ticket.fields(), fields...)...)
+// logPlacement logs a decision about one request at this upstream.
+func (server *Server) logPlacement(message string, task *task, fields ...zap.Field) {
+	server.config.Logger.Info("place: "+message, append(task.logFields(), fields...)...)
 }
 
-// fields names the request in the log, without its key or prompt.
-func (ticket *ticket) fields() []zap.Field {
+// logFields identifies the request in the log, without its key or prompt.
+func (task *task) logFields() []zap.Field {
 	return []zap.Field{
-		zap.String("request-id", ticket.attempt.RequestID), zap.Uint32("attempt", ticket.attempt.Number),
-		zap.String("organisation", ticket.organisation), zap.Stringer("adapter", ticket.ref),
+		zap.String("request-id", task.attempt.RequestID), zap.Uint32("attempt", task.attempt.Number),
+		zap.String("organisation", task.organisation), zap.Stringer("adapter", task.ref),
 	}
 }
--- a/internal/daemon/side/model.go
+++ b/internal/daemon/side/model.go
@@ -15,66 +15,68 @@
 )
 
 const (
-	// maxResumes bounds how often a broken answer is taken up again.
+	// maxResumes bounds how often a broken stream is resumed.
 	maxResumes = 3
-	// resumePause lets an engine that dropped its connections come back.
-	resumePause = 50 * time.Millisecond
+	// resumeBackoff gives an engine that dropped its connections time to accept
+	// new ones.
+	resumeBackoff = 50 * time.Millisecond
 )
 
-// errBroken is a stream that ended without its end marker or skipped a token.
-var errBroken = errors.New("the upstream's stream broke")
-
-// generation is the run of one model request.
-type generation struct {
-	server *Server
-	ticket *ticket
-	answer *answer
-	// next is the index of the next token to relay.
-	next   int64
-	relays int64
-	began  bool
-	finish string
+// errBrokenStream is the error of a stream that skipped a token.
+var errBrokenStream = errors.New("the upstream's stream broke")
+
+// modelRun is the run of one model request.
+type modelRun struct {
+	server    *Server
+	task      *task
+	responder *responder
+	// nextIndex is the index of the next token to relay.
+	nextIndex    int64
+	relayed      int64
+	started      bool
+	finishReason string
 }
 
-// runModel sends a dispatched request to the engine and relays its answer.
-func (server *Server) runModel(ctx context.Context, ticket *ticket, answer *answer) error {
-	generation := &generation{server: server, ticket: ticket, answer: answer, next: ticket.request.GetResumeFrom()}
-	reason, sendErr := generation.run(ctx)
+// runModel sends a dispatched request to the engine and relays its response.
+func (server *Server) runModel(ctx context.Context, task *task, responder *responder) error {
+	modelRun := &modelRun{server: server, task: task, responder: responder, nextIndex: task.request.GetResumeFrom()}
+	reason, sendErr := modelRun.run(ctx)
 	if reason == nil && sendErr == nil {
-		return generation.complete()
+		return modelRun.complete()
 	}
 	if sendErr != nil {
 		reason = fault.New(fault.Cancelled, fault.DidRun, "the caller went away during the answer")
 	}
-	return generation.abort(reason, sendErr)
+	return modelRun.abort(reason, sendErr)
 }
 
-// run relays the answer until its end and takes it up again where it breaks,
-// as far as the request allows it.
-func (generation *generation) run(ctx context.Context) (*fault.Fault, error) {
+// run relays the response until its end. A broken stream is resumed if the
+// request is idempotent and a stream had been opened. The first result is the
+// engine's failure, the second the error of sending to the caller.
+func (modelRun *modelRun) run(ctx context.Context) (*fault.Fault, error) {
 	for resumes := 0; ; resumes++ {
-		err, sendErr := generation.relay(ctx)
+		err, sendErr := modelRun.relayStream(ctx)
 		if err == nil || sendErr != nil {
 			return nil, sendErr
 		}
-		reason := generation.classify(ctx, err)
-		if ctx.Err() != nil || !generation.ticket.idempotent || !generation.began || resumes >= maxResumes {
+		reason := modelRun.faultFrom(ctx, err)
+		if ctx.Err() != nil || !modelRun.task.idempotent || !modelRun.started || resumes >= maxResumes {
 			return reason, nil
 		}
-		generation.server.count("resumes")
-		generation.server.place("resuming answer", generation.ticket,
-			zap.Int64("next-index", generation.next), zap.NamedError("reason", err))
+		modelRun.server.count("resumes")
+		modelRun.server.logPlacement("resuming response", modelRun.task,
+			zap.Int64("next-index", modelRun.nextIndex), zap.NamedError("reason", err))
 		select {
-		case <-time.After(resumePause):
+		case <-time.After(resumeBackoff):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// classify tells what an error of the engine means for the request.
-func (generation *generation) classify(ctx context.Context, err error) *fault.Fault {
+// faultFrom translates an error of the engine into the fault of the request.
+func (modelRun *modelRun) faultFrom(ctx context.Context, err error) *fault.Fault {
 	ran := fault.RunUnknown
-	if generation.began {
+	if modelRun.started {
 		ran = fault.DidRun
 	}
 	switch {
@@ -87,129 +89,132 @@
 	if !ok {
 		return fault.New(fault.UpstreamFailed, ran, "the engine failed: %v; send the request again if it may be repeated", err)
 	}
-	if reason.Kind() == fault.UnknownRequest && generation.next > 0 {
+	if reason.Kind() == fault.UnknownRequest && modelRun.nextIndex > 0 {
 		return fault.New(fault.UpstreamFailed, fault.DidRun,
 			"the engine has lost the rest of the answer; send the request again if it may be repeated")
 	}
-	if generation.began && reason.Ran() != fault.DidRun {
+	if modelRun.started && reason.Ran() != fault.DidRun {
 		return reason.WithRan(fault.DidRun)
 	}
 	return reason
 }
 
-// relay opens the engine's stream at the next token and relays it. The first
-// error is the engine's, the second the caller's.
-func (generation *generation) relay(ctx context.Context) (engineErr, sendErr error) {
-	ticket := generation.ticket
-	stream, err := generation.server.config.UpstreamClient.Generate(ctx, GenerateRequest{
-		RequestID: ticket.attempt.RequestID, Attempt: ticket.attempt.Number, Organisation: ticket.organisation,
-		Ref: ticket.ref, Class: class(ticket.request.GetClass()), MaxTokens: ticket.maxTokens,
-		ResumeFrom: generation.next, Method: ticket.request.GetMethod(), Path: ticket.request.GetPath(),
-		Headers: upstreamHeaders(ticket), Body: ticket.request.GetBody(),
+// relayStream opens the engine's stream at the next token and relays it. The
+// first error is the engine's, the second the caller's.
+func (modelRun *modelRun) relayStream(ctx context.Context) (engineErr, sendErr error) {
+	task := modelRun.task
+	stream, err := modelRun.server.config.UpstreamClient.Generate(ctx, GenerateRequest{
+		RequestID: task.attempt.RequestID, Attempt: task.attempt.Number, Organisation: task.organisation,
+		Ref: task.ref, Class: priorityClass(task.request.GetClass()), MaxTokens: task.maxTokens,
+		ResumeFrom: modelRun.nextIndex, Method: task.request.GetMethod(), Path: task.request.GetPath(),
+		Headers: upstreamHeaders(task), Body: task.request.GetBody(),
 	})
 	if err != nil {
 		return err, nil
 	}
 	defer stream.Close()
-	if !generation.began {
-		generation.began = true
-		if err := generation.answer.started(ticket, http.StatusOK, nil); err != nil {
+	if !modelRun.started {
+		modelRun.started = true
+		if err := modelRun.responder.sendStarted(task, http.StatusOK, nil); err != nil {
 			return nil, err
 		}
 	}
 	for {
 		token, err := stream.Next()
 		if errors.Is(err, io.EOF) {
-			generation.finish = stream.FinishReason()
+			modelRun.finishReason = stream.FinishReason()
 			return nil, nil
 		}
 		if err != nil {
 			return err, nil
 		}
-		if engineErr, sendErr := generation.accept(token); engineErr != nil || sendErr != nil {
+		if engineErr, sendErr := modelRun.relayToken(token); engineErr != nil || sendErr != nil {
 			return engineErr, sendErr
 		}
 	}
 }
 
-// accept relays a token if it is the next one of this attempt. Others are
-// dropped and counted; a gap breaks the stream.
-func (generation *generation) accept(token Token) (engineErr, sendErr error) {
-	if !generation.matches(token) {
-		generation.server.count("dropped-foreign-tokens")
+// relayToken relays a token if it is the next one of this attempt. Tokens of
+// other requests and repeated tokens are dropped and counted; a skipped token
+// breaks the stream.
+func (modelRun *modelRun) relayToken(token Token) (engineErr, sendErr error) {
+	if !modelRun.matches(token) {
+		modelRun.server.count("dropped-foreign-tokens")
 		return nil, nil
 	}
-	if token.Index < generation.next {
-		generation.server.count("dropped-repeated-tokens")
+	if token.Index < modelRun.nextIndex {
+		modelRun.server.count("dropped-repeated-tokens")
 		return nil, nil
 	}
-	if token.Index > generation.next {
-		return errBroken, nil
+	if token.Index > modelRun.nextIndex {
+		return errBrokenStream, nil
 	}
-	if generation.relays == 0 {
-		generation.server.seen(generation.ticket)
+	if modelRun.relayed == 0 {
+		modelRun.server.recordFirstToken(modelRun.task)
 	}
-	generation.next++
-	generation.relays++
-	return nil, generation.answer.chunk(token.Index, []byte(token.Text))
+	modelRun.nextIndex++
+	modelRun.relayed++
+	return nil, modelRun.responder.sendChunk(token.Index, []byte(token.Text))
 }
 
-// matches compares what the engine echoes of the request with the ticket.
-func (generation *generation) matches(token Token) bool {
-	ticket := generation.ticket
-	return (token.RequestID == "" || token.RequestID == ticket.attempt.RequestID) &&
-		(token.Attempt == 0 || token.Attempt == ticket.attempt.Number) &&
-		(token.Model == "" || token.Model == ticket.ref.String())
+// matches compares the fields of the request that the engine echoes with the
+// attempt.
+func (modelRun *modelRun) matches(token Token) bool {
+	task := modelRun.task
+	return (token.RequestID == "" || token.RequestID == task.attempt.RequestID) &&
+		(token.Attempt == 0 || token.Attempt == task.attempt.Number) &&
+		(token.Model == "" || token.Model == task.ref.String())
 }
 
-// seen notes that the engine works on a request.
-func (server *Server) seen(ticket *ticket) {
+// recordFirstToken records when the engine sent the first token of a request.
+func (server *Server) recordFirstToken(task *task) {
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	ticket.firstToken = time.Now()
+	task.firstTokenAt = time.Now()
 }
 
-// complete ends an answer that the engine finished.
-func (generation *generation) complete() error {
-	ticket := generation.ticket
-	used := conf.Tokens(ticket.request.GetPromptTokens() + generation.next)
-	ticket.debit.Settle(min(used, ticket.cost))
-	generation.server.finish(ticket, ending{ran: fault.DidRun, status: http.StatusOK, confirmed: true})
-	generation.server.count("done")
-	return generation.answer.done(&wirepb.Done{
-		PromptTokens: ticket.request.GetPromptTokens(), GeneratedTokens: generation.relays, FinishReason: generation.finish,
+// complete ends a response that the engine finished.
+func (modelRun *modelRun) complete() error {
+	task := modelRun.task
+	used := conf.Tokens(task.request.GetPromptTokens() + modelRun.nextIndex)
+	task.reservation.Settle(min(used, task.cost))
+	modelRun.server.finishTask(task, runEnd{ran: fault.DidRun, status: http.StatusOK, confirmed: true})
+	modelRun.server.count("done")
+	return modelRun.responder.sendDone(&wirepb.Done{
+		PromptTokens: task.request.GetPromptTokens(), GeneratedTokens: modelRun.relayed, FinishReason: modelRun.finishReason,
 	})
 }
 
-// askState asks for the engine's state at once, since the engine lacks an
-// adapter that it should hold.
-func (server *Server) askState() {
+// requestPoll makes pollEngine run at once, since the engine lacks an adapter
+// that it should hold.
+func (server *Server) requestPoll() {
 	select {
-	case server.wake <- struct{}{}:
+	case server.pollNow <- struct{}{}:
 	default:
 	}
 }
 
-// abort ends an answer that broke. A request that the engine did not receive
-// counts as not run; of any other, the engine may have used all tokens.
-func (generation *generation) abort(reason *fault.Fault, sendErr error) error {
-	ticket := generation.ticket
-	used := ticket.cost
+// abort ends a response that broke off. A request that the engine did not
+// receive counts as not run and uses no tokens; any other may have used all of
+// its tokens.
+func (modelRun *modelRun) abort(reason *fault.Fault, sendErr error) error {
+	task := modelRun.task
+	used := task.cost
 	if reason.Ran() == fault.NotRun {
 		used = 0
 	}
-	ticket.debit.Settle(used)
+	task.reservation.Settle(used)
 	if reason.Kind() == fault.LoadFailed {
-		generation.server.askState()
+		modelRun.server.requestPoll()
 	}
-	generation.server.finish(ticket, ending{
+	modelRun.server.finishTask(task, runEnd{
 		ran: reason.Ran(), status: uint32(reason.Status()), confirmed: reason.Ran() == fault.NotRun,
 	})
 	if sendErr != nil {
 		return sendErr
 	}
 	if reason.Ran() == fault.NotRun {
-		return generation.answer.refuse(reason)
+		return modelRun.responder.refuse(reason)
 	}
-	return generation.answer.fail(reason, generation.next)
+	return modelRun.responder.fail(reason, modelRun.nextIndex)
 }
--- a/internal/daemon/side/partition.go
+++ b/internal/daemon/side/partition.go
@@ -5,11 +5,12 @@
 	"errors"
 )
 
-// errNotOnLog is a claim that was not found although its append may succeed yet.
-var errNotOnLog = errors.New("the claim was not found on the log")
+// errClaimNotFound is the error of a claim that is not on the log, although its
+// append may still succeed.
+var errClaimNotFound = errors.New("the claim was not found on the log")
 
-// settlePending appends what is not on the log yet and folds it.
-func (claimer *claimer) settlePending(ctx context.Context, partition *partition) error {
+// appendPending appends the pending records and applies them.
+func (claimer *claimer) appendPending(ctx context.Context, partition *partition) error {
 	if len(partition.pending) == 0 {
 		return nil
 	}
@@ -25,11 +26,11 @@
 	return claimer.readTo(ctx, partition, last)
 }
 
-// flush appends what is pending in all partitions that are not in use.
+// flush appends the pending records of all partitions that are not in use.
 func (claimer *claimer) flush(ctx context.Context) {
 	claimer.mu.Lock()
 	var waiting []*partition
-	for _, partition := range claimer.byIndex {
+	for _, partition := range claimer.partitions {
 		waiting = append(waiting, partition)
 	}
 	claimer.mu.Unlock()
@@ -37,17 +38,17 @@
 	defer cancel()
 	for _, partition := range waiting {
 		select {
-		case partition.busy <- struct{}{}:
-			_ = claimer.settlePending(ctx, partition)
+		case partition.semaphore <- struct{}{}:
+			_ = claimer.appendPending(ctx, partition)
 			partition.unlock()
 		default:
 		}
 	}
 }
 
-// readTo folds the stream up to and including an offset.
+// readTo applies the stream's records up to and including an offset.
 func (claimer *claimer) readTo(ctx context.Context, partition *partition, offset uint64) error {
-	for partition.fold.NextOffset() <= offset {
+	for partition.claims.NextOffset() <= offset {
 		if _, err := claimer.readPage(ctx, partition); err != nil {
 			return err
 		}
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// readAll folds the stream up to its end.
+// readAll applies the stream's records up to its end.
 func (claimer *claimer) readAll(ctx context.Context, partition *partition) error {
 	for {
 		count, err := claimer.readPage(ctx, partition)
@@ -69,24 +70,24 @@
 	if err := ctx.Err(); err != nil {
 		return 0, err
 	}
-	page, err := claimer.config.Log.Read(ctx, partition.stream, partition.fold.NextOffset(), readWait)
+	page, err := claimer.config.Log.Read(ctx, partition.stream, partition.claims.NextOffset(), claimReadWait)
 	if err != nil {
 		return 0, err
 	}
-	partition.fold.SkipTo(page.FirstOffset)
+	partition.claims.SkipTo(page.FirstOffset)
 	for _, record := range page.Records {
-		partition.fold.Apply(record.Offset, record.Time, record.Data)
+		partition.claims.Apply(record.Offset, record.Time, record.Data)
 	}
 	return len(page.Records), nil
 }
 
-// readBack looks for a claim whose append reply was lost.
-func (claimer *claimer) readBack(ctx context.Context, partition *partition, ticket *ticket, cause error) error {
+// findAppended looks on the log for a claim whose append returned an error.
+func (claimer *claimer) findAppended(ctx context.Context, partition *partition, task *task, cause error) error {
 	if err := claimer.readAll(ctx, partition); err != nil {
 		return errors.Join(cause, err)
 	}
-	if _, ok := partition.fold.FirstClaim(ticket.organisation, ticket.request.GetIdempotencyKeyHash()); !ok {
-		return errors.Join(cause, errNotOnLog)
+	if _, ok := partition.claims.FirstClaim(task.organisation, task.request.GetIdempotencyKeyHash()); !ok {
+		return errors.Join(cause, errClaimNotFound)
 	}
 	return nil
 }
--- a/internal/daemon/side/permits.go
+++ b/internal/daemon/side/permits.go
@@ -7,56 +7,57 @@
 )
 
 const (
-	// permitLife is how long a permit that no load used is kept. The store
-	// counts loads in flight, so that permits must not be saved up.
-	permitLife = 500 * time.Millisecond
-	// permitPause is the wait after permits could not be reached.
-	permitPause = 250 * time.Millisecond
+	// permitLifetime is how long a permit that no load used is kept. The store
+	// counts loads in flight, so permits must not be accumulated.
+	permitLifetime = 500 * time.Millisecond
+	// permitBackoff is the pause after a permit could not be acquired.
+	permitBackoff = 250 * time.Millisecond
 )
 
-// permits holds the load permits that were acquired for no particular adapter:
-// which one is loaded, and which one is evicted for it, is decided when the
-// permit is there. While permits are scarce, that may be seconds later.
-type permits struct {
-	held   int
-	until  time.Time
-	asking bool
+// permitPool holds load permits that were acquired for no particular adapter.
+// Which adapter is loaded, and which one is evicted for it, is decided once a
+// permit is held: while permits are scarce, that may be seconds after the
+// request for it.
+type permitPool struct {
+	held      int
+	expiresAt time.Time
+	acquiring bool
 }
 
-// take returns the number of permits that may be used now.
-func (permits *permits) take(now time.Time) int {
-	if now.After(permits.until) {
-		permits.held = 0
+// available returns the number of permits that may be used now.
+func (permitPool *permitPool) available(now time.Time) int {
+	if now.After(permitPool.expiresAt) {
+		permitPool.held = 0
 	}
-	return permits.held
+	return permitPool.held
 }
 
-// askPermit acquires a permit in the background, one at a time. It is called
-// with the lock held.
-func (server *Server) askPermit() {
-	if server.permits.asking {
+// requestPermit acquires a permit in the background, one at a time. The caller
+// holds the lock.
+func (server *Server) requestPermit() {
+	if server.permits.acquiring {
 		return
 	}
-	server.permits.asking = true
-	server.loads.Add(1)
+	server.permits.acquiring = true
+	server.workers.Add(1)
 	go server.acquirePermit()
 }
 
 func (server *Server) acquirePermit() {
-	defer server.loads.Done()
+	defer server.workers.Done()
 	ctx := server.background
 	err := server.config.Permits.Acquire(ctx)
 	if err != nil && ctx.Err() == nil {
 		server.count("permit-failures")
 		server.config.Logger.Warn("place: failed to acquire a load permit", zap.NamedError("reason", err))
-		time.Sleep(permitPause)
+		time.Sleep(permitBackoff)
 	}
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	server.permits.asking = false
+	server.permits.acquiring = false
 	if err == nil {
 		server.permits.held++
-		server.permits.until = time.Now().Add(permitLife)
+		server.permits.expiresAt = time.Now().Add(permitLifetime)
 	}
-	server.pump()
+	server.schedule()
 }
--- a/internal/daemon/side/plain.go
+++ b/internal/daemon/side/plain.go
@@ -10,48 +10,49 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// plainChunk is the size of the pieces in which a plain answer is relayed.
-const plainChunk = 32 << 10
+// plainChunkSize is the size of the chunks in which a plain response is
+// relayed.
+const plainChunkSize = 32 << 10
 
-// runPlain sends a dispatched call to the plain service once and relays its
-// answer.
-func (server *Server) runPlain(ctx context.Context, ticket *ticket, answer *answer) error {
+// runPlain sends a dispatched request to the plain service once and relays its
+// response.
+func (server *Server) runPlain(ctx context.Context, task *task, responder *responder) error {
 	reply, err := server.config.UpstreamClient.CallPlain(ctx, PlainRequest{
-		RequestID: ticket.attempt.RequestID, Attempt: ticket.attempt.Number, Organisation: ticket.organisation,
-		Method: ticket.request.GetMethod(), Path: ticket.request.GetPath(),
-		Headers: upstreamHeaders(ticket), Body: ticket.request.GetBody(),
+		RequestID: task.attempt.RequestID, Attempt: task.attempt.Number, Organisation: task.organisation,
+		Method: task.request.GetMethod(), Path: task.request.GetPath(),
+		Headers: upstreamHeaders(task), Body: task.request.GetBody(),
 	})
 	if err != nil {
-		return server.abortPlain(ticket, answer, plainFault(ctx, err, fault.RunUnknown), nil)
+		return server.abortPlain(task, responder, plainFault(ctx, err, fault.RunUnknown), nil)
 	}
 	defer func() { _ = reply.Body.Close() }()
-	if err := answer.started(ticket, reply.Status, callerHeaders(reply.Headers)); err != nil {
-		return server.abortPlain(ticket, answer, callerGone(), err)
+	if err := responder.sendStarted(task, reply.Status, callerHeaders(reply.Headers)); err != nil {
+		return server.abortPlain(task, responder, errCallerGone(), err)
 	}
-	readErr, sendErr := copyBody(reply.Body, answer)
+	readErr, sendErr := copyBody(reply.Body, responder)
 	switch {
 	case sendErr != nil:
-		return server.abortPlain(ticket, answer, callerGone(), sendErr)
+		return server.abortPlain(task, responder, errCallerGone(), sendErr)
 	case readErr != nil:
-		return server.abortPlain(ticket, answer, plainFault(ctx, readErr, fault.DidRun), nil)
+		return server.abortPlain(task, responder, plainFault(ctx, readErr, fault.DidRun), nil)
 	}
-	ticket.debit.Settle(ticket.cost)
-	server.finish(ticket, ending{ran: fault.DidRun, status: uint32(reply.Status), confirmed: true})
+	task.reservation.Settle(task.cost)
+	server.finishTask(task, runEnd{ran: fault.DidRun, status: uint32(reply.Status), confirmed: true})
 	server.count("done")
-	return answer.done(&wirepb.Done{FinishReason: http.StatusText(reply.Status)})
+	return responder.sendDone(&wirepb.Done{FinishReason: http.StatusText(reply.Status)})
 }
 
-func callerGone() *fault.Fault {
+func errCallerGone() *fault.Fault {
 	return fault.New(fault.Cancelled, fault.DidRun, "the caller went away during the answer")
 }
 
-// copyBody relays a body in pieces.
-func copyBody(body io.Reader, answer *answer) (readErr, sendErr error) {
-	buffer := make([]byte, plainChunk)
+// copyBody relays a body in chunks.
+func copyBody(body io.Reader, responder *responder) (readErr, sendErr error) {
+	buffer := make([]byte, plainChunkSize)
 	for index := int64(0); ; {
 		count, err := body.Read(buffer)
 		if count > 0 {
-			if sendErr := answer.chunk(index, buffer[:count]); sendErr != nil {
+			if sendErr := responder.sendChunk(index, buffer[:count]); sendErr != nil {
 				return nil, sendErr
 			}
 			index++
@@ -65,7 +66,8 @@
 	}
 }
 
-// plainFault tells what an error of the plain service means for the call.
+// plainFault translates an error of the plain service into the fault of the
+// request.
 func plainFault(ctx context.Context, err error, ran fault.Execution) *fault.Fault {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
@@ -79,20 +81,20 @@
 	return fault.New(fault.UpstreamFailed, ran, "the service failed: %v; query the outcome of the call by its id", err)
 }
 
-// abortPlain ends a call that failed. A call that the service did not receive
-// costs nothing.
-func (server *Server) abortPlain(ticket *ticket, answer *answer, reason *fault.Fault, sendErr error) error {
+// abortPlain ends a request to a plain service that failed. A request that the
+// service did not receive uses no tokens.
+func (server *Server) abortPlain(task *task, responder *responder, reason *fault.Fault, sendErr error) error {
 	if reason.Ran() == fault.NotRun {
-		ticket.debit.Settle(0)
+		task.reservation.Settle(0)
 	} else {
-		ticket.debit.Settle(ticket.cost)
+		task.reservation.Settle(task.cost)
 	}
-	server.finish(ticket, ending{ran: reason.Ran(), status: uint32(reason.Status())})
+	server.finishTask(task, runEnd{ran: reason.Ran(), status: uint32(reason.Status())})
 	if sendErr != nil {
 		return sendErr
 	}
 	if reason.Ran() == fault.NotRun {
-		return answer.refuse(reason)
+		return responder.refuse(reason)
 	}
-	return answer.fail(reason, 0)
+	return responder.fail(reason, 0)
 }
--- a/internal/daemon/side/ports.go
+++ b/internal/daemon/side/ports.go
@@ -7,38 +7,43 @@
 	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// ConfigSource gives the current configuration.
+// ConfigSource provides the current configuration.
 type ConfigSource interface {
-	// Current is never nil and never goes back.
+	// Current returns the newest configuration. It is never nil, and its
+	// version never decreases.
 	Current() *conf.Config
-	// Changed is closed at the next change.
+	// Changed returns a channel that is closed at the next change.
 	Changed() <-chan struct{}
-	// ObserveVersion says that somebody showed this version.
+	// ObserveVersion tells the source that another process has this version.
 	ObserveVersion(version uint64)
-	// Isolated says that withdrawals may not reach this process.
+	// Isolated reports whether withdrawals of keys may not reach this process.
 	Isolated() bool
-	// ConfirmedAge is the time since the configuration was known to be current.
+	// ConfirmedAge returns the time since the configuration was last known to
+	// be current.
 	ConfirmedAge() time.Duration
 }
 
-// Reservation is what a request took from its organisation's tokens.
+// Reservation is the tokens of an organisation that are held for one request.
 type Reservation interface {
 	// Commit counts the request as dispatched now. It reports false when the
-	// tokens have lapsed since they were taken.
+	// reservation has expired.
 	Commit() bool
 	// Settle returns the tokens that were not used.
 	Settle(used conf.Tokens)
 }
 
-// Limiter debits the tokens of organisations.
+// Limiter limits the tokens of organisations.
 type Limiter interface {
-	// Reserve waits until it has tokens or ctx ends. Any other error refuses the
-	// request.
+	// Reserve waits until it has tokens or ctx ends. On any other error, the
+	// request is refused.
 	Reserve(ctx context.Context, organisation string, tokens conf.Tokens) (Reservation, error)
 }
 
-// Estimator is implemented by a Limiter that knows how long tokens take.
-type Estimator interface {
+// WaitEstimator is implemented by a Limiter that can estimate the wait for
+// tokens.
+type WaitEstimator interface {
+	// EstimateWait returns how long a request that costs tokens would wait for
+	// them.
 	EstimateWait(organisation string, tokens conf.Tokens) time.Duration
 }
 
@@ -58,8 +63,8 @@
 	Data   []byte
 }
 
-// LogPage is a run of records. First is the oldest offset that the stream
-// still has; Next is the offset to read from next.
+// LogPage is a sequence of consecutive records. FirstOffset is the oldest
+// offset that the stream retains; NextOffset is the offset of the next read.
 type LogPage struct {
 	Records                 []LogRecord
 	FirstOffset, NextOffset uint64
@@ -67,36 +72,41 @@
 
 // Log is the platform's log service.
 type Log interface {
+	// Append adds a record to a stream and returns its offset.
 	Append(ctx context.Context, stream string, record []byte) (uint64, error)
+	// Read returns records from an offset on. If there are none yet, it waits
+	// for them up to wait.
 	Read(ctx context.Context, stream string, from uint64, wait time.Duration) (LogPage, error)
 }
 
-// Roster knows which instances are leaving.
+// Roster tells which instances are draining.
 type Roster interface {
+	// Draining reports whether the instance of an upstream is draining.
 	Draining(upstream string) bool
 }
 
-// staying is the default Roster.
-type staying struct{}
+// neverDraining is the default Roster.
+type neverDraining struct{}
 
-func (staying) Draining(string) bool { return false }
+func (neverDraining) Draining(string) bool { return false }
 
-// Permits bounds adapter loads across the fleet.
+// Permits limits the rate of adapter loads across the fleet.
 type Permits interface {
+	// Acquire waits for the permit of one load.
 	Acquire(ctx context.Context) error
 }
 
-// unbounded is the default Permits.
-type unbounded struct{}
+// unlimitedPermits is the default Permits.
+type unlimitedPermits struct{}
 
-func (unbounded) Acquire(context.Context) error { return nil }
+func (unlimitedPermits) Acquire(context.Context) error { return nil }
 
 // Metrics counts events; *expvar.Map is one.
 type Metrics interface {
 	Add(name string, delta int64)
 }
 
-// uncounted is the default Metrics.
-type uncounted struct{}
+// noMetrics is the default Metrics.
+type noMetrics struct{}
 
-func (uncounted) Add(string, int64) {}
+func (noMetrics) Add(string, int64) {}
--- a/internal/daemon/side/run.go
+++ b/internal/daemon/side/run.go
@@ -14,55 +14,55 @@
 // Run implements wirepb.DRPCSideServer.
 func (server *Server) Run(request *wirepb.RunRequest, stream wirepb.DRPCSide_RunStream) error {
 	ctx := stream.Context()
-	answer := &answer{server: server, request: request, stream: stream}
-	ticket, refusal := server.arrive(ctx, request)
+	responder := &responder{server: server, request: request, stream: stream}
+	task, refusal := server.acceptRequest(ctx, request)
 	if refusal != nil {
-		return answer.refuse(refusal)
+		return responder.refuse(refusal)
 	}
-	defer server.depart(ticket)
-	if ticket.keyed() {
-		return server.runKeyed(ctx, ticket, answer)
+	defer server.closeTask(task)
+	if task.keyed() {
+		return server.runKeyed(ctx, task, responder)
 	}
-	return server.runTicket(ctx, ticket, answer)
+	return server.runTask(ctx, task, responder)
 }
 
-// arrive checks a request on arrival and records its attempt.
-func (server *Server) arrive(ctx context.Context, request *wirepb.RunRequest) (*ticket, *fault.Fault) {
+// acceptRequest checks a request on arrival and registers its attempt.
+func (server *Server) acceptRequest(ctx context.Context, request *wirepb.RunRequest) (*task, *fault.Fault) {
 	if request.GetRequestId() == "" || min(request.GetPromptTokens(), request.GetMaxTokens(), request.GetResumeFrom()) < 0 {
 		return nil, fault.New(fault.BadRequest, fault.NotRun, "the request has no id or a negative count of tokens; correct it")
 	}
-	if refusal := server.freshen(ctx, request); refusal != nil {
+	if refusal := server.awaitConfig(ctx, request); refusal != nil {
 		return nil, refusal
 	}
 	route, ok := server.current().Route(request.GetRoute())
 	if !ok {
 		return nil, fault.New(fault.UnknownRoute, fault.NotRun, "the route %q does not exist; list the routes", request.GetRoute())
 	}
-	ticket := server.newTicket(request, route)
+	task := server.newTask(request, route)
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	incarnation := request.GetIncarnation()
 	if incarnation != 0 && incarnation != server.config.Incarnation {
 		return nil, fault.New(fault.NoUpstream, fault.NotRun, "the side process was started anew; send the request again")
 	}
-	if refusal := server.gate(ticket); refusal != nil {
+	if refusal := server.checkDispatch(task); refusal != nil {
 		return nil, refusal
 	}
-	if refusal := server.begin(ticket); refusal != nil {
+	if refusal := server.registerAttempt(task); refusal != nil {
 		return nil, refusal
 	}
-	server.live++
-	return ticket, nil
+	server.inFlight++
+	return task, nil
 }
 
-// begin records an attempt unless it must not run.
-func (server *Server) begin(ticket *ticket) *fault.Fault {
+// registerAttempt registers an attempt unless it must not run.
+func (server *Server) registerAttempt(task *task) *fault.Fault {
 	now := time.Now()
-	if !ticket.idempotent && server.records.Full(now) {
+	if !task.idempotent && server.attempts.Full(now) {
 		return fault.New(fault.Overloaded, fault.NotRun,
 			"too many recent requests are remembered; come back after the time in retry-after").WithRetryAfter(time.Second)
 	}
-	switch server.records.Register(ticket.attempt, ticket.organisation, ticket.repeat()) {
+	switch server.attempts.Register(task.attempt, task.organisation, task.runLimit()) {
 	case dedup.Tombstoned:
 		return fault.New(fault.Cancelled, fault.NotRun, "the attempt was cancelled; send the request anew")
 	case dedup.Duplicate, dedup.AlreadyRan:
@@ -72,15 +72,15 @@
 	return nil
 }
 
-// freshen waits until this process has the configuration version with which
+// awaitConfig waits until this process has the configuration version with which
 // the entry instance accepted the request.
-func (server *Server) freshen(ctx context.Context, request *wirepb.RunRequest) *fault.Fault {
+func (server *Server) awaitConfig(ctx context.Context, request *wirepb.RunRequest) *fault.Fault {
 	version := request.GetConfigVersion()
 	if server.current().Version() >= version {
 		return nil
 	}
 	server.config.ConfigSource.ObserveVersion(version)
-	timer := time.NewTimer(shorter(freshWait, time.Duration(request.GetWaitBudgetUs())*time.Microsecond))
+	timer := time.NewTimer(shorter(maxConfigWait, time.Duration(request.GetWaitBudgetUs())*time.Microsecond))
 	defer timer.Stop()
 	for {
 		changed := server.config.ConfigSource.Changed()
@@ -93,149 +93,154 @@
 			return fault.New(fault.Stale, fault.NotRun,
 				"this side process has not received configuration %d yet; send the request to another upstream", version)
 		case <-ctx.Done():
-			return cancelled()
+			return errCallerLeftQueue()
 		}
 	}
 }
 
-func cancelled() *fault.Fault {
+func errCallerLeftQueue() *fault.Fault {
 	return fault.New(fault.Cancelled, fault.NotRun, "the caller went away while the request waited")
 }
 
-// runTicket queues a ticket, sends it when its turn comes and relays the answer.
-func (server *Server) runTicket(ctx context.Context, ticket *ticket, answer *answer) error {
-	if refusal := server.enqueue(ticket); refusal != nil {
-		return server.turnDown(ticket, answer, refusal)
+// runTask queues a request, waits until it is dispatched and relays the
+// response.
+func (server *Server) runTask(ctx context.Context, task *task, responder *responder) error {
+	if refusal := server.enqueue(task); refusal != nil {
+		return server.refuseTask(task, responder, refusal)
 	}
-	if refusal := server.await(ctx, ticket); refusal != nil {
-		return server.turnDown(ticket, answer, refusal)
+	if refusal := server.awaitDispatch(ctx, task); refusal != nil {
+		return server.refuseTask(task, responder, refusal)
 	}
-	ctx, cancel := server.runContext(ctx, ticket)
+	ctx, cancel := server.runContext(ctx, task)
 	defer cancel()
-	if ticket.plain {
-		return server.runPlain(ctx, ticket, answer)
+	if task.plain {
+		return server.runPlain(ctx, task, responder)
 	}
-	return server.runModel(ctx, ticket, answer)
+	return server.runModel(ctx, task, responder)
 }
 
-// runContext bounds the time of a run. A run with an idempotency key goes on
-// when its caller leaves, so that a repeated request finds its answer.
-func (server *Server) runContext(ctx context.Context, ticket *ticket) (context.Context, context.CancelFunc) {
-	if ticket.keyed() {
+// runContext bounds the time of a run. A run with an idempotency key continues
+// when its caller disconnects, so that a repeated request gets the response.
+func (server *Server) runContext(ctx context.Context, task *task) (context.Context, context.CancelFunc) {
+	if task.keyed() {
 		ctx = context.WithoutCancel(ctx)
 	}
-	return context.WithDeadline(ctx, server.deadline(ticket))
+	return context.WithDeadline(ctx, server.deadline(task))
 }
 
-// deadline is when a request has taken as long as it may.
-func (server *Server) deadline(ticket *ticket) time.Time {
-	budget := time.Duration(ticket.request.GetTimeBudgetUs()) * time.Microsecond
-	return ticket.arrived.Add(shorter(budget, server.config.RequestTimeout))
+// deadline returns the time at which the request's time budget or the request
+// timeout ends.
+func (server *Server) deadline(task *task) time.Time {
+	budget := time.Duration(task.request.GetTimeBudgetUs()) * time.Microsecond
+	return task.arrived.Add(shorter(budget, server.config.RequestTimeout))
 }
 
-// enqueue admits a ticket to the queue or refuses it on arrival.
-func (server *Server) enqueue(ticket *ticket) *fault.Fault {
+// enqueue admits a request to the queue or refuses it.
+func (server *Server) enqueue(task *task) *fault.Fault {
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	if refusal := server.admit(ticket); refusal != nil {
+	if refusal := server.checkAdmission(task); refusal != nil {
 		return refusal
 	}
 	server.count("admitted")
-	server.queue.Push(ticket.entry)
-	server.overtake(ticket)
-	server.pump()
+	server.queue.Push(task.entry)
+	server.preemptTokenWait(task)
+	server.schedule()
 	return nil
 }
 
-// admit returns why a ticket is refused on arrival, or nil.
-func (server *Server) admit(ticket *ticket) *fault.Fault {
+// checkAdmission returns why a request is refused on arrival, or nil.
+func (server *Server) checkAdmission(task *task) *fault.Fault {
 	now := time.Now()
-	if refusal := server.gate(ticket); refusal != nil {
+	if refusal := server.checkDispatch(task); refusal != nil {
 		return refusal
 	}
-	if after, failed := server.table.RejectFor(now, ticket.ref); failed && !ticket.plain {
-		return loadFailed(ticket).WithRetryAfter(after)
+	if retryAfter, failed := server.table.RejectFor(now, task.ref); failed && !task.plain {
+		return errLoadFailed(task).WithRetryAfter(retryAfter)
 	}
-	return server.queue.CheckAdmission(now, ticket.entry, server.share(ticket.organisation))
+	return server.queue.CheckAdmission(now, task.entry, server.rateLimit(task.organisation))
 }
 
-// share returns what the organisation's requests may use.
-func (server *Server) share(name string) fairq.RateLimit {
+// rateLimit returns the rate limit by which admission estimates the
+// organisation's wait.
+func (server *Server) rateLimit(name string) fairq.RateLimit {
 	if server.config.FirstComeFirstServed {
 		return fairq.RateLimit{}
 	}
 	organisation, _ := server.current().Organisation(name)
-	share := fairq.RateLimit{Rate: organisation.Rate, Burst: organisation.Burst}
-	if estimator, ok := server.config.Limiter.(Estimator); ok {
-		share.EstimateWait = func(tokens conf.Tokens) time.Duration { return estimator.EstimateWait(name, tokens) }
+	limit := fairq.RateLimit{Rate: organisation.Rate, Burst: organisation.Burst}
+	if estimator, ok := server.config.Limiter.(WaitEstimator); ok {
+		limit.EstimateWait = func(tokens conf.Tokens) time.Duration { return estimator.EstimateWait(name, tokens) }
 	}
-	return share
+	return limit
 }
 
-// await waits until the ticket is dispatched. Its longest wait and the end of
-// its caller take it out of the queue at once.
-func (server *Server) await(ctx context.Context, ticket *ticket) *fault.Fault {
-	waiting, cancel := ctx, context.CancelFunc(func() {})
-	if ticket.longest > 0 {
-		waiting, cancel = context.WithDeadline(ctx, ticket.arrived.Add(ticket.longest))
+// awaitDispatch waits until the request is dispatched. When its longest wait is
+// over or its caller disconnects, the request leaves the queue at once.
+func (server *Server) awaitDispatch(ctx context.Context, task *task) *fault.Fault {
+	waitCtx, cancel := ctx, context.CancelFunc(func() {})
+	if task.maxWait > 0 {
+		waitCtx, cancel = context.WithDeadline(ctx, task.arrived.Add(task.maxWait))
 	}
 	defer cancel()
 	for {
 		select {
-		case refusal := <-ticket.verdict:
+		case refusal := <-task.decision:
 			if refusal != nil {
 				return refusal
 			}
-		case <-waiting.Done():
+		case <-waitCtx.Done():
 		}
-		if waiting.Err() != nil {
-			return server.withdraw(ticket, waitFault(ctx, ticket))
+		if waitCtx.Err() != nil {
+			return server.withdraw(task, errWaitEnded(ctx, task))
 		}
-		if sent, refusal := server.dispatch(waiting, ticket); sent || refusal != nil {
+		if sent, refusal := server.dispatch(waitCtx, task); sent || refusal != nil {
 			return refusal
 		}
 	}
 }
 
-// waitFault tells why a ticket waits no longer.
-func waitFault(ctx context.Context, ticket *ticket) *fault.Fault {
+// errWaitEnded returns why a request no longer waits.
+func errWaitEnded(ctx context.Context, task *task) *fault.Fault {
 	if ctx.Err() != nil {
-		return cancelled()
+		return errCallerLeftQueue()
 	}
 	return fault.New(fault.WaitExceeded, fault.NotRun,
-		"the request waited for its longest wait of %v; come back after the time in retry-after", ticket.longest).
+		"the request waited for its longest wait of %v; come back after the time in retry-after", task.maxWait).
 		WithRetryAfter(time.Second)
 }
 
-// withdraw takes a ticket that was not dispatched out of the queue or out of
-// its place at the upstream.
-func (server *Server) withdraw(ticket *ticket, reason *fault.Fault) *fault.Fault {
+// withdraw removes a request that was not dispatched from the queue, or frees
+// its running slot.
+func (server *Server) withdraw(task *task, reason *fault.Fault) *fault.Fault {
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	server.queue.Remove(ticket.entry)
-	server.release(ticket)
-	server.pump()
+	server.queue.Remove(task.entry)
+	server.unschedule(task)
+	server.schedule()
 	return reason
 }
 
-// turnDown records and answers that a ticket was not sent to the upstream.
-func (server *Server) turnDown(ticket *ticket, answer *answer, refusal *fault.Fault) error {
+// refuseTask records that a request was not sent to the upstream, and refuses
+// it.
+func (server *Server) refuseTask(task *task, responder *responder, refusal *fault.Fault) error {
 	server.mu.Lock()
-	server.records.End(time.Now(), ticket.attempt, refusal.Ran(), uint32(refusal.Status()))
+	server.attempts.End(time.Now(), task.attempt, refusal.Ran(), uint32(refusal.Status()))
 	server.mu.Unlock()
-	return answer.refuse(refusal)
+	return responder.refuse(refusal)
 }
 
-// depart ends the stay of a ticket.
-func (server *Server) depart(ticket *ticket) {
+// closeTask ends the handling of a request: it returns tokens that were not
+// dispatched, and wakes Drain after the last request.
+func (server *Server) closeTask(task *task) {
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	server.records.End(time.Now(), ticket.attempt, fault.NotRun, 0)
-	server.refund(ticket)
-	server.live--
-	if server.live == 0 {
+	server.attempts.End(time.Now(), task.attempt, fault.NotRun, 0)
+	server.refund(task)
+	server.inFlight--
+	if server.inFlight == 0 {
 		select {
-		case server.empty <- struct{}{}:
+		case server.idle <- struct{}{}:
 		default:
 		}
 	}
--- a/internal/daemon/side/side.go
+++ b/internal/daemon/side/side.go
@@ -1,6 +1,7 @@
-// Package side is the side process of one upstream: the last gate before it.
-// It queues requests fairly, loads adapters, debits tokens, and sends each
-// request when all checks hold at that moment.
+// Package side is the side process of one upstream, a sidecar through which all
+// requests to the upstream pass. It queues requests fairly, loads adapters,
+// reserves tokens, and sends each request only if all checks hold at that
+// moment.
 package side
 
 import (
@@ -17,39 +18,42 @@
 	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// Config sets up a Server. Upstream, Configs and Engine are required.
+// Config configures a Server. UpstreamID, ConfigSource and UpstreamClient are
+// required.
 type Config struct {
 	// UpstreamID is the id of the upstream in the configuration.
 	UpstreamID     string
 	ConfigSource   ConfigSource
 	UpstreamClient UpstreamClient
 	Limiter        Limiter
-	// Log keeps idempotency claims; without it, requests with an idempotency
+	// Log stores idempotency claims. Without it, requests with an idempotency
 	// key are refused.
 	Log     Log
 	Roster  Roster
 	Permits Permits
-	// NewShard makes the quota shards that this process hosts.
+	// NewShard creates the quota shards that this process hosts.
 	NewShard func(ShardConfig) Shard
 	Metrics  Metrics
 	Logger   *zap.Logger
 
-	// Incarnation is the start time in ms; it is the first fencing token too.
+	// Incarnation is the start time in Unix milliseconds. It is also the first
+	// fencing token.
 	Incarnation uint64
 	Queue       fairq.Config
 	Slots       slots.Config
 	Attempts    dedup.AttemptsConfig
-	// FirstComeFirstServed serves requests in the order of their arrival, whatever their
-	// organisation and class. It is for comparison.
+	// FirstComeFirstServed serves requests in the order of their arrival,
+	// regardless of organisation and class. It serves as a baseline for
+	// comparison.
 	FirstComeFirstServed bool
-	// MaxRunning bounds the requests at the upstream.
+	// MaxRunning bounds the requests that run at the upstream at a time.
 	MaxRunning int
 	// ClaimPartitions is the number of claim streams.
 	ClaimPartitions int
 	ClaimWindow     time.Duration
-	// RequestTimeout is the longest a request may take.
+	// RequestTimeout is the longest that a request may take.
 	RequestTimeout time.Duration
-	// DrainTimeout is the longest that a planned stop waits for running work.
+	// DrainTimeout is the longest that Drain waits for running requests.
 	DrainTimeout time.Duration
 	// GrantLifetime and GrantMargin apply to the hosted quota shards.
 	GrantLifetime time.Duration
@@ -57,30 +61,30 @@
 }
 
 const (
-	defaultMaxRunning   = 32
-	defaultPartitions   = 64
-	defaultRequestLimit = 5 * time.Minute
-	defaultDrainLimit   = 6 * time.Minute
-	defaultLifetime     = 500 * time.Millisecond
-	defaultMargin       = 100 * time.Millisecond
-	// freshWait bounds how long a request waits for a configuration version
-	// that its entry instance has and this process does not. Versions are in
+	defaultMaxRunning      = 32
+	defaultClaimPartitions = 64
+	defaultRequestTimeout  = 5 * time.Minute
+	defaultDrainTimeout    = 6 * time.Minute
+	defaultGrantLifetime   = 500 * time.Millisecond
+	defaultGrantMargin     = 100 * time.Millisecond
+	// maxConfigWait bounds how long a request waits for a configuration version
+	// that its entry instance has and this process does not. A version is in
 	// force everywhere within 2 s at p99.
-	freshWait = 2 * time.Second
-	// takeWait bounds how long a request that is about to be sent holds its
-	// slot while its organisation's tokens are drawn: a few round trips within
-	// a region.
-	takeWait = 20 * time.Millisecond
-	// statePoll is how often the engine is asked for its state. An engine that
-	// restarted cold is noticed within that time.
-	statePoll = 250 * time.Millisecond
-	// stateTimeout bounds one question for it.
+	maxConfigWait = 2 * time.Second
+	// maxReserveWait bounds how long a scheduled request holds its running slot
+	// while tokens are reserved: a few round trips within a region.
+	maxReserveWait = 20 * time.Millisecond
+	// pollInterval is how often the engine is asked for its state. A restart
+	// that lost the engine's adapters is noticed within that time.
+	pollInterval = 250 * time.Millisecond
+	// stateTimeout bounds one request for the engine's state.
 	stateTimeout = 500 * time.Millisecond
-	// reportLag is how far an engine's report may lag behind.
-	reportLag = time.Second
-	// silence is how long the engine may fail to report its state before
-	// requests go to other upstreams.
-	silence = time.Second
+	// maxReportLag is how far the state that an engine reports may lag behind.
+	maxReportLag = time.Second
+	// unresponsiveAfter is how long the engine may fail to report its state
+	// before requests are refused, so that they go to other upstreams. A longer
+	// time between two ticks of this process counts as a pause.
+	unresponsiveAfter = time.Second
 	// loadTimeout bounds one order to the engine.
 	loadTimeout = 30 * time.Second
 )
@@ -94,17 +98,17 @@
 
 func (config Config) withDefaults() Config {
 	orDefault[Limiter](&config.Limiter, unlimited{})
-	orDefault[Roster](&config.Roster, staying{})
-	orDefault[Permits](&config.Permits, unbounded{})
-	orDefault[Metrics](&config.Metrics, uncounted{})
+	orDefault[Roster](&config.Roster, neverDraining{})
+	orDefault[Permits](&config.Permits, unlimitedPermits{})
+	orDefault[Metrics](&config.Metrics, noMetrics{})
 	orDefault(&config.Logger, zap.NewNop())
 	orDefault(&config.Incarnation, uint64(time.Now().UnixMilli()))
 	orDefault(&config.MaxRunning, defaultMaxRunning)
-	orDefault(&config.ClaimPartitions, defaultPartitions)
-	orDefault(&config.RequestTimeout, defaultRequestLimit)
-	orDefault(&config.DrainTimeout, defaultDrainLimit)
-	orDefault(&config.GrantLifetime, defaultLifetime)
-	orDefault(&config.GrantMargin, defaultMargin)
+	orDefault(&config.ClaimPartitions, defaultClaimPartitions)
+	orDefault(&config.RequestTimeout, defaultRequestTimeout)
+	orDefault(&config.DrainTimeout, defaultDrainTimeout)
+	orDefault(&config.GrantLifetime, defaultGrantLifetime)
+	orDefault(&config.GrantMargin, defaultGrantMargin)
 	config.Attempts.Incarnation = config.Incarnation
 	return config
 }
@@ -114,9 +118,9 @@
 	case config.UpstreamID == "":
 		return fault.New(fault.Invalid, fault.NotRun, "side: upstream is empty; set it to the id in the configuration")
 	case config.ConfigSource == nil:
-		return fault.New(fault.Invalid, fault.NotRun, "side: no source of configurations; set Configs")
+		return fault.New(fault.Invalid, fault.NotRun, "side: no source of configurations; set ConfigSource")
 	case config.UpstreamClient == nil:
-		return fault.New(fault.Invalid, fault.NotRun, "side: no client of the upstream; set Engine")
+		return fault.New(fault.Invalid, fault.NotRun, "side: no client of the upstream; set UpstreamClient")
 	case config.DrainTimeout <= config.RequestTimeout:
 		return fault.New(fault.Invalid, fault.NotRun,
 			"side: drain limit %v does not exceed request limit %v; raise it", config.DrainTimeout, config.RequestTimeout)
@@ -130,80 +134,86 @@
 	claims *claimer
 	shards *shards
 
-	mu      sync.Mutex
-	queue   *fairq.Queue[*ticket]
-	table   *slots.Table
-	permits permits
-	records *dedup.Attempts
-	flights map[flightKey]*flight
-	engine  engineView
-	lingers []linger
-	// ends are the times at which requests ended lately.
-	ends    []time.Time
-	running map[*ticket]bool
-	// taking counts the committed requests of each organisation whose tokens
-	// are not debited yet.
-	taking map[string]int
-	// gathering holds the request of each organisation that waits for tokens.
-	gathering map[string]*gathering
-	live      int
-	draining  bool
-	empty     chan struct{}
-	timer     *time.Timer
-	fence     uint64
-	// succeeded says that superseded is closed.
-	succeeded  bool
-	superseded chan struct{}
-	guard      pauseGuard
-	// wake asks for the engine's state at once.
-	wake chan struct{}
-	// background is the context of loads; it ends when Serve does.
-	background context.Context
-	stop       context.CancelFunc
-	loads      sync.WaitGroup
+	mu          sync.Mutex
+	queue       *fairq.Queue[*task]
+	table       *slots.Table
+	permits     permitPool
+	attempts    *dedup.Attempts
+	sharedRuns  map[sharedRunKey]*sharedRun
+	engine      engineView
+	unconfirmed []unconfirmedEnd
+	// recentEnds are the end times of requests that the engine's report may
+	// still count.
+	recentEnds []time.Time
+	// running holds the scheduled and the dispatched requests.
+	running map[*task]bool
+	// reserving counts the scheduled requests of each organisation that are not
+	// dispatched yet.
+	reserving map[string]int
+	// tokenWaits holds, for each organisation, the queued request that waits
+	// for tokens.
+	tokenWaits map[string]*tokenWait
+	// inFlight is the number of requests in Run after their acceptance; idle is
+	// signalled when it reaches 0.
+	inFlight     int
+	draining     bool
+	idle         chan struct{}
+	timer        *time.Timer
+	fencingToken uint64
+	// isSuperseded says that superseded is closed.
+	isSuperseded  bool
+	superseded    chan struct{}
+	pauseDetector pauseDetector
+	// pollNow makes pollEngine run at once.
+	pollNow chan struct{}
+	// background is the context of loads. It ends when Serve does.
+	background       context.Context
+	cancelBackground context.CancelFunc
+	// workers counts the running loads and acquisitions of permits.
+	workers sync.WaitGroup
 }
 
-// New returns a Server. Serve must run for it to start waiting requests, to load
-// adapters and to follow the configuration. To stop, call Drain before Serve's
-// context ends.
+// New returns a Server. Serve must run for the Server to start waiting
+// requests, load adapters and follow the configuration. To stop, call Drain
+// before Serve's context ends.
 func New(config Config) (*Server, error) {
 	config = config.withDefaults()
 	if err := config.check(); err != nil {
 		return nil, err
 	}
-	background, stop := context.WithCancel(context.Background())
+	background, cancel := context.WithCancel(context.Background())
 	server := &Server{
-		config:     config,
-		claims:     newClaimer(config),
-		shards:     newShards(config),
-		queue:      fairq.New[*ticket](config.Queue),
-		table:      slots.New(config.Slots),
-		records:    dedup.NewAttempts(config.Attempts),
-		flights:    map[flightKey]*flight{},
-		running:    map[*ticket]bool{},
-		taking:     map[string]int{},
-		gathering:  map[string]*gathering{},
-		empty:      make(chan struct{}, 1),
-		wake:       make(chan struct{}, 1),
-		superseded: make(chan struct{}),
-		guard:      pauseGuard{beat: time.Now()},
-		fence:      config.Incarnation,
-		background: background,
-		stop:       stop,
+		config:           config,
+		claims:           newClaimer(config),
+		shards:           newShards(config),
+		queue:            fairq.New[*task](config.Queue),
+		table:            slots.New(config.Slots),
+		attempts:         dedup.NewAttempts(config.Attempts),
+		sharedRuns:       map[sharedRunKey]*sharedRun{},
+		running:          map[*task]bool{},
+		reserving:        map[string]int{},
+		tokenWaits:       map[string]*tokenWait{},
+		idle:             make(chan struct{}, 1),
+		pollNow:          make(chan struct{}, 1),
+		superseded:       make(chan struct{}),
+		pauseDetector:    pauseDetector{lastTick: time.Now()},
+		fencingToken:     config.Incarnation,
+		background:       background,
+		cancelBackground: cancel,
 	}
-	server.engine.answered = time.Now()
+	server.engine.reportedAt = time.Now()
 	server.timer = time.AfterFunc(time.Hour, server.tick)
 	return server, nil
 }
 
-// FencingToken returns the token that orders to the engine carry.
+// FencingToken returns the fencing token that orders to the engine carry.
 func (server *Server) FencingToken() uint64 {
 	server.mu.Lock()
 	defer server.mu.Unlock()
-	return server.fence
+	return server.fencingToken
 }
 
-// Incarnation returns the start of this process as its callers see it.
+// Incarnation returns the incarnation that this process reports to its callers.
 func (server *Server) Incarnation() uint64 { return server.config.Incarnation }
 
 func (server *Server) current() *conf.Config { return server.config.ConfigSource.Current() }
--- a/internal/daemon/side/status.go
+++ b/internal/daemon/side/status.go
@@ -7,14 +7,14 @@
 	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// Status is what operators see of a side process.
+// Status is the state of a side process for operators.
 type Status struct {
 	Upstream string `json:"upstream"`
 	Draining bool   `json:"draining"`
 	Queued   int    `json:"queued"`
 	Running  int    `json:"running"`
 	Slots    int    `json:"slots"`
-	// Loaded lists adapters with their versions.
+	// Loaded lists the loaded adapters with their versions.
 	Loaded []string `json:"loaded"`
 	// Shards lists the quota shards that this process hosts.
 	Shards []ShardStatus `json:"shards"`
@@ -39,7 +39,7 @@
 		Running:  len(server.running),
 		Slots:    server.table.Size(),
 	}
-	for _, ref := range server.table.LoadedAdapters(maxReported) {
+	for _, ref := range server.table.LoadedAdapters(maxReportedAdapters) {
 		status.Loaded = append(status.Loaded, ref.String())
 	}
 	slices.Sort(status.Loaded)
--- a/internal/daemon/side/tokens.go
+++ b/internal/daemon/side/tokens.go
@@ -7,79 +7,81 @@
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 )
 
-// take debits the tokens of a committed ticket. It waits for a short time only,
-// since the ticket holds a place at the upstream, and returns no debit when
-// that does not suffice.
-func (server *Server) take(ctx context.Context, ticket *ticket) (Reservation, error) {
-	if ticket.organisation == "" || ticket.cost <= 0 {
+// reserve reserves the tokens of a scheduled request. It waits for a short time
+// only, since the request holds a running slot, and returns no reservation if
+// the tokens do not arrive in that time.
+func (server *Server) reserve(ctx context.Context, task *task) (Reservation, error) {
+	if task.organisation == "" || task.cost <= 0 {
 		return unlimited{}, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, takeWait)
+	ctx, cancel := context.WithTimeout(ctx, maxReserveWait)
 	defer cancel()
-	debit, err := server.config.Limiter.Reserve(ctx, ticket.organisation, ticket.cost)
+	reservation, err := server.config.Limiter.Reserve(ctx, task.organisation, task.cost)
 	if err != nil && ctx.Err() == nil {
 		return nil, fault.Wrap(err, fault.NotRun).WithRan(fault.NotRun)
 	}
 	if err != nil {
-		debit = nil
+		reservation = nil
 	}
-	return debit, nil
+	return reservation, nil
 }
 
-// gathering is the wait of one request for its organisation's tokens.
-type gathering struct {
-	ticket *ticket
+// tokenWait is the wait of a queued request for its organisation's tokens.
+type tokenWait struct {
+	task   *task
 	cancel context.CancelFunc
 }
 
-// starve makes a committed ticket wait in the queue until its tokens are there.
-func (server *Server) starve(ctx context.Context, ticket *ticket) {
-	server.wait(ticket)
+// queueForTokens returns a scheduled request to the queue until there are
+// tokens for it.
+func (server *Server) queueForTokens(ctx context.Context, task *task) {
+	server.requeue(task)
 	if ctx.Err() != nil {
 		return
 	}
 	until, ok := ctx.Deadline()
 	if !ok {
-		until = server.deadline(ticket)
+		until = server.deadline(task)
 	}
-	server.queue.Block(ticket.organisation, until)
-	if server.gathering[ticket.organisation] != nil {
+	server.queue.Block(task.organisation, until)
+	if server.tokenWaits[task.organisation] != nil {
 		return
 	}
 	server.count("token-waits")
 	ctx, cancel := context.WithDeadline(ctx, until)
-	server.gathering[ticket.organisation] = &gathering{ticket: ticket, cancel: cancel}
-	go server.gather(ctx, ticket)
+	server.tokenWaits[task.organisation] = &tokenWait{task: task, cancel: cancel}
+	go server.reserveQueued(ctx, task)
 }
 
-// gather waits for the tokens of one ticket in the queue on behalf of its
-// organisation, whose other requests wait behind it.
-func (server *Server) gather(ctx context.Context, ticket *ticket) {
-	debit, err := server.config.Limiter.Reserve(ctx, ticket.organisation, ticket.cost)
+// reserveQueued reserves the tokens of one queued request. Other requests of
+// its organisation wait behind it.
+func (server *Server) reserveQueued(ctx context.Context, task *task) {
+	reservation, err := server.config.Limiter.Reserve(ctx, task.organisation, task.cost)
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	ended := ctx.Err()
-	server.gathering[ticket.organisation].cancel()
-	delete(server.gathering, ticket.organisation)
-	// The organisation may be tried again now, one request at a time.
-	server.queue.Block(ticket.organisation, time.Now())
+	server.tokenWaits[task.organisation].cancel()
+	delete(server.tokenWaits, task.organisation)
+	// Requests of the organisation may be scheduled again, one at a time.
+	server.queue.Block(task.organisation, time.Now())
 	switch {
-	case err == nil && ticket.entry.Queued():
-		ticket.debit = debit
+	case err == nil && task.entry.Queued():
+		task.reservation = reservation
 	case err == nil:
-		debit.Settle(0)
+		reservation.Settle(0)
 	case ended == nil:
-		server.refuse(ticket, fault.Wrap(err, fault.NotRun).WithRan(fault.NotRun))
+		server.refuseQueued(task, fault.Wrap(err, fault.NotRun).WithRan(fault.NotRun))
 	}
-	server.pump()
+	server.schedule()
 }
 
-// overtake ends the wait for tokens of a patient request when an interactive
-// one of the same organisation arrives, which goes first.
-func (server *Server) overtake(ticket *ticket) {
-	gathering := server.gathering[ticket.organisation]
+// preemptTokenWait ends the token wait of a low-priority request when a
+// high-priority one of the same organisation arrives, which gets the tokens
+// first.
+func (server *Server) preemptTokenWait(task *task) {
+	tokenWait := server.tokenWaits[task.organisation]
 	now := time.Now()
-	if gathering != nil && ticket.entry.HighPriority(now) && !gathering.ticket.entry.HighPriority(now) {
-		gathering.cancel()
+	if tokenWait != nil && task.entry.HighPriority(now) && !tokenWait.task.entry.HighPriority(now) {
+		tokenWait.cancel()
 	}
 }
--- a/internal/daemon/side/upstream.go
+++ b/internal/daemon/side/upstream.go
@@ -8,31 +8,37 @@
 	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// UpstreamClient is the engine or plain service beside this process. Errors may be
-// faults; one with NotRun says that the upstream did not receive the request.
+// UpstreamClient is the client of the engine or plain service that this process
+// serves. Errors may be faults; a fault with NotRun says that the upstream did
+// not receive the request.
 type UpstreamClient interface {
+	// State returns the engine's state.
 	State(ctx context.Context) (EngineState, error)
+	// Load orders the engine to load an adapter and returns when it is loaded.
 	Load(ctx context.Context, adapter string, version uint32) error
+	// Unload orders the engine to unload an adapter.
 	Unload(ctx context.Context, adapter string, version uint32) error
-	Generate(ctx context.Context, generation GenerateRequest) (Stream, error)
-	CallPlain(ctx context.Context, call PlainRequest) (*PlainResponse, error)
+	// Generate starts or resumes a model request.
+	Generate(ctx context.Context, request GenerateRequest) (Stream, error)
+	// CallPlain sends a request to a plain service.
+	CallPlain(ctx context.Context, request PlainRequest) (*PlainResponse, error)
 }
 
-// EngineState is what an engine reports of itself.
+// EngineState is the state that an engine reports.
 type EngineState struct {
-	// Epoch changes when the engine starts anew.
+	// Epoch changes when the engine restarts.
 	Epoch        string
 	Slots        int
 	Loaded       []slots.AdapterRef
 	FencingToken uint64
 	Running      int
 	Waiting      int
-	// Active lists the requests that the engine works on, if Listed is set.
-	Active []string
-	Listed bool
+	// Active lists the requests that the engine runs, if ListsActive is set.
+	Active      []string
+	ListsActive bool
 }
 
-// Header is one header of a request or an answer.
+// Header is one header of a request or a response.
 type Header struct{ Name, Value string }
 
 // GenerateRequest is a request to an engine.
@@ -51,8 +57,8 @@
 	Body       []byte
 }
 
-// Token is one token of an engine's answer. RequestID, Attempt and Model tell
-// which request it belongs to, as far as the engine echoes them.
+// Token is one token of an engine's response. RequestID, Attempt and Model
+// identify the request, as far as the engine echoes them.
 type Token struct {
 	Index     int64
 	Text      string
@@ -61,10 +67,12 @@
 	Model     string
 }
 
-// Stream is an engine's answer.
+// Stream is the stream of an engine's response.
 type Stream interface {
-	// Next returns io.EOF after the engine's end marker only.
+	// Next returns io.EOF only after the engine's end marker.
 	Next() (Token, error)
+	// FinishReason returns the engine's finish reason. It is valid after Next
+	// returned io.EOF.
 	FinishReason() string
 	// Close cancels the request at the engine unless it has ended.
 	Close()
@@ -81,7 +89,7 @@
 	Body         []byte
 }
 
-// PlainResponse is the answer of a plain service.
+// PlainResponse is the response of a plain service.
 type PlainResponse struct {
 	Status  int
 	Headers []Header
