--- a/internal/daemon/syncer/world_test.go
+++ b/internal/daemon/syncer/cluster_test.go
@@ -18,8 +18,8 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// fakeLog is the log service: every record it ever took, of which it serves
-// those within the retention.
+// fakeLog is the log service of a test. It keeps every record that was ever
+// appended, and serves those within the retention.
 type fakeLog struct {
 	mutex     sync.Mutex
 	random    *rand.Rand
@@ -42,6 +42,8 @@
 	return offset
 }
 
+// page returns up to 8 records from an offset on, and a channel that is closed at
+// the next append.
 func (log *fakeLog) page(from uint64) (Page, <-chan struct{}) {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
@@ -55,32 +57,34 @@
 	return page, log.changed
 }
 
-// all returns every record that the log ever took.
-func (log *fakeLog) all() []Record {
+// allRecords returns every record that was ever appended.
+func (log *fakeLog) allRecords() []Record {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
 	return slices.Clone(log.records)
 }
 
-// chance reports true one time in n.
-func (log *fakeLog) chance(n int) bool {
+// oneIn reports true with a probability of 1/n.
+func (log *fakeLog) oneIn(n int) bool {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
 	return log.random.IntN(n) == 0
 }
 
-// link is one process's way to the log, which may be cut.
+// link implements LogClient for one process. A test can cut its connection to the
+// log.
 type link struct {
-	log   *fakeLog
-	mutex sync.Mutex
-	cut   chan struct{} // closed while the log is out of reach
-	hangs bool          // whether calls hang while it is, or fail at once
-	loses int           // one append in so many loses its reply
+	log            *fakeLog
+	mutex          sync.Mutex
+	cut            chan struct{} // closed while the link is cut
+	hangs          bool          // whether calls hang while the link is cut, instead of failing at once
+	lostReplyOneIn int           // one append in so many loses its reply; none if 0
 }
 
 func newLink(log *fakeLog) *link { return &link{log: log, cut: make(chan struct{})} }
 
-func (link *link) set(up, hangs bool) {
+// setUp cuts or restores the link.
+func (link *link) setUp(up, hangs bool) {
 	link.mutex.Lock()
 	defer link.mutex.Unlock()
 	link.hangs = hangs
@@ -96,16 +100,16 @@
 	}
 }
 
-func (link *link) lose(loses int) {
+func (link *link) setLostReplies(oneIn int) {
 	link.mutex.Lock()
 	defer link.mutex.Unlock()
-	link.loses = loses
+	link.lostReplyOneIn = oneIn
 }
 
-func (link *link) losing() int {
+func (link *link) lostReplies() int {
 	link.mutex.Lock()
 	defer link.mutex.Unlock()
-	return link.loses
+	return link.lostReplyOneIn
 }
 
 func (link *link) state() (<-chan struct{}, bool) {
@@ -123,7 +127,7 @@
 	default:
 	}
 	offset := link.log.add(data)
-	if loses := link.losing(); loses > 0 && link.log.chance(loses) {
+	if oneIn := link.lostReplies(); oneIn > 0 && link.log.oneIn(oneIn) {
 		return 0, fault.New(fault.LogUnavailable, fault.RunUnknown, "reply lost")
 	}
 	return offset, nil
@@ -155,6 +159,7 @@
 	}
 }
 
+// fail returns the error of a call while the link is cut.
 func (link *link) fail(ctx context.Context, hangs bool) error {
 	if hangs {
 		<-ctx.Done()
@@ -163,17 +168,18 @@
 	return fault.New(fault.LogUnavailable, fault.NotRun, "log is out")
 }
 
-// network carries Sync calls between the processes of a test.
+// network carries the Sync calls between the processes of a test.
 type network struct {
 	mutex   sync.Mutex
-	servers map[string]*Syncer
-	cut     map[string]bool
+	servers map[string]*Syncer // by the name of the process
+	cut     map[string]bool    // processes that no call reaches or leaves
 }
 
 func newNetwork() *network {
 	return &network{servers: map[string]*Syncer{}, cut: map[string]bool{}}
 }
 
+// server returns the process that a call reaches, or nil if there is none.
 func (network *network) server(from, to string) *Syncer {
 	network.mutex.Lock()
 	defer network.mutex.Unlock()
@@ -183,12 +189,13 @@
 	return network.servers[to]
 }
 
-func (network *network) set(name string, cut bool) {
+func (network *network) setCut(name string, cut bool) {
 	network.mutex.Lock()
 	defer network.mutex.Unlock()
 	network.cut[name] = cut
 }
 
+// fakeConn implements PeerConn by a direct call to the server's Sync.
 type fakeConn struct {
 	drpc.Conn
 	server *Syncer
@@ -196,7 +203,7 @@
 
 func (conn fakeConn) Release() {}
 
-// Invoke encodes both messages, as a connection does.
+// Invoke encodes and decodes both messages, as a real connection does.
 func (conn fakeConn) Invoke(ctx context.Context, _ string, encoding drpc.Encoding, in, out drpc.Message) error {
 	time.Sleep(time.Millisecond)
 	data, err := encoding.Marshal(in)
@@ -217,7 +224,7 @@
 	return encoding.Unmarshal(data, out)
 }
 
-// member is one process of a test, which may be restarted.
+// member is one process of a cluster. A test can stop and restart it.
 type member struct {
 	*Syncer
 	name string
@@ -225,55 +232,59 @@
 	stop func()
 }
 
-type world struct {
-	t       *testing.T
-	log     *fakeLog
-	network *network
-	members []*member
-	change  func(*Config)
+// cluster is a set of processes that share a log service and a network.
+type cluster struct {
+	t         *testing.T
+	log       *fakeLog
+	network   *network
+	members   []*member
+	configure func(*Config)
 }
 
-func newWorld(t *testing.T, seed uint64, retention time.Duration, count int, change func(*Config)) *world {
-	world := &world{t: t, log: newFakeLog(seed, retention), network: newNetwork(), change: change}
+// newCluster starts as many processes as count says. configure may be nil; it
+// changes the Config of each process before its start.
+func newCluster(t *testing.T, seed uint64, retention time.Duration, count int, configure func(*Config)) *cluster {
+	cluster := &cluster{t: t, log: newFakeLog(seed, retention), network: newNetwork(), configure: configure}
 	for index := range count {
-		member := &member{name: fmt.Sprintf("instance-%d", index), link: newLink(world.log)}
-		world.members = append(world.members, member)
+		member := &member{name: fmt.Sprintf("instance-%d", index), link: newLink(cluster.log)}
+		cluster.members = append(cluster.members, member)
 	}
-	for _, member := range world.members {
-		world.start(member)
+	for _, member := range cluster.members {
+		cluster.start(member)
 	}
-	return world
+	return cluster
 }
 
-func (world *world) start(member *member) {
+// start starts a process, with all others as its peers.
+func (cluster *cluster) start(member *member) {
 	var peers []string
-	for _, peer := range world.members {
+	for _, peer := range cluster.members {
 		if peer != member {
 			peers = append(peers, peer.name)
 		}
 	}
 	config := Config{
-		Instance: member.name, Address: member.name, Log: member.link, Retention: world.log.retention,
+		Instance: member.name, Address: member.name, Log: member.link, Retention: cluster.log.retention,
 		Peers: func() []string { return peers }, Seed: uint64(len(member.name)),
 		Dial: func(_ context.Context, address string) (PeerConn, error) {
-			if server := world.network.server(member.name, address); server != nil {
+			if server := cluster.network.server(member.name, address); server != nil {
 				return fakeConn{server: server}, nil
 			}
 			return nil, fault.New(fault.NoUpstream, fault.NotRun, "peer is out of reach")
 		},
 	}
-	if world.change != nil {
-		world.change(&config)
+	if cluster.configure != nil {
+		cluster.configure(&config)
 	}
 	started, err := New(config)
 	if err != nil {
-		world.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
 	member.Syncer = started
-	world.network.mutex.Lock()
-	world.network.servers[member.name] = started
-	world.network.mutex.Unlock()
-	ctx, cancel := context.WithCancel(world.t.Context())
+	cluster.network.mutex.Lock()
+	cluster.network.servers[member.name] = started
+	cluster.network.mutex.Unlock()
+	ctx, cancel := context.WithCancel(cluster.t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -282,20 +293,21 @@
 	member.stop = func() {
 		cancel()
 		<-done
-		world.network.mutex.Lock()
-		delete(world.network.servers, member.name)
-		world.network.mutex.Unlock()
+		cluster.network.mutex.Lock()
+		delete(cluster.network.servers, member.name)
+		cluster.network.mutex.Unlock()
 	}
 }
 
-func (world *world) stop() {
-	for _, member := range world.members {
+// stop stops all processes.
+func (cluster *cluster) stop() {
+	for _, member := range cluster.members {
 		member.stop()
 	}
 }
 
-// change returns a patch that puts one upstream or adapter.
-func change(random *rand.Rand, id string, base uint64) patch.Patch {
+// randomPatch returns a patch that puts an upstream, or puts or removes an adapter.
+func randomPatch(random *rand.Rand, id string, base uint64) patch.Patch {
 	name := fmt.Sprintf("name-%d", random.IntN(40))
 	var op patch.Op = patch.PutUpstream{Upstream: conf.UpstreamSpec{ID: name, Service: "advisor", FailureDomain: "one"}}
 	switch random.IntN(4) {
--- a/internal/daemon/syncer/differential_test.go
+++ b/internal/daemon/syncer/differential_test.go
@@ -21,50 +21,53 @@
 )
 
 const (
+	// logBound and peerBound are the times within which an accepted version must
+	// reach a process that is connected to the log, or to peers alone.
 	logBound  = 2 * time.Second
 	peerBound = 4 * time.Second
-	// hangBound is how long a read that hangs delays the log after an outage.
-	hangBound = 8 * time.Second
+	// hangDelay is how long after an outage a process may still wait for a read
+	// that hangs.
+	hangDelay = 8 * time.Second
 )
 
-// naive replays all records that the log ever took in order.
-type naive struct {
-	config   *conf.Config
-	accepted map[string]bool
-	read     int
-	states   [][]byte    // encoded state by version
-	times    []time.Time // when each version was appended
-	ids      []string
+// reference is a simple replay, in order, of all records that were ever appended.
+type reference struct {
+	config      *conf.Config
+	accepted    map[string]bool
+	recordsRead int
+	states      [][]byte    // encoded state by version
+	times       []time.Time // when each version was appended
+	ids         []string    // ids of the accepted patches in order
 }
 
-func newNaive() *naive {
-	return &naive{config: conf.New(), accepted: map[string]bool{}, states: [][]byte{nil}, times: []time.Time{{}}}
+func newReference() *reference {
+	return &reference{config: conf.New(), accepted: map[string]bool{}, states: [][]byte{nil}, times: []time.Time{{}}}
 }
 
-func (naive *naive) replay(t *testing.T, records []Record) {
-	for _, record := range records[naive.read:] {
-		naive.read++
+func (reference *reference) replay(t *testing.T, records []Record) {
+	for _, record := range records[reference.recordsRead:] {
+		reference.recordsRead++
 		entry, err := codec.DecodeRecord(record.Data)
-		if err != nil || entry.Patch == nil || naive.accepted[entry.Patch.ID] || entry.Patch.BaseVersion != naive.config.Version() {
+		if err != nil || entry.Patch == nil || reference.accepted[entry.Patch.ID] || entry.Patch.BaseVersion != reference.config.Version() {
 			continue
 		}
-		next, result := patch.Apply(naive.config, *entry.Patch)
+		next, result := patch.Apply(reference.config, *entry.Patch)
 		if result.Kind != patch.Accepted {
 			continue
 		}
-		naive.config = next
-		naive.accepted[entry.Patch.ID] = true
-		naive.ids = append(naive.ids, entry.Patch.ID)
-		encoded, err := codec.EncodeState(replay.State{Config: next, VersionOffset: record.Offset, RecentPatches: naive.ids})
+		reference.config = next
+		reference.accepted[entry.Patch.ID] = true
+		reference.ids = append(reference.ids, entry.Patch.ID)
+		encoded, err := codec.EncodeState(replay.State{Config: next, VersionOffset: record.Offset, RecentPatches: reference.ids})
 		if err != nil {
 			t.Fatal(err)
 		}
-		naive.states = append(naive.states, encoded)
-		naive.times = append(naive.times, record.Time)
+		reference.states = append(reference.states, encoded)
+		reference.times = append(reference.times, record.Time)
 	}
 }
 
-// counters sums what the processes of all schedules counted.
+// counters sums the metrics of the processes of all schedules.
 type counters struct {
 	mutex  sync.Mutex
 	counts map[string]int
@@ -81,24 +84,24 @@
 
 // schedule is one seeded run of a differential test.
 type schedule struct {
-	*world
-	random  *rand.Rand
-	naive   *naive
-	lonely  bool
-	up      []bool
-	since   []time.Time // when each member last started or its link last changed
-	highest []uint64
-	reports sync.Map // results that operators were told, by patch id
-	pending sync.WaitGroup
-	ids     []string
-	trace   []string
+	*cluster
+	random          *rand.Rand
+	reference       *reference
+	logOnly         bool // whether peers cannot reach each other
+	linkUp          []bool
+	changedAt       []time.Time // when each member last started or its link last changed
+	highestVersions []uint64
+	reports         sync.Map // results reported to operators, by patch id
+	pending         sync.WaitGroup
+	ids             []string
+	trace           []string
 }
 
-// Guards against a state that differs from the replay of the log in any
-// process at any version, a version that goes back, a result that was told
-// wrongly, and versions that spread too slowly, under races of operators,
-// duplicate appends, outages, retention and restarts.
-func TestFoldMatchesReplay(t *testing.T) {
+// TestStateMatchesReplay guards against processes whose state at any version
+// differs from a replay of the log, versions that decrease, wrong results reported
+// to operators, and versions that spread too slowly. The schedules combine races of
+// operators, duplicate appends, outages, expired records and restarts.
+func TestStateMatchesReplay(t *testing.T) {
 	seeds := uint64(1000)
 	if testing.Short() {
 		seeds = 50
@@ -131,43 +134,45 @@
 
 func runSchedule(t *testing.T, seed uint64, counts *counters) {
 	random := rand.New(rand.NewPCG(seed, 0))
-	// In one schedule of four the log is the only source, and records expire
-	// before restarted processes read them.
-	lonely, steps, retention := seed%4 == 0, 50, time.Duration(24+random.IntN(60))*time.Second
-	if lonely {
+	// In one of four schedules the log is the only source of the configuration,
+	// and records expire before restarted processes read them.
+	logOnly, steps, retention := seed%4 == 0, 50, time.Duration(24+random.IntN(60))*time.Second
+	if logOnly {
 		steps, retention = 120, 24*time.Second
 	}
-	tailBytes := []int{1, 400, 1 << 20}[random.IntN(3)]
-	maxBehind := []uint64{1, 1024}[random.IntN(2)]
-	world := newWorld(t, seed, retention, 3+random.IntN(3), func(config *Config) {
-		config.TailBytes, config.MaxBehind = tailBytes, maxBehind
+	historyBytes := []int{1, 400, 1 << 20}[random.IntN(3)]
+	maxLogLag := []uint64{1, 1024}[random.IntN(2)]
+	cluster := newCluster(t, seed, retention, 3+random.IntN(3), func(config *Config) {
+		config.MaxHistoryBytes, config.MaxLogLag = historyBytes, maxLogLag
 	})
-	schedule := &schedule{world: world, random: random, naive: newNaive(), lonely: lonely}
-	for _, member := range world.members {
-		member.link.lose(4)
-		world.network.set(member.name, lonely)
-		schedule.up = append(schedule.up, true)
-		schedule.since = append(schedule.since, time.Now())
-		schedule.highest = append(schedule.highest, 0)
+	schedule := &schedule{cluster: cluster, random: random, reference: newReference(), logOnly: logOnly}
+	for _, member := range cluster.members {
+		member.link.setLostReplies(4)
+		cluster.network.setCut(member.name, logOnly)
+		schedule.linkUp = append(schedule.linkUp, true)
+		schedule.changedAt = append(schedule.changedAt, time.Now())
+		schedule.highestVersions = append(schedule.highestVersions, 0)
 	}
 	for range steps {
-		schedule.act()
+		schedule.runAction()
 		time.Sleep(time.Duration(20+random.IntN(1200)) * time.Millisecond)
-		schedule.check()
+		schedule.checkVersions()
 	}
-	for index := range world.members {
+	for index := range cluster.members {
 		schedule.setLink(index, true)
 	}
 	schedule.pending.Wait()
-	time.Sleep(hangBound + peerBound)
-	schedule.finish()
-	world.stop()
-	for _, member := range world.members {
+	time.Sleep(hangDelay + peerBound)
+	schedule.checkFinalState()
+	cluster.stop()
+	for _, member := range cluster.members {
 		counts.add(member.Metrics())
 	}
 }
 
-func (schedule *schedule) act() {
+// runAction runs one random action: cut or restore a link, restart a member, append
+// a malformed, duplicate or invalid record, cause an outage, or publish patches.
+func (schedule *schedule) runAction() {
 	random := schedule.random
 	index := random.IntN(len(schedule.members))
 	member := schedule.members[index]
@@ -175,16 +180,16 @@
 	schedule.trace = append(schedule.trace, fmt.Sprintf("%v action %d on %s", time.Now().Format("05.000"), action, member.name))
 	switch action {
 	case 0:
-		schedule.setLink(index, !schedule.up[index])
+		schedule.setLink(index, !schedule.linkUp[index])
 	case 1:
 		member.stop()
 		schedule.start(member)
-		schedule.since[index] = time.Now()
-		schedule.highest[index] = 0
+		schedule.changedAt[index] = time.Now()
+		schedule.highestVersions[index] = 0
 	case 2:
 		schedule.log.add([]byte{0xff, byte(random.IntN(256))})
 	case 3:
-		if records := schedule.log.all(); len(records) > 0 {
+		if records := schedule.log.allRecords(); len(records) > 0 {
 			schedule.log.add(records[random.IntN(len(records))].Data)
 		}
 	case 4:
@@ -203,8 +208,7 @@
 	}
 }
 
-// outage cuts all links for less than the share of the retention in which a
-// snapshot is renewed.
+// outage cuts all links for less time than passes between two snapshots.
 func (schedule *schedule) outage() {
 	for index := range schedule.members {
 		schedule.setLink(index, false)
@@ -216,17 +220,17 @@
 }
 
 func (schedule *schedule) setLink(index int, up bool) {
-	if schedule.up[index] != up {
-		schedule.up[index] = up
-		schedule.since[index] = time.Now()
+	if schedule.linkUp[index] != up {
+		schedule.linkUp[index] = up
+		schedule.changedAt[index] = time.Now()
 	}
-	schedule.members[index].link.set(up, schedule.random.IntN(2) == 0)
+	schedule.members[index].link.setUp(up, schedule.random.IntN(2) == 0)
 }
 
 func (schedule *schedule) publish(member *member) {
 	id := fmt.Sprintf("patch-%d", len(schedule.ids))
 	schedule.ids = append(schedule.ids, id)
-	record := change(schedule.random, id, member.Current().Version())
+	record := randomPatch(schedule.random, id, member.Current().Version())
 	syncer := member.Syncer
 	schedule.pending.Go(func() {
 		report, err := syncer.Publish(context.Background(), record)
@@ -236,50 +240,51 @@
 	})
 }
 
-// check compares what every member shows with the replay.
-func (schedule *schedule) check() {
+// checkVersions compares the version and state of every member with the replay.
+func (schedule *schedule) checkVersions() {
 	synctest.Wait()
-	outcome := schedule.naive
-	outcome.replay(schedule.t, schedule.log.all())
+	expected := schedule.reference
+	expected.replay(schedule.t, schedule.log.allRecords())
 	now := time.Now()
 	for index, member := range schedule.members {
 		version := member.Current().Version()
-		if version < schedule.highest[index] {
-			schedule.fatal("%s went back from version %d to %d", member.name, schedule.highest[index], version)
+		if version < schedule.highestVersions[index] {
+			schedule.fatal("%s went back from version %d to %d", member.name, schedule.highestVersions[index], version)
 		}
-		schedule.highest[index] = version
-		schedule.compare(member, outcome)
-		bound, bounded := schedule.bound(index, now)
+		schedule.highestVersions[index] = version
+		schedule.checkState(member, expected)
+		bound, bounded := schedule.spreadBound(index, now)
 		if !bounded {
 			continue
 		}
-		for due := version + 1; due < uint64(len(outcome.times)); due++ {
-			if now.Sub(outcome.times[due]) > bound {
+		for due := version + 1; due < uint64(len(expected.times)); due++ {
+			if now.Sub(expected.times[due]) > bound {
 				schedule.fatal("%s has version %d; version %d was accepted %v ago (bound %v, link up %v since %v)",
-					member.name, version, due, now.Sub(outcome.times[due]), bound, schedule.up[index], now.Sub(schedule.since[index]))
+					member.name, version, due, now.Sub(expected.times[due]), bound, schedule.linkUp[index], now.Sub(schedule.changedAt[index]))
 			}
 		}
 	}
 }
 
-// bound returns the time within which a member must have a version, if it has
-// been connected for long enough.
-func (schedule *schedule) bound(index int, now time.Time) (time.Duration, bool) {
-	steady := now.Sub(schedule.since[index])
-	if schedule.up[index] {
-		return logBound, steady > hangBound+logBound
+// spreadBound returns the time within which a member must have an accepted version.
+// It reports false if the member has not been connected for long enough.
+func (schedule *schedule) spreadBound(index int, now time.Time) (time.Duration, bool) {
+	steady := now.Sub(schedule.changedAt[index])
+	if schedule.linkUp[index] {
+		return logBound, steady > hangDelay+logBound
 	}
 	for peer := range schedule.members {
-		if !schedule.lonely && schedule.up[peer] && now.Sub(schedule.since[peer]) > hangBound+peerBound && steady > hangBound+peerBound {
+		if !schedule.logOnly && schedule.linkUp[peer] && now.Sub(schedule.changedAt[peer]) > hangDelay+peerBound && steady > hangDelay+peerBound {
 			return peerBound, true
 		}
 	}
 	return 0, false
 }
 
-func (schedule *schedule) compare(member *member, outcome *naive) {
+// checkState compares a member's state with the replay at the same version.
+func (schedule *schedule) checkState(member *member, expected *reference) {
 	member.mutex.Lock()
-	state := member.fold.State()
+	state := member.replayer.State()
 	member.mutex.Unlock()
 	version := state.Config.Version()
 	if version == 0 {
@@ -289,28 +294,30 @@
 	if err != nil {
 		schedule.t.Fatal(err)
 	}
-	if version >= uint64(len(outcome.states)) {
-		schedule.fatal("%s has version %d, the log's newest is %d", member.name, version, len(outcome.states)-1)
+	if version >= uint64(len(expected.states)) {
+		schedule.fatal("%s has version %d, the log's newest is %d", member.name, version, len(expected.states)-1)
 	}
-	if !bytes.Equal(outcome.states[version], encoded) {
-		diff := cmp.Diff(outcome.states[version], encoded)
+	if !bytes.Equal(expected.states[version], encoded) {
+		diff := cmp.Diff(expected.states[version], encoded)
 		schedule.fatal("%s differs from the replay at version %d (-want +got):\n%s", member.name, version, diff)
 	}
 }
 
-func (schedule *schedule) finish() {
+// checkFinalState checks that every member has the newest version, and that
+// operators were told the right results.
+func (schedule *schedule) checkFinalState() {
 	synctest.Wait()
-	outcome := schedule.naive
-	outcome.replay(schedule.t, schedule.log.all())
+	expected := schedule.reference
+	expected.replay(schedule.t, schedule.log.allRecords())
 	versions := map[string]uint64{}
-	for version, id := range outcome.ids {
+	for version, id := range expected.ids {
 		versions[id] = uint64(version + 1)
 	}
 	for _, member := range schedule.members {
-		if got, want := member.Current().Version(), uint64(len(outcome.ids)); got != want {
+		if got, want := member.Current().Version(), uint64(len(expected.ids)); got != want {
 			schedule.fatal("%s ends with version %d, want %d", member.name, got, want)
 		}
-		schedule.compare(member, outcome)
+		schedule.checkState(member, expected)
 	}
 	schedule.reports.Range(func(id, value any) bool {
 		result := value.(patch.Result)
@@ -322,6 +329,7 @@
 	})
 }
 
+// fatal logs the actions so far and fails the test.
 func (schedule *schedule) fatal(format string, args ...any) {
 	schedule.t.Helper()
 	for _, line := range schedule.trace {
--- a/internal/daemon/syncer/freshness.go
+++ b/internal/daemon/syncer/freshness.go
@@ -5,11 +5,10 @@
 	"time"
 )
 
-// never is the age of a version that was never confirmed.
-const never = time.Duration(math.MaxInt64)
+// neverConfirmed is the confirmed age of a version that was never confirmed.
+const neverConfirmed = time.Duration(math.MaxInt64)
 
-// freshness is the time at which the current version was known to be the
-// newest.
+// freshness tracks when the current version was last known to be the newest one.
 type freshness struct {
 	confirmed time.Time
 }
@@ -22,46 +21,48 @@
 
 func (freshness *freshness) age() time.Duration {
 	if freshness.confirmed.IsZero() {
-		return never
+		return neverConfirmed
 	}
 	return time.Since(freshness.confirmed)
 }
 
-// ConfirmedAge returns the time since the current version was last confirmed by
-// the log, directly or through a chain of peers.
+// ConfirmedAge returns the time since the log, directly or through a chain of
+// peers, last confirmed that the current version is the newest. It is the
+// largest time.Duration if that never happened.
 func (syncer *Syncer) ConfirmedAge() time.Duration {
 	syncer.mutex.Lock()
 	defer syncer.mutex.Unlock()
-	return syncer.fresh.age()
+	return syncer.freshness.age()
 }
 
-// Isolated reports whether a withdrawal may have missed this process: its
-// version was not confirmed within the isolation limit, and fewer than half of
-// the peers that it called within that time answered.
+// Isolated reports whether this process may have missed the withdrawal of a key:
+// its version was not confirmed within the isolation limit, and fewer than half
+// of the peers that it called within the limit answered.
 func (syncer *Syncer) Isolated() bool {
 	syncer.mutex.Lock()
 	defer syncer.mutex.Unlock()
 	limit := syncer.config.IsolationLimit
-	return syncer.fresh.age() > limit && !syncer.peers.answer(time.Now().Add(-limit))
+	return syncer.freshness.age() > limit && !syncer.peers.mostAnswer(time.Now().Add(-limit))
 }
 
-// ObserveVersion tells that somebody showed this version. When it is newer, peers are
-// asked at once.
+// ObserveVersion records that another process has shown this version. If it is
+// newer than the current one, peers are called at once.
 func (syncer *Syncer) ObserveVersion(version uint64) {
 	if version <= syncer.Current().Version() {
 		return
 	}
 	syncer.mutex.Lock()
 	defer syncer.mutex.Unlock()
-	syncer.peers.want(version)
-	syncer.kick("")
+	syncer.peers.observe(version)
+	syncer.requestSync("")
 }
 
-// kick asks for a call to an address, or to random peers when it is empty.
-// A full queue means that calls are due anyway.
-func (syncer *Syncer) kick(address string) {
+// requestSync requests a call to the peer at an address, or to random peers if
+// the address is empty. The request is dropped when the queue is full, since
+// calls are due then anyway.
+func (syncer *Syncer) requestSync(address string) {
 	select {
-	case syncer.kicks <- address:
+	case syncer.syncRequests <- address:
 	default:
 	}
 }
--- a/internal/daemon/syncer/gap_test.go
+++ b/internal/daemon/syncer/gap_test.go
@@ -9,17 +9,17 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 )
 
-// Guards against a process that folds records although earlier ones expired:
-// from a snapshot older than the expired records, or from a page that was asked
-// for before a peer closed the gap.
+// TestGap guards against a process that applies records although earlier ones
+// expired before it read them: after a snapshot that does not cover the expired
+// records, or from a page that was requested before a peer closed the gap.
 func TestGap(t *testing.T) {
-	folded := replay.New()
+	replayer := replay.New()
 	for version := range uint64(3) {
-		if result, _ := folded.ApplyPatch(version, putUpstream(string(rune('a'+version)), version)); result.Kind != patch.Accepted {
+		if result, _ := replayer.ApplyPatch(version, putUpstream(string(rune('a'+version)), version)); result.Kind != patch.Accepted {
 			t.Fatal(result)
 		}
 	}
-	encoded, err := codec.EncodeState(folded.State())
+	encoded, err := codec.EncodeState(replayer.State())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 	tests := []struct {
 		name     string
 		pages    []Page
-		peer     uint64 // offset until which a peer's snapshot holds, after the first page
+		peer     uint64 // offset that a peer's snapshot resumes at, installed after the first page; none if 0
 		version  uint64
 		position uint64
 	}{
@@ -47,7 +47,7 @@
 		{name: "records after the snapshot are read again", version: 3, position: 55, pages: []Page{
 			{FirstOffset: 50, NextOffset: 62, Records: []Record{chunk(60, 55), patched}},
 		}},
-		{name: "page asked for before a peer's snapshot", peer: 55, version: 3, position: 55, pages: []Page{
+		{name: "page requested before a peer's snapshot", peer: 55, version: 3, position: 55, pages: []Page{
 			{FirstOffset: 50, NextOffset: 61, Records: []Record{record(60, nil, nil)}},
 			{FirstOffset: 50, NextOffset: 62, Records: []Record{patched}},
 		}},
@@ -60,17 +60,17 @@
 			}
 			from := uint64(0)
 			for index, page := range test.pages {
-				if err := syncer.foldPage(page, from, time.Now()); err != nil {
+				if err := syncer.applyPage(page, from, time.Now()); err != nil {
 					t.Fatal(err)
 				}
 				from = page.NextOffset
 				if index == 0 && test.peer > 0 {
 					syncer.mutex.Lock()
-					syncer.adopt(encoded, test.peer)
+					syncer.installSnapshot(encoded, test.peer)
 					syncer.mutex.Unlock()
 				}
 			}
-			if got := syncer.fold.Config().Version(); got != test.version || syncer.log.position != test.position {
+			if got := syncer.replayer.Config().Version(); got != test.version || syncer.log.position != test.position {
 				t.Errorf("got version %d and position %d, want %d and %d", got, syncer.log.position, test.version, test.position)
 			}
 		})
--- a/internal/daemon/syncer/peers.go
+++ b/internal/daemon/syncer/peers.go
@@ -12,109 +12,119 @@
 )
 
 const (
-	// maxCalls bounds concurrent calls to peers, so that peers which hang do
-	// not hold up calls to others.
-	maxCalls = 8
-	// hintInterval is the time between calls while a newer version is known to
-	// exist, and hintTries how many calls one hint may cause.
-	hintInterval = 100 * time.Millisecond
-	hintTries    = 5
-	// pushGap is the least time between calls on account of new versions, so
-	// that a burst of patches costs no more than ten rounds of calls a second.
-	pushGap = 100 * time.Millisecond
-	// neighbourCount is how many peers are called in turn. Calls to ever other
-	// peers of a large fleet would each open a connection, and a TLS handshake
-	// each second in both roles exceeds the budget of 3 KB/s.
-	neighbourCount = 16
+	// maxConcurrentCalls bounds concurrent calls to peers. There are several, so
+	// that peers that do not respond do not delay the calls to others.
+	maxConcurrentCalls = 8
+	// catchUpInterval is the time between calls while a newer version is known to
+	// exist, and maxCatchUpCalls how many such calls one observed version causes.
+	catchUpInterval = 100 * time.Millisecond
+	maxCatchUpCalls = 5
+	// minPushInterval is the least time between two rounds of calls that new
+	// versions cause, so that a burst of patches causes at most ten rounds a
+	// second.
+	minPushInterval = 100 * time.Millisecond
+	// sampleSize is how many peers are called in turn. If every call went to
+	// another peer of a large fleet, each would open a connection, and one TLS
+	// handshake a second as client and as server exceeds the budget of 3 KB/s.
+	sampleSize = 16
 )
 
-// answers is what a peer did last.
-type answers struct {
+// peerTimes holds when a peer was last called and when it last answered.
+type peerTimes struct {
 	called   time.Time
 	answered time.Time
 }
 
-// peerList chooses peers and remembers which of them answered. It calls a random
-// sample of the list in random order, each once before any a second time, and
-// replaces one of the sample after each round.
+// peerList chooses the peers to call and records which of them answered. The
+// peers are called in rounds: each round calls every peer of a random sample of
+// the instance list once, in random order. One peer of the sample is replaced
+// after each round.
 type peerList struct {
+	// listed holds the addresses on the instance list.
 	listed []string
-	// neighbours is the sample, the one called the longest first.
-	neighbours []string
-	order      []string
-	seen       map[string]answers
-	wanted     uint64
-	tries      int
+	// sample is ordered by the time since when a peer belongs to it, the oldest
+	// first.
+	sample []string
+	// callQueue holds the peers that are still to be called in this round.
+	callQueue []string
+	times     map[string]peerTimes
+	// knownVersion is the newest version that another process has shown, and
+	// catchUpCalls the number of calls left that it causes.
+	knownVersion uint64
+	catchUpCalls int
 }
 
-// refresh takes over the instance list and forgets calls before a time.
-func (peers *peerList) refresh(listed []string, since time.Time) {
+// setListed sets the listed addresses and drops the times of peers that were last
+// called before a time.
+func (peers *peerList) setListed(listed []string, since time.Time) {
 	peers.listed = listed
-	for address, entry := range peers.seen {
+	for address, entry := range peers.times {
 		if entry.called.Before(since) {
-			delete(peers.seen, address)
+			delete(peers.times, address)
 		}
 	}
 }
 
-// next returns the next peer.
+// next returns the next peer to call. It reports false if no peer is listed.
 func (peers *peerList) next(random *rand.Rand) (string, bool) {
-	if len(peers.order) == 0 {
-		peers.sample(random)
-		peers.order = slices.Clone(peers.neighbours)
-		random.Shuffle(len(peers.order), func(left, right int) {
-			peers.order[left], peers.order[right] = peers.order[right], peers.order[left]
+	if len(peers.callQueue) == 0 {
+		peers.refreshSample(random)
+		peers.callQueue = slices.Clone(peers.sample)
+		random.Shuffle(len(peers.callQueue), func(left, right int) {
+			peers.callQueue[left], peers.callQueue[right] = peers.callQueue[right], peers.callQueue[left]
 		})
 	}
-	if len(peers.order) == 0 {
+	if len(peers.callQueue) == 0 {
 		return "", false
 	}
-	address := peers.order[0]
-	peers.order = peers.order[1:]
+	address := peers.callQueue[0]
+	peers.callQueue = peers.callQueue[1:]
 	return address, true
 }
 
-// sample drops peers that are not listed any more and one other, and fills up
-// the sample from the list.
-func (peers *peerList) sample(random *rand.Rand) {
+// refreshSample removes peers that are no longer listed from the sample, and its
+// oldest peer if it is full. It then adds random listed peers until it is full.
+func (peers *peerList) refreshSample(random *rand.Rand) {
 	known := make(map[string]bool, len(peers.listed))
 	for _, address := range peers.listed {
 		known[address] = true
 	}
-	if len(known) <= neighbourCount {
-		peers.neighbours = slices.Sorted(maps.Keys(known))
+	if len(known) <= sampleSize {
+		peers.sample = slices.Sorted(maps.Keys(known))
 		return
 	}
-	peers.neighbours = slices.DeleteFunc(peers.neighbours, func(address string) bool { return !known[address] })
-	if len(peers.neighbours) >= neighbourCount {
-		peers.neighbours = slices.Delete(peers.neighbours, 0, len(peers.neighbours)-neighbourCount+1)
+	peers.sample = slices.DeleteFunc(peers.sample, func(address string) bool { return !known[address] })
+	if len(peers.sample) >= sampleSize {
+		peers.sample = slices.Delete(peers.sample, 0, len(peers.sample)-sampleSize+1)
 	}
-	for len(peers.neighbours) < neighbourCount {
+	for len(peers.sample) < sampleSize {
 		address := peers.listed[random.IntN(len(peers.listed))]
-		if !slices.Contains(peers.neighbours, address) {
-			peers.neighbours = append(peers.neighbours, address)
+		if !slices.Contains(peers.sample, address) {
+			peers.sample = append(peers.sample, address)
 		}
 	}
 }
 
-func (peers *peerList) note(address string, change func(*answers)) {
-	if peers.seen == nil {
-		peers.seen = map[string]answers{}
+// update changes the times of a peer.
+func (peers *peerList) update(address string, change func(*peerTimes)) {
+	if peers.times == nil {
+		peers.times = map[string]peerTimes{}
 	}
-	entry := peers.seen[address]
+	entry := peers.times[address]
 	change(&entry)
-	peers.seen[address] = entry
+	peers.times[address] = entry
 }
 
-// answer reports whether at least half of the peers called since a time have
-// answered. Calls are a random sample of the list, since a large list cannot be
-// called completely within the isolation limit.
-func (peers *peerList) answer(since time.Time) bool {
+// mostAnswer reports whether at least half of the peers that were called since a
+// time have answered since then. The peers called are a random sample, since not
+// all peers of a long list can be called within the isolation limit. Without
+// listed peers it reports true.
+func (peers *peerList) mostAnswer(since time.Time) bool {
 	if len(peers.listed) == 0 {
 		return true
 	}
 	called, answered := 0, 0
-	for _, entry := range peers.seen {
+	for _, entry := range peers.times {
 		if entry.called.Before(since) {
 			continue
 		}
@@ -126,32 +136,33 @@
 	return called > 0 && 2*answered >= called
 }
 
-func (peers *peerList) want(version uint64) {
-	peers.wanted = max(peers.wanted, version)
-	peers.tries = hintTries
+// observe records a version that another process has shown.
+func (peers *peerList) observe(version uint64) {
+	peers.knownVersion = max(peers.knownVersion, version)
+	peers.catchUpCalls = maxCatchUpCalls
 }
 
-// followPeers calls one random peer each interval, and others when there is
-// news, until the context ends.
-func (syncer *Syncer) followPeers(ctx context.Context) error {
+// pollPeers calls one random peer each interval, and further peers on request,
+// until the context ends.
+func (syncer *Syncer) pollPeers(ctx context.Context) error {
 	if syncer.config.Dial == nil {
 		<-ctx.Done()
 		return ctx.Err()
 	}
 	calls, callContext := errgroup.WithContext(ctx)
-	calls.SetLimit(maxCalls)
+	calls.SetLimit(maxConcurrentCalls)
 	defer func() { _ = calls.Wait() }()
 	call := func(address string) {
-		// At the limit of concurrent calls this one is left out; the next
-		// interval brings another.
+		// At the limit of concurrent calls this call is skipped. The next interval
+		// starts another one.
 		calls.TryGo(func() error {
 			syncer.callPeer(callContext, address)
 			return nil
 		})
 	}
-	syncer.callNext(call, 1)
-	next := time.Now().Add(syncer.interval())
-	var pushed time.Time
+	syncer.callNextPeers(call, 1)
+	next := time.Now().Add(syncer.callInterval())
+	var lastPush time.Time
 	for {
 		timer := time.NewTimer(time.Until(next))
 		select {
@@ -159,18 +170,18 @@
 			timer.Stop()
 			return ctx.Err()
 		case <-timer.C:
-			syncer.callNext(call, 1)
-			next = time.Now().Add(syncer.interval())
-		case address := <-syncer.kicks:
+			syncer.callNextPeers(call, 1)
+			next = time.Now().Add(syncer.callInterval())
+		case address := <-syncer.syncRequests:
 			timer.Stop()
 			switch {
 			case address != "":
 				call(address)
-			case time.Since(pushed) >= pushGap:
-				pushed = time.Now()
-				syncer.callNext(call, syncer.config.PushFanout)
+			case time.Since(lastPush) >= minPushInterval:
+				lastPush = time.Now()
+				syncer.callNextPeers(call, syncer.config.PushFanout)
 			}
-			next = earlier(next, time.Now().Add(syncer.interval()))
+			next = earlier(next, time.Now().Add(syncer.callInterval()))
 		}
 	}
 }
@@ -182,24 +193,25 @@
 	return left
 }
 
-// interval returns the time until the next call: jittered, and shorter while a
-// newer version is known to exist.
-func (syncer *Syncer) interval() time.Duration {
+// callInterval returns the jittered time until the next regular call. It is
+// shorter while a newer version is known to exist.
+func (syncer *Syncer) callInterval() time.Duration {
 	syncer.mutex.Lock()
 	defer syncer.mutex.Unlock()
 	interval := syncer.config.SyncInterval
-	if syncer.peers.wanted > syncer.fold.Config().Version() && syncer.peers.tries > 0 {
-		syncer.peers.tries--
-		interval = min(interval, hintInterval)
+	if syncer.peers.knownVersion > syncer.replayer.Config().Version() && syncer.peers.catchUpCalls > 0 {
+		syncer.peers.catchUpCalls--
+		interval = min(interval, catchUpInterval)
 	}
 	return interval*9/10 + time.Duration(syncer.random.Int64N(int64(interval/5)+1))
 }
 
-// callNext calls the next peers in random order.
-func (syncer *Syncer) callNext(call func(address string), count int) {
+// callNextPeers calls as many of the next peers as count says, or fewer if fewer
+// are listed.
+func (syncer *Syncer) callNextPeers(call func(address string), count int) {
 	listed := syncer.config.Peers()
 	syncer.mutex.Lock()
-	syncer.peers.refresh(listed, time.Now().Add(-syncer.config.IsolationLimit))
+	syncer.peers.setListed(listed, time.Now().Add(-syncer.config.IsolationLimit))
 	addresses := make([]string, 0, count)
 	for range min(count, len(listed)) {
 		if address, ok := syncer.peers.next(syncer.random); ok {
@@ -212,17 +224,17 @@
 	}
 }
 
-// callPeer synchronises with one peer.
+// callPeer synchronises with one peer. Errors are logged and counted.
 func (syncer *Syncer) callPeer(ctx context.Context, address string) {
-	syncer.noteCall(address, func(entry *answers) { entry.called = time.Now() })
+	syncer.updatePeer(address, func(entry *peerTimes) { entry.called = time.Now() })
 	if err := syncer.syncWith(ctx, address); err != nil {
 		syncer.metrics.Add("peer-errors", 1)
 		syncer.config.Logger.Debug("config: could not sync with peer", zap.String("address", address), zap.Error(err))
 	}
 }
 
-func (syncer *Syncer) noteCall(address string, change func(*answers)) {
+func (syncer *Syncer) updatePeer(address string, change func(*peerTimes)) {
 	syncer.mutex.Lock()
 	defer syncer.mutex.Unlock()
-	syncer.peers.note(address, change)
+	syncer.peers.update(address, change)
 }
--- a/internal/daemon/syncer/peers_test.go
+++ b/internal/daemon/syncer/peers_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestNeighbours guards against calls that each open a connection to another
-// peer, and against peers that are called after they have left the list.
-func TestNeighbours(t *testing.T) {
+// TestPeerSample guards against calls that each go to another peer and so open a
+// connection, and against calls to peers that are no longer listed.
+func TestPeerSample(t *testing.T) {
 	list := func(from, to int) []string {
 		var addresses []string
 		for index := from; index < to; index++ {
@@ -23,20 +23,20 @@
 		least, most int
 	}{
 		{"none", nil, nil, 0, 0},
-		{"small fleets are called completely", nil, list(0, 10), 10, 10},
+		{"all peers of a small fleet", nil, list(0, 10), 10, 10},
 		{"duplicates", nil, append(list(0, 10), list(0, 10)...), 10, 10},
-		{"large fleets a few at a time", nil, list(0, 7000), neighbourCount + rounds/2, neighbourCount + rounds},
-		{"all neighbours left", list(0, 1000), list(1000, 1020), neighbourCount, 20},
+		{"some peers of a large fleet", nil, list(0, 7000), sampleSize + rounds/2, sampleSize + rounds},
+		{"all peers of the sample left", list(0, 1000), list(1000, 1020), sampleSize, 20},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			var peers peerList
 			random := rand.New(rand.NewPCG(1, 1))
 			peers.listed = test.before
-			peers.sample(random)
+			peers.refreshSample(random)
 			peers.listed = test.now
 			called := map[string]bool{}
-			for range rounds * neighbourCount {
+			for range rounds * sampleSize {
 				if address, ok := peers.next(random); ok {
 					called[address] = true
 				}
--- a/internal/daemon/syncer/server.go
+++ b/internal/daemon/syncer/server.go
@@ -12,48 +12,50 @@
 )
 
 const (
-	// maxPatchBytes bounds the patches of one answer, well below the 4 MiB that
-	// messages may have.
-	maxPatchBytes = 512 << 10
-	// servingTime is how long an encoded snapshot is kept for further chunks.
-	servingTime = 10 * time.Second
+	// maxResponsePatchBytes bounds the patches in one response, well below the
+	// 4 MiB that a message may have.
+	maxResponsePatchBytes = 512 << 10
+	// snapshotCacheTTL is how long an encoded snapshot is kept after the last call
+	// for one of its chunks.
+	snapshotCacheTTL = 10 * time.Second
 )
 
-// serving is the encoded snapshot that peers are fetching.
-type serving struct {
-	mutex  sync.Mutex
-	chunks []replay.Chunk
-	used   time.Time
+// snapshotCache holds the encoded snapshot that peers are fetching in chunks.
+type snapshotCache struct {
+	mutex    sync.Mutex
+	chunks   []replay.Chunk
+	lastUsed time.Time
 }
 
-// Sync implements the server side of wirepb.DRPCPeerServer.
+// Sync implements the method of wirepb.DRPCPeerServer. It returns the patches
+// after the caller's version or, if they are not all held, a chunk of a snapshot.
 func (syncer *Syncer) Sync(_ context.Context, request *wirepb.SyncRequest) (*wirepb.SyncResponse, error) {
 	syncer.mutex.Lock()
 	response := &wirepb.SyncResponse{
-		Version:        syncer.fold.Config().Version(),
-		Offset:         syncer.fold.NextOffset(),
-		ConfirmedAgeUs: ageToWire(syncer.fresh.age()),
+		Version:        syncer.replayer.Config().Version(),
+		Offset:         syncer.replayer.NextOffset(),
+		ConfirmedAgeUs: ageToWire(syncer.freshness.age()),
 	}
 	if newest := syncer.log.snapshots.NewestComplete(); !newest.IsZero() {
 		response.SnapshotTimeUs = newest.UnixMicro()
 	}
-	bridged := syncer.tail.bridges(request.GetVersion())
-	if request.GetVersion() < response.Version && bridged {
-		response.Patches = syncer.tail.after(request.GetVersion(), maxPatchBytes)
+	covered := syncer.history.covers(request.GetVersion())
+	if request.GetVersion() < response.Version && covered {
+		response.Patches = syncer.history.patchesAfter(request.GetVersion(), maxResponsePatchBytes)
 	}
 	behind := request.GetVersion() > response.Version
 	if behind {
-		syncer.peers.want(request.GetVersion())
+		syncer.peers.observe(request.GetVersion())
 	}
 	syncer.mutex.Unlock()
 
 	if behind {
-		syncer.callBack(request.GetAddress())
+		syncer.syncWithCaller(request.GetAddress())
 	}
-	if request.GetVersion() >= response.Version || bridged {
+	if request.GetVersion() >= response.Version || covered {
 		return response, nil
 	}
-	chunk, err := syncer.chunk(request)
+	chunk, err := syncer.snapshotChunk(request)
 	if err != nil {
 		return nil, err
 	}
@@ -61,54 +63,57 @@
 	return response, nil
 }
 
-// callBack synchronises with a caller that has a newer version. Addresses that
-// are not listed are not called.
-func (syncer *Syncer) callBack(address string) {
+// syncWithCaller requests a call to a caller that has a newer version. A caller
+// whose address is not on the instance list is not called; random peers are
+// called instead.
+func (syncer *Syncer) syncWithCaller(address string) {
 	if address != "" && slices.Contains(syncer.config.Peers(), address) {
-		syncer.kick(address)
+		syncer.requestSync(address)
 		return
 	}
-	syncer.kick("")
+	syncer.requestSync("")
 }
 
-// chunk returns the chunk of a snapshot that a caller wants.
-func (syncer *Syncer) chunk(request *wirepb.SyncRequest) (replay.Chunk, error) {
-	serving := &syncer.serving
-	serving.mutex.Lock()
-	defer serving.mutex.Unlock()
+// snapshotChunk returns the chunk that a caller asks for. A caller that is not
+// fetching the cached snapshot gets the first chunk of that snapshot, or of a
+// newly encoded one if a peer could not catch up from the cached one.
+func (syncer *Syncer) snapshotChunk(request *wirepb.SyncRequest) (replay.Chunk, error) {
+	cache := &syncer.snapshotCache
+	cache.mutex.Lock()
+	defer cache.mutex.Unlock()
 	index := 0
-	if len(serving.chunks) > 0 && serving.chunks[0].Version == request.GetSnapshotVersion() {
+	if len(cache.chunks) > 0 && cache.chunks[0].Version == request.GetSnapshotVersion() {
 		index = int(request.GetSnapshotIndex())
-	} else if !syncer.servable(serving.chunks) {
-		chunks, err := syncer.encode()
+	} else if !syncer.canServe(cache.chunks) {
+		chunks, err := syncer.encodeSnapshot()
 		if err != nil {
 			return replay.Chunk{}, err
 		}
-		serving.chunks = chunks
+		cache.chunks = chunks
 	}
-	if index >= len(serving.chunks) {
+	if index >= len(cache.chunks) {
 		return replay.Chunk{}, Class.New("snapshot chunk %d of version %d does not exist", index, request.GetSnapshotVersion())
 	}
-	serving.used = time.Now()
-	return serving.chunks[index], nil
+	cache.lastUsed = time.Now()
+	return cache.chunks[index], nil
 }
 
-// servable reports whether the patches after an encoded snapshot are all held,
-// so that a peer can continue from it.
-func (syncer *Syncer) servable(chunks []replay.Chunk) bool {
+// canServe reports whether all patches after the version of an encoded snapshot
+// are held, so that a peer that installs it can catch up by patches.
+func (syncer *Syncer) canServe(chunks []replay.Chunk) bool {
 	if len(chunks) == 0 {
 		return false
 	}
 	syncer.mutex.Lock()
 	defer syncer.mutex.Unlock()
 	version := chunks[0].Version
-	return version == syncer.fold.Config().Version() || syncer.tail.bridges(version)
+	return version == syncer.replayer.Config().Version() || syncer.history.covers(version)
 }
 
-// encode returns the current state as snapshot chunks.
-func (syncer *Syncer) encode() ([]replay.Chunk, error) {
+// encodeSnapshot encodes the current state and splits it into chunks.
+func (syncer *Syncer) encodeSnapshot() ([]replay.Chunk, error) {
 	syncer.mutex.Lock()
-	state, next := syncer.fold.State(), syncer.fold.NextOffset()
+	state, next := syncer.replayer.State(), syncer.replayer.NextOffset()
 	syncer.mutex.Unlock()
 	encoded, err := codec.EncodeState(state)
 	if err != nil {
@@ -117,11 +122,12 @@
 	return replay.Split(state.Config.Version(), next, encoded), nil
 }
 
-// forget drops an encoded snapshot that no peer has asked for lately.
-func (serving *serving) forget() {
-	serving.mutex.Lock()
-	defer serving.mutex.Unlock()
-	if time.Since(serving.used) > servingTime {
-		serving.chunks = nil
+// dropIfIdle drops the encoded snapshot if no peer has asked for a chunk within
+// snapshotCacheTTL.
+func (cache *snapshotCache) dropIfIdle() {
+	cache.mutex.Lock()
+	defer cache.mutex.Unlock()
+	if time.Since(cache.lastUsed) > snapshotCacheTTL {
+		cache.chunks = nil
 	}
 }
--- a/internal/daemon/syncer/snapshot.go
+++ b/internal/daemon/syncer/snapshot.go
@@ -12,18 +12,20 @@
 )
 
 const (
-	// snapshotShare is the part of the retention after which a snapshot is
-	// renewed; spreadShare is the part over which instances spread the renewal.
-	// Both together leave more than half of the retention for log outages.
-	snapshotShare = 4
-	spreadShare   = 16
-	// checkShare is the part of the retention between checks.
-	checkShare = 256
+	// A snapshot is renewed when 1/snapshotRenewalDivisor of the log's retention
+	// has passed. The instances spread the renewal over another
+	// 1/snapshotSpreadDivisor of the retention, so that more than half of it
+	// remains to outlast an outage of the log.
+	snapshotRenewalDivisor = 4
+	snapshotSpreadDivisor  = 16
+	// 1/snapshotCheckDivisor of the retention passes between two checks whether a
+	// snapshot is due.
+	snapshotCheckDivisor = 256
 )
 
-// keepSnapshots renews the snapshot on the log until the context ends.
-func (syncer *Syncer) keepSnapshots(ctx context.Context) error {
-	interval := min(max(syncer.config.Retention/checkShare, time.Millisecond), servingTime)
+// renewSnapshots renews the snapshot on the log until the context ends.
+func (syncer *Syncer) renewSnapshots(ctx context.Context) error {
+	interval := min(max(syncer.config.Retention/snapshotCheckDivisor, time.Millisecond), snapshotCacheTTL)
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -32,7 +34,7 @@
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		syncer.serving.forget()
+		syncer.snapshotCache.dropIfIdle()
 		due, ok := syncer.snapshotDue()
 		if !ok {
 			continue
@@ -44,34 +46,35 @@
 	}
 }
 
-// snapshotDue reports whether this instance should write a snapshot now, and
-// since when one is due.
+// snapshotDue reports whether this instance must write a snapshot now, and the
+// time since which one is due.
 func (syncer *Syncer) snapshotDue() (time.Time, bool) {
 	syncer.mutex.Lock()
 	defer syncer.mutex.Unlock()
-	version := syncer.fold.Config().Version()
-	if version == 0 || syncer.gapped() || !syncer.log.reached {
+	version := syncer.replayer.Config().Version()
+	if version == 0 || syncer.hasGap() || !syncer.log.reached {
 		return time.Time{}, false
 	}
 	newest := syncer.log.snapshots.NewestComplete()
 	if newest.IsZero() {
-		// The log may hold one that this process has not seen.
+		// The log may hold a snapshot that this process has not seen.
 		newest = syncer.started
 	}
-	due := newest.Add(syncer.config.Retention / snapshotShare)
+	due := newest.Add(syncer.config.Retention / snapshotRenewalDivisor)
 	return due, time.Since(due) >= syncer.snapshotDelay(version)
 }
 
-// snapshotDelay spreads the instances, so that usually one of them writes.
+// snapshotDelay returns how long this instance waits once a snapshot is due. The
+// delays differ between instances, so that usually only one of them writes it.
 func (syncer *Syncer) snapshotDelay(version uint64) time.Duration {
-	spread := uint64(syncer.config.Retention/spreadShare) + 1
+	spread := uint64(syncer.config.Retention/snapshotSpreadDivisor) + 1
 	return time.Duration(xxh3.HashStringSeed(syncer.config.Instance, version) % spread)
 }
 
-// writeSnapshot appends the chunks that nobody has appended since a snapshot
-// is due.
+// writeSnapshot appends the chunks that no instance has appended since the
+// snapshot became due.
 func (syncer *Syncer) writeSnapshot(ctx context.Context, due time.Time) error {
-	chunks, err := syncer.encode()
+	chunks, err := syncer.encodeSnapshot()
 	if err != nil {
 		return err
 	}
@@ -93,8 +96,8 @@
 	return nil
 }
 
-// snapshotWritten reports whether a chunk or a newer complete snapshot is on
-// the log already.
+// snapshotWritten reports whether the chunk or a complete snapshot was appended
+// to the log since a snapshot became due.
 func (syncer *Syncer) snapshotWritten(chunk replay.Chunk, due time.Time) bool {
 	syncer.mutex.Lock()
 	defer syncer.mutex.Unlock()
--- a/internal/daemon/syncer/syncer.go
+++ b/internal/daemon/syncer/syncer.go
@@ -1,5 +1,6 @@
-// Package syncer keeps a process's configuration current from the platform's
-// log and from peers, writes snapshots and publishes patches.
+// Package syncer keeps the configuration of a process up to date. It applies
+// the records of the platform's configuration log, exchanges versions with
+// peers, writes snapshots to the log and publishes the patches of operators.
 package syncer
 
 import (
@@ -19,7 +20,7 @@
 	"jacinthfront.dev/jacinthfront/internal/state/replay"
 )
 
-// Stream is the log stream of the configuration.
+// Stream is the name of the log stream that holds the configuration.
 const Stream = "config"
 
 // Record is one entry of a log stream.
@@ -29,66 +30,77 @@
 	Data   []byte
 }
 
-// Page is a part of a log stream. First is the oldest offset that the log still
-// holds, Next the offset that the next record will get.
+// Page holds consecutive records of a log stream.
 type Page struct {
-	Records     []Record
+	Records []Record
+	// FirstOffset is the oldest offset that the log still holds.
 	FirstOffset uint64
-	NextOffset  uint64
+	// NextOffset is the offset that the next appended record will get.
+	NextOffset uint64
 }
 
-// LogClient is the platform's log service.
+// LogClient appends to and reads from the platform's log service.
 type LogClient interface {
+	// Append returns the offset of the record.
 	Append(ctx context.Context, stream string, record []byte) (offset uint64, err error)
+	// Read returns records from an offset on. It waits for the first one, and
+	// returns a page without records if none is appended within wait.
 	Read(ctx context.Context, stream string, from uint64, wait time.Duration) (Page, error)
 }
 
-// PeerConn is a connection to a peer for one call.
+// PeerConn is a connection to a peer, used for one call.
 type PeerConn interface {
 	drpc.Conn
+	// Release ends the use of the connection, which the pool may reuse.
 	Release()
 }
 
-// Config configures a Syncer. Zero durations and sizes stand for the defaults.
+// Config configures a Syncer. Zero durations and sizes mean the defaults.
 type Config struct {
 	// Instance is the id of this process.
 	Instance string
-	// Address is where this process serves Sync; empty when it serves none.
+	// Address is the address at which this process serves Sync calls, or empty
+	// if it serves none.
 	Address string
 	Log     LogClient
-	// Peers returns the addresses of the listed instances without this one.
-	Peers  func() []string
+	// Peers returns the addresses of all other instances on the instance list.
+	// Nil means that there are none.
+	Peers func() []string
+	// Dial connects to a peer. Nil means that no peer is called.
 	Dial   func(ctx context.Context, address string) (PeerConn, error)
 	Logger *zap.Logger
-	// Seed makes the choice of peers and jitter repeatable; 0 takes a random one.
+	// Seed makes the choice of peers and the jitter repeatable. Zero means a
+	// random seed.
 	Seed uint64
 
-	// PollWait is how long the log may hold a read.
-	PollWait time.Duration
-	// LogTimeout bounds a call to the log beyond PollWait.
+	// LongPoll is how long a read of the log waits for a new record.
+	LongPoll time.Duration
+	// LogTimeout bounds a call to the log, in addition to LongPoll for reads.
 	LogTimeout time.Duration
-	// RetryMax bounds the delay between calls to a log that fails.
-	RetryMax time.Duration
-	// SyncInterval is the time between calls to a random peer.
+	// MaxBackoff bounds the delay before the next read of a log that fails.
+	MaxBackoff time.Duration
+	// SyncInterval is the time between two regular calls, each to a random peer.
 	SyncInterval time.Duration
 	// SyncTimeout bounds one call to a peer.
 	SyncTimeout time.Duration
-	// PushFanout is how many peers are told of a new version at once.
+	// PushFanout is how many peers are called at once after a new version.
 	PushFanout int
-	// IsolationLimit is the age without confirmation after which a process that
-	// too few peers answer counts as isolated.
+	// IsolationLimit is the confirmed age above which a process counts as
+	// isolated if fewer than half of the peers that it called answer.
 	IsolationLimit time.Duration
 	// Retention is how long the log keeps records.
 	Retention time.Duration
-	// TailBytes bounds the accepted patches that are kept for peers.
-	TailBytes int
-	// MaxBehind is how many records the reader of the log may lie behind what
-	// peers made known. Results of void patches among skipped records are lost.
-	MaxBehind uint64
+	// MaxHistoryBytes bounds the accepted patches that are kept for peers.
+	MaxHistoryBytes int
+	// MaxLogLag is how many records the reading of the log may lag behind the
+	// offset that was learnt from peers. Beyond it the records in between are
+	// skipped, and the results of rejected patches among them stay unknown.
+	MaxLogLag uint64
 }
 
-// withDefaults fills unset fields. RetryMax and SyncInterval keep a change
-// within 2 s for processes that reach the log and 4 s for those that do not.
+// withDefaults sets the defaults of unset fields. With the defaults of
+// MaxBackoff and SyncInterval a change reaches processes with a connection to
+// the log within 2 s, and all others within 4 s.
 func (config Config) withDefaults() (Config, error) {
 	if config.Instance == "" {
 		return config, fault.New(fault.Invalid, fault.NotRun, "the syncer has no instance id; set instance")
@@ -105,27 +117,29 @@
 	if config.Seed == 0 {
 		config.Seed = rand.Uint64()
 	}
-	fill(&config.PollWait, 5*time.Second)
-	fill(&config.LogTimeout, 2*time.Second)
-	fill(&config.RetryMax, time.Second)
-	fill(&config.SyncInterval, time.Second)
-	fill(&config.SyncTimeout, time.Second)
-	fill(&config.PushFanout, 3)
-	fill(&config.IsolationLimit, 30*time.Second)
-	fill(&config.Retention, 24*time.Hour)
-	fill(&config.TailBytes, 1<<20)
-	fill(&config.MaxBehind, 1024)
+	setDefault(&config.LongPoll, 5*time.Second)
+	setDefault(&config.LogTimeout, 2*time.Second)
+	setDefault(&config.MaxBackoff, time.Second)
+	setDefault(&config.SyncInterval, time.Second)
+	setDefault(&config.SyncTimeout, time.Second)
+	setDefault(&config.PushFanout, 3)
+	setDefault(&config.IsolationLimit, 30*time.Second)
+	setDefault(&config.Retention, 24*time.Hour)
+	setDefault(&config.MaxHistoryBytes, 1<<20)
+	setDefault(&config.MaxLogLag, 1024)
 	return config, nil
 }
 
-func fill[T comparable](field *T, value T) {
+// setDefault sets a field that has its zero value.
+func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
 		*field = value
 	}
 }
 
-// Syncer keeps the configuration current.
+// Syncer keeps the configuration of a process up to date. It is safe for
+// concurrent use.
 type Syncer struct {
 	config  Config
 	metrics *expvar.Map
@@ -133,52 +147,58 @@
 
 	current atomic.Pointer[conf.Config]
 
-	mutex   sync.Mutex
-	changed chan struct{}
-	random  *rand.Rand
-	fold    *replay.Replayer
-	tail    tail
-	log     logState
-	fresh   freshness
-	peers   peerList
-	serving serving
-	kicks   chan string
+	// mutex guards the fields from here on, except for snapshotCache and
+	// syncRequests.
+	mutex sync.Mutex
+	// changed is closed and replaced by each change that Changed reports.
+	changed       chan struct{}
+	random        *rand.Rand
+	replayer      *replay.Replayer
+	history       patchHistory
+	log           logState
+	freshness     freshness
+	peers         peerList
+	snapshotCache snapshotCache
+	// syncRequests holds the addresses of peers to call. An empty one stands for
+	// random peers.
+	syncRequests chan string
 }
 
-// New returns a Syncer that has not read anything yet.
+// New returns a Syncer at version 0, which reads nothing until Run is called.
 func New(config Config) (*Syncer, error) {
 	config, err := config.withDefaults()
 	if err != nil {
 		return nil, err
 	}
 	syncer := &Syncer{
-		config:  config,
-		metrics: new(expvar.Map).Init(),
-		started: time.Now(),
-		changed: make(chan struct{}),
-		random:  rand.New(rand.NewPCG(config.Seed, 0)),
-		fold:    replay.New(),
-		tail:    tail{limit: config.TailBytes},
-		kicks:   make(chan string, 16),
+		config:       config,
+		metrics:      new(expvar.Map).Init(),
+		started:      time.Now(),
+		changed:      make(chan struct{}),
+		random:       rand.New(rand.NewPCG(config.Seed, 0)),
+		replayer:     replay.New(),
+		history:      patchHistory{maxBytes: config.MaxHistoryBytes},
+		syncRequests: make(chan string, 16),
 	}
-	syncer.current.Store(syncer.fold.Config())
+	syncer.current.Store(syncer.replayer.Config())
 	return syncer, nil
 }
 
-// Run keeps the configuration current until the context ends.
+// Run reads the log, calls peers and writes snapshots until the context ends.
+// It returns the context's error.
 func (syncer *Syncer) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return syncer.followLog(ctx) })
-	group.Go(func() error { return syncer.followPeers(ctx) })
-	group.Go(func() error { return syncer.keepSnapshots(ctx) })
+	group.Go(func() error { return syncer.readLog(ctx) })
+	group.Go(func() error { return syncer.pollPeers(ctx) })
+	group.Go(func() error { return syncer.renewSnapshots(ctx) })
 	return group.Wait()
 }
 
-// Current returns the newest configuration. It never goes back.
+// Current returns the newest known configuration. Its version never decreases.
 func (syncer *Syncer) Current() *conf.Config { return syncer.current.Load() }
 
-// Changed returns a channel that is closed at the next change of Current or of
-// a patch's result. Ask for a new one after each change.
+// Changed returns a channel that is closed when Current changes or a patch gets
+// a result. Call Changed again after each change.
 func (syncer *Syncer) Changed() <-chan struct{} {
 	syncer.mutex.Lock()
 	defer syncer.mutex.Unlock()
@@ -188,19 +208,21 @@
 // Metrics returns the syncer's counters.
 func (syncer *Syncer) Metrics() *expvar.Map { return syncer.metrics }
 
-// notify publishes the fold's version and wakes the waiters. The mutex is held.
+// notify makes the replayer's version the current one and wakes those that wait
+// on Changed. After a new version it calls peers. The mutex is held.
 func (syncer *Syncer) notify() {
-	before := syncer.current.Swap(syncer.fold.Config())
-	if before.Version() != syncer.fold.Config().Version() {
+	before := syncer.current.Swap(syncer.replayer.Config())
+	if before.Version() != syncer.replayer.Config().Version() {
 		syncer.metrics.Add("version-changes", 1)
-		syncer.kick("")
+		syncer.requestSync("")
 	}
 	close(syncer.changed)
 	syncer.changed = make(chan struct{})
 }
 
-// pause waits for a jittered delay and reports false when the context ends.
-func (syncer *Syncer) pause(ctx context.Context, delay time.Duration) bool {
+// sleepJittered waits for a random time between half of the delay and the whole
+// delay. It reports false if the context ends first.
+func (syncer *Syncer) sleepJittered(ctx context.Context, delay time.Duration) bool {
 	syncer.mutex.Lock()
 	delay = delay/2 + time.Duration(syncer.random.Int64N(int64(delay/2)+1))
 	syncer.mutex.Unlock()
--- a/internal/daemon/syncer/syncer_test.go
+++ b/internal/daemon/syncer/syncer_test.go
@@ -23,34 +23,37 @@
 	}}
 }
 
-func (world *world) publish(member *member, record patch.Patch) Report {
-	world.t.Helper()
-	report, err := member.Publish(world.t.Context(), record)
+// publish publishes a patch and fails the test on an error.
+func (cluster *cluster) publish(member *member, record patch.Patch) Report {
+	cluster.t.Helper()
+	report, err := member.Publish(cluster.t.Context(), record)
 	if err != nil {
-		world.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
 	return report
 }
 
-func (world *world) versions() []uint64 {
+func (cluster *cluster) versions() []uint64 {
 	var list []uint64
-	for _, member := range world.members {
+	for _, member := range cluster.members {
 		list = append(list, member.Current().Version())
 	}
 	return list
 }
 
-func (world *world) expect(want ...uint64) {
-	world.t.Helper()
+// expectVersions fails the test unless the members have these versions.
+func (cluster *cluster) expectVersions(want ...uint64) {
+	cluster.t.Helper()
 	synctest.Wait()
-	if diff := cmp.Diff(want, world.versions()); diff != "" {
-		world.t.Fatalf("versions differ (-want +got):\n%s", diff)
+	if diff := cmp.Diff(want, cluster.versions()); diff != "" {
+		cluster.t.Fatalf("versions differ (-want +got):\n%s", diff)
 	}
 }
 
-func (world *world) chunks() int {
+// countChunks returns the number of snapshot chunks on the log.
+func (cluster *cluster) countChunks() int {
 	count := 0
-	for _, record := range world.log.all() {
+	for _, record := range cluster.log.allRecords() {
 		if entry, err := codec.DecodeRecord(record.Data); err == nil && entry.Chunk != nil {
 			count++
 		}
@@ -58,65 +61,65 @@
 	return count
 }
 
-// Guards against every instance writing each snapshot, and against none being
-// written in time while patches keep coming.
+// TestSnapshotsAreWrittenOnce guards against each snapshot being written by every
+// instance, and against late or missing snapshots during a stream of patches.
 func TestSnapshotsAreWrittenOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		world := newWorld(t, 1, time.Minute, 6, nil)
-		defer world.stop()
+		cluster := newCluster(t, 1, time.Minute, 6, nil)
+		defer cluster.stop()
 		random := rand.New(rand.NewPCG(1, 2))
 		version := uint64(0)
 		for count := range 600 {
 			time.Sleep(time.Second)
-			report := world.publish(world.members[0], change(random, fmt.Sprint("patch-", count), version))
+			report := cluster.publish(cluster.members[0], randomPatch(random, fmt.Sprint("patch-", count), version))
 			if report.Kind == patch.Accepted {
 				version = report.Version
 			}
 		}
-		t.Logf("%d snapshots", world.chunks())
-		if got := world.chunks(); got < 34 || got > 80 {
+		t.Logf("%d snapshots", cluster.countChunks())
+		if got := cluster.countChunks(); got < 34 || got > 80 {
 			t.Errorf("got %d snapshots in 10 min with a renewal every 15 s, want 34 to 80", got)
 		}
 	})
 }
 
-// Guards against a process that starts with an old or no configuration although
-// the log or a peer has the newest one.
+// TestFreshProcess guards against a process that starts without the newest
+// configuration although the log or a peer has it.
 func TestFreshProcess(t *testing.T) {
 	tests := []struct {
-		name      string
-		tailBytes int
-		log       bool
-		peers     bool
+		name         string
+		historyBytes int
+		log          bool
+		peers        bool
 	}{
-		{name: "from the log alone, records expired", tailBytes: 1 << 20, log: true},
-		{name: "from peers by patches", tailBytes: 1 << 20, peers: true},
-		{name: "from peers by snapshot", tailBytes: 1, peers: true},
+		{name: "from the log alone, records expired", historyBytes: 1 << 20, log: true},
+		{name: "from peers by patches", historyBytes: 1 << 20, peers: true},
+		{name: "from peers by snapshot", historyBytes: 1, peers: true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				world := newWorld(t, 1, time.Minute, 2, func(config *Config) { config.TailBytes = test.tailBytes })
-				defer world.stop()
+				cluster := newCluster(t, 1, time.Minute, 2, func(config *Config) { config.MaxHistoryBytes = test.historyBytes })
+				defer cluster.stop()
 				time.Sleep(time.Second)
 				for version := range uint64(20) {
-					world.publish(world.members[0], putUpstream(fmt.Sprint("up-", version), version))
+					cluster.publish(cluster.members[0], putUpstream(fmt.Sprint("up-", version), version))
 				}
-				world.expect(20, 20)
+				cluster.expectVersions(20, 20)
 				time.Sleep(2 * time.Minute)
-				fresh := world.members[1]
-				fresh.stop()
-				for _, member := range world.members {
-					member.link.set(test.log, false)
+				restarted := cluster.members[1]
+				restarted.stop()
+				for _, member := range cluster.members {
+					member.link.setUp(test.log, false)
 				}
-				world.network.set(fresh.name, !test.peers)
-				world.start(fresh)
+				cluster.network.setCut(restarted.name, !test.peers)
+				cluster.start(restarted)
 				time.Sleep(peerBound)
-				world.expect(20, 20)
-				if got := len(fresh.Current().Upstreams()); got != 20 {
+				cluster.expectVersions(20, 20)
+				if got := len(restarted.Current().Upstreams()); got != 20 {
 					t.Errorf("got %d upstreams, want 20", got)
 				}
-				if result := fresh.Result("up-3"); result.Kind != patch.Accepted || result.Version != 4 {
+				if result := restarted.Result("up-3"); result.Kind != patch.Accepted || result.Version != 4 {
 					t.Errorf("got %v, want patch up-3 accepted as version 4", result)
 				}
 			})
@@ -124,8 +127,9 @@
 	}
 }
 
-// Guards against a process that serves keyed work although a withdrawal cannot
-// reach it, and against one that refuses it in a mere log outage.
+// TestIsolated guards against a process that accepts keys although the withdrawal
+// of a key cannot reach it, and against one that refuses keys during an outage of
+// the log alone.
 func TestIsolated(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -145,84 +149,86 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				world := newWorld(t, 1, time.Hour, 5, nil)
-				defer world.stop()
+				cluster := newCluster(t, 1, time.Hour, 5, nil)
+				defer cluster.stop()
 				time.Sleep(20 * time.Second)
-				for index, member := range world.members {
-					member.link.set(test.log, false)
-					world.network.set(member.name, index > 0 && index <= test.peersCut)
+				for index, member := range cluster.members {
+					member.link.setUp(test.log, false)
+					cluster.network.setCut(member.name, index > 0 && index <= test.peersCut)
 				}
 				time.Sleep(test.wait)
-				if got := world.members[0].Isolated(); got != test.want {
-					t.Errorf("got isolated %v after an age of %v, want %v", got, world.members[0].ConfirmedAge(), test.want)
+				if got := cluster.members[0].Isolated(); got != test.want {
+					t.Errorf("got isolated %v after an age of %v, want %v", got, cluster.members[0].ConfirmedAge(), test.want)
 				}
 			})
 		})
 	}
 }
 
-// Guards against an age that is smaller than the time since the log was read,
-// and against one that does not pass along a chain of peers.
+// TestConfirmedAge guards against a confirmed age that is smaller than the time
+// since the log was last read, and against one that is not passed on along a chain
+// of peers.
 func TestConfirmedAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		world := newWorld(t, 1, time.Hour, 3, nil)
-		defer world.stop()
-		world.members[1].link.set(false, false)
-		world.members[2].link.set(false, false)
-		// The third process reaches the log through the second alone.
+		cluster := newCluster(t, 1, time.Hour, 3, nil)
+		defer cluster.stop()
+		cluster.members[1].link.setUp(false, false)
+		cluster.members[2].link.setUp(false, false)
+		// The third process is connected to the log through the second one only.
 		cut := func(index int, peers ...string) {
-			world.members[index].stop()
-			world.change = func(config *Config) { config.Peers = func() []string { return peers } }
-			world.start(world.members[index])
+			cluster.members[index].stop()
+			cluster.configure = func(config *Config) { config.Peers = func() []string { return peers } }
+			cluster.start(cluster.members[index])
 		}
 		cut(2, "instance-1")
 		time.Sleep(time.Minute)
 		const chain = 12 * time.Second
-		for _, member := range world.members {
+		for _, member := range cluster.members {
 			if age := member.ConfirmedAge(); age > chain {
 				t.Errorf("%s has age %v, want at most %v", member.name, age, chain)
 			}
 		}
-		out := time.Now()
-		world.members[0].link.set(false, false)
+		outageStart := time.Now()
+		cluster.members[0].link.setUp(false, false)
 		time.Sleep(time.Minute)
-		for _, member := range world.members {
-			if age := member.ConfirmedAge(); age < time.Since(out) {
-				t.Errorf("%s has age %v, but the log was last read %v ago", member.name, age, time.Since(out))
+		for _, member := range cluster.members {
+			if age := member.ConfirmedAge(); age < time.Since(outageStart) {
+				t.Errorf("%s has age %v, but the log was last read %v ago", member.name, age, time.Since(outageStart))
 			}
 		}
 	})
 }
 
-// Guards against a process that waits for its next regular call although it was
-// told of a newer version.
-func TestHint(t *testing.T) {
+// TestObserveVersion guards against a process that waits for its next regular call
+// although it has observed a newer version.
+func TestObserveVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		world := newWorld(t, 1, time.Hour, 2, func(config *Config) {
+		cluster := newCluster(t, 1, time.Hour, 2, func(config *Config) {
 			config.SyncInterval = time.Hour
 			config.PushFanout = 1
 		})
-		defer world.stop()
-		world.members[1].link.set(false, false)
-		world.network.set("instance-1", true)
+		defer cluster.stop()
+		cluster.members[1].link.setUp(false, false)
+		cluster.network.setCut("instance-1", true)
 		time.Sleep(time.Second)
-		world.publish(world.members[0], putUpstream("up-1", 0))
+		cluster.publish(cluster.members[0], putUpstream("up-1", 0))
 		time.Sleep(time.Second)
-		world.expect(1, 0)
-		world.network.set("instance-1", false)
-		world.members[1].ObserveVersion(1)
+		cluster.expectVersions(1, 0)
+		cluster.network.setCut("instance-1", false)
+		cluster.members[1].ObserveVersion(1)
 		time.Sleep(100 * time.Millisecond)
-		world.expect(1, 1)
+		cluster.expectVersions(1, 1)
 	})
 }
 
-// Guards against reports that mislead operators: a wrong result, a conflict that
-// does not say what changed, or a patch appended by a process that is cut off.
+// TestPublish guards against misleading reports to operators: a wrong result, a
+// conflict without the list of changes, or a patch that is appended by a process
+// that does not reach the log.
 func TestPublish(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		world := newWorld(t, 1, time.Hour, 2, nil)
-		defer world.stop()
-		member := world.members[0]
+		cluster := newCluster(t, 1, time.Hour, 2, nil)
+		defer cluster.stop()
+		member := cluster.members[0]
 		time.Sleep(time.Second)
 		first := putUpstream("up-1", 0)
 		steps := []struct {
@@ -241,21 +247,21 @@
 			{name: "malformed", record: putUpstream("up@3", 1), kind: patch.Invalid, field: "ops[0].put-upstream.id", advice: "new id"},
 		}
 		for _, step := range steps {
-			report := world.publish(member, step.record)
+			report := cluster.publish(member, step.record)
 			got := []any{report.Kind, report.Field, report.Changes}
 			if diff := cmp.Diff([]any{step.kind, step.field, step.change}, got); diff != "" || !strings.Contains(report.Advice, step.advice) {
 				t.Errorf("%s: got %+v (-want +got):\n%s", step.name, report, diff)
 			}
 		}
-		world.expect(1, 1)
-		appended := len(world.log.all())
-		member.link.set(false, true)
-		if report := world.publish(member, putUpstream("up-4", 1)); report.Kind != patch.Unknown {
+		cluster.expectVersions(1, 1)
+		appended := len(cluster.log.allRecords())
+		member.link.setUp(false, true)
+		if report := cluster.publish(member, putUpstream("up-4", 1)); report.Kind != patch.Unknown {
 			t.Errorf("got %v while the log hangs, want unknown", report.Kind)
 		}
-		member.link.set(false, false)
+		member.link.setUp(false, false)
 		for _, wait := range []time.Duration{0, 90 * time.Second} {
-			world.members[1].link.set(wait == 0, false)
+			cluster.members[1].link.setUp(wait == 0, false)
 			time.Sleep(wait)
 			_, err := member.Publish(context.Background(), putUpstream("up-5", 1))
 			failure, ok := fault.As(err)
@@ -267,8 +273,8 @@
 				t.Errorf("got error %v after %v without the log, want %s", err, wait, want)
 			}
 		}
-		if got := len(world.log.all()); got != appended {
-			t.Errorf("%d records were appended through a log that is out", got-appended)
+		if got := len(cluster.log.allRecords()); got != appended {
+			t.Errorf("%d records were appended to a log that is not reachable", got-appended)
 		}
 	})
 }
