--- a/internal/daemon/start/components.go
+++ b/internal/daemon/start/components.go
@@ -21,8 +21,9 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// parts holds what both roles share.
-type parts struct {
+// components holds the components that entry instances and side processes have in
+// common.
+type components struct {
 	environment Environment
 	settings    setup.Process
 	logger      *zap.Logger
@@ -35,59 +36,63 @@
 	operators   net.Listener
 }
 
-func newParts(settings setup.Process, environment Environment) (*parts, error) {
-	parts := &parts{environment: environment.withDefaults(), settings: settings, logger: environment.Logger}
-	if err := parts.prepare(); err != nil {
+func newComponents(settings setup.Process, environment Environment) (*components, error) {
+	components := &components{environment: environment.withDefaults(), settings: settings, logger: environment.Logger}
+	if err := components.initLoggerAndPool(); err != nil {
 		return nil, err
 	}
-	if err := parts.listen(); err != nil {
+	if err := components.listen(); err != nil {
 		return nil, err
 	}
-	if err := parts.follow(); err != nil {
-		parts.close()
+	if err := components.initSyncer(); err != nil {
+		components.close()
 		return nil, err
 	}
-	return parts, nil
+	return components, nil
 }
 
-func (parts *parts) prepare() error {
+// initLoggerAndPool creates the logger and the pool of connections to other
+// instances.
+func (components *components) initLoggerAndPool() error {
 	var err error
-	if parts.logger == nil {
-		parts.logger, err = logs.NewLogger(logs.Config{
-			Level: parts.settings.Log.Level, Text: parts.settings.Log.Format == "text", Instance: parts.settings.Instance,
+	if components.logger == nil {
+		components.logger, err = logs.NewLogger(logs.Config{
+			Level: components.settings.Log.Level, Text: components.settings.Log.Format == "text", Instance: components.settings.Instance,
 		})
 		if err != nil {
 			return err
 		}
 	}
-	config := conns.Config{Dial: parts.environment.Dial}
-	if files := parts.settings.TLS; files.Enabled() {
-		parts.certs, err = conns.NewCertReloader(conns.CertFiles{Cert: files.CertFile, Key: files.KeyFile, CA: files.CAFile})
+	config := conns.Config{Dial: components.environment.Dial}
+	if files := components.settings.TLS; files.Enabled() {
+		components.certs, err = conns.NewCertReloader(conns.CertFiles{Cert: files.CertFile, Key: files.KeyFile, CA: files.CAFile})
 		if err != nil {
 			return err
 		}
-		config.TLS = parts.certs.ClientConfig
+		config.TLS = components.certs.ClientConfig
 	}
-	parts.pool = conns.New(config)
+	components.pool = conns.New(config)
 	return nil
 }
 
-func (parts *parts) listen() error {
+// listen opens the listeners for peers and operators.
+func (components *components) listen() error {
 	var err error
-	if parts.peers, err = parts.bind("listen.peers", parts.settings.Listen.Peers); err != nil {
+	if components.peers, err = components.bind("listen.peers", components.settings.Listen.Peers); err != nil {
 		return err
 	}
-	parts.operators, err = parts.bind("listen.operators", parts.settings.Listen.Operators)
+	components.operators, err = components.bind("listen.operators", components.settings.Listen.Operators)
 	if err != nil {
-		_ = parts.peers.Close()
+		_ = components.peers.Close()
 	}
 	return err
 }
 
-// bind opens a listener. The address of a side process also excludes a second
-// one for the same upstream, since the kernel frees it only when the process ends.
-func (parts *parts) bind(key, address string) (net.Listener, error) {
-	listener, err := parts.environment.Listen(address)
+// bind opens a listener. The address of a side process also excludes a second side
+// process for the same upstream at this address, since the kernel releases the
+// address only when the process ends.
+func (components *components) bind(key, address string) (net.Listener, error) {
+	listener, err := components.environment.Listen(address)
 	if err != nil {
 		return nil, fault.New(fault.Invalid, fault.NotRun,
 			"cannot listen on %s (%s): %v; end the process that holds the address or change the setting", address, key, err)
@@ -95,74 +100,79 @@
 	return listener, nil
 }
 
-func (parts *parts) follow() error {
-	parts.roster = roster.New(roster.Config{
-		URL: parts.settings.Platform.InstancesURL, HTTP: parts.environment.HTTP, Logger: parts.logger,
+// initSyncer creates the syncer and the clients of the instance list and the log.
+func (components *components) initSyncer() error {
+	components.roster = roster.New(roster.Config{
+		URL: components.settings.Platform.InstancesURL, HTTP: components.environment.HTTP, Logger: components.logger,
 	})
-	parts.log = logsvc.New(logsvc.Config{URL: parts.settings.Platform.LogURL, HTTP: parts.environment.HTTP})
+	components.log = logsvc.New(logsvc.Config{URL: components.settings.Platform.LogURL, HTTP: components.environment.HTTP})
 	var err error
-	parts.syncer, err = syncer.New(syncer.Config{
-		Instance:       parts.settings.Instance,
-		Address:        parts.settings.Listen.Peers,
-		Log:            SyncLog{Client: parts.log},
-		Peers:          parts.peerAddresses,
-		Dial:           parts.dialPeer,
-		Logger:         parts.logger,
-		IsolationLimit: parts.settings.IsolationLimit,
-		Retention:      parts.settings.LogRetention,
+	components.syncer, err = syncer.New(syncer.Config{
+		Instance:       components.settings.Instance,
+		Address:        components.settings.Listen.Peers,
+		Log:            SyncLog{Client: components.log},
+		Peers:          components.peerAddresses,
+		Dial:           components.dialPeer,
+		Logger:         components.logger,
+		IsolationLimit: components.settings.IsolationLimit,
+		Retention:      components.settings.LogRetention,
 	})
 	if err == nil {
-		metric.Map("config").Set(parts.settings.Instance, parts.syncer.Metrics())
+		metric.Map("config").Set(components.settings.Instance, components.syncer.Metrics())
 	}
 	return err
 }
 
-func (parts *parts) close() {
-	_ = parts.peers.Close()
-	_ = parts.operators.Close()
+// close closes the listeners.
+func (components *components) close() {
+	_ = components.peers.Close()
+	_ = components.operators.Close()
 }
 
-func (parts *parts) peerAddresses() []string {
+func (components *components) peerAddresses() []string {
 	var addresses []string
-	for _, instance := range parts.roster.Instances() {
-		if instance.ID != parts.settings.Instance && instance.Address != "" {
+	for _, instance := range components.roster.Instances() {
+		if instance.ID != components.settings.Instance && instance.Address != "" {
 			addresses = append(addresses, instance.Address)
 		}
 	}
 	return addresses
 }
 
-func (parts *parts) dialPeer(ctx context.Context, address string) (syncer.PeerConn, error) {
-	conn, err := parts.pool.Get(ctx, address)
+func (components *components) dialPeer(ctx context.Context, address string) (syncer.PeerConn, error) {
+	conn, err := components.pool.Get(ctx, address)
 	if err != nil {
 		return nil, err
 	}
 	return conn, nil
 }
 
-// run serves peers and follows log, peers and instance list until ctx ends.
-func (parts *parts) run(ctx context.Context, group *errgroup.Group, register conns.RegisterServices) {
-	group.Go(func() error { return ended(ctx, parts.roster.Run(ctx)) })
-	group.Go(func() error { return ended(ctx, parts.syncer.Run(ctx)) })
-	group.Go(func() error { return ended(ctx, conns.Serve(ctx, parts.peers, parts.serverTLS(), register)) })
+// run serves peers, and keeps the configuration and the instance list up to date,
+// until ctx ends.
+func (components *components) run(ctx context.Context, group *errgroup.Group, register conns.RegisterServices) {
+	group.Go(func() error { return ignoreCancel(ctx, components.roster.Run(ctx)) })
+	group.Go(func() error { return ignoreCancel(ctx, components.syncer.Run(ctx)) })
+	group.Go(func() error {
+		return ignoreCancel(ctx, conns.Serve(ctx, components.peers, components.serverTLS(), register))
+	})
 }
 
-func (parts *parts) serverTLS() *tls.Config {
-	if parts.certs == nil {
+func (components *components) serverTLS() *tls.Config {
+	if components.certs == nil {
 		return nil
 	}
-	return parts.certs.ServerConfig()
+	return components.certs.ServerConfig()
 }
 
-// ended drops the errors with which parts report the end of their context.
-func ended(ctx context.Context, err error) error {
+// ignoreCancel returns nil for an error that the end of a context has caused.
+func ignoreCancel(ctx context.Context, err error) error {
 	if ctx.Err() == nil && !errors.Is(err, context.Canceled) {
 		return err
 	}
 	return nil
 }
 
-// registerPeer adds the service that every process serves.
-func (parts *parts) registerPeer(mux drpc.Mux, status statusFunc) error {
-	return wirepb.DRPCRegisterPeer(mux, &peerServer{parts: parts, status: status})
+// registerPeer registers the Peer service, which every process serves.
+func (components *components) registerPeer(mux drpc.Mux, status statusFunc) error {
+	return wirepb.DRPCRegisterPeer(mux, &peerServer{components: components, status: status})
 }
--- a/internal/daemon/start/docs_test.go
+++ b/internal/daemon/start/docs_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// TestMetricsDocumented guards against metrics that operators find on no page.
+// TestMetricsDocumented guards against metrics that the operators' pages don't
+// explain.
 func TestMetricsDocumented(t *testing.T) {
 	var page []byte
 	for _, name := range []string{"OPERATING.md", "OPERATIONS.md"} {
@@ -34,7 +35,7 @@
 		}
 		for _, match := range counted.FindAllStringSubmatch(string(text), -1) {
 			if !strings.Contains(string(page), "`"+match[1]) {
-				// The platform's page names the part before the metric.
+				// One of the pages puts the component before the metric's name.
 				if !strings.Contains(string(page), "."+match[1]) {
 					t.Errorf("%s counts %q, which no page explains", file, match[1])
 				}
--- a/internal/daemon/start/entry.go
+++ b/internal/daemon/start/entry.go
@@ -21,27 +21,28 @@
 	"jacinthfront.dev/jacinthfront/internal/state/creds"
 )
 
-// Entry starts an entry instance.
+// Entry starts an entry instance. It returns an error if the settings are invalid
+// or a listener can't be opened.
 func Entry(settings setup.Entry, environment Environment) (*Process, error) {
-	parts, err := newParts(settings.Process, environment)
+	components, err := newComponents(settings.Process, environment)
 	if err != nil {
 		return nil, err
 	}
-	callers, err := parts.bind("listen.callers", settings.Listen.Callers)
+	callers, err := components.bind("listen.callers", settings.Listen.Callers)
 	if err != nil {
-		parts.close()
+		components.close()
 		return nil, err
 	}
-	built, err := newEntry(settings, parts)
+	instance, err := newEntry(settings, components)
 	if err != nil {
 		_ = callers.Close()
-		parts.close()
+		components.close()
 		return nil, err
 	}
-	return runEntry(parts, built, callers), nil
+	return runEntry(components, instance, callers), nil
 }
 
-func newEntry(settings setup.Entry, parts *parts) (*entry.Entry, error) {
+func newEntry(settings setup.Entry, components *components) (*entry.Entry, error) {
 	limits := entry.DefaultLimits()
 	limits.MaxBodyBytes = settings.Limits.BodyBytes
 	limits.MaxHeaderBytes = settings.Limits.HeaderBytes
@@ -50,45 +51,46 @@
 	limits.MaxInFlight = settings.Limits.InFlight
 	limits.RequestTimeout = settings.Limits.RequestLimit
 	limits.DrainTimeout = settings.Shutdown.DrainLimit
-	budget, err := retry.New(retry.Config{Seed: routeSeed(settings)})
+	budget, err := retry.New(retry.Config{Seed: routingSeed(settings)})
 	if err != nil {
 		return nil, err
 	}
 	return entry.New(entry.Config{
-		ConfigSource:   parts.syncer,
-		InstanceSource: entryRoster{parts},
+		ConfigSource:   components.syncer,
+		InstanceSource: instanceSource{components},
 		Authenticate: func(config *conf.Config, key string) (conf.KeySpec, error) {
 			return creds.Authenticate(config, key)
 		},
-		SideDialer:  sides{parts},
-		NewPolicy:   newPolicy(settings, parts),
+		SideDialer:  sideDialer{components},
+		NewPolicy:   newPolicy(settings, components),
 		NewHealth:   newHealth,
 		RetryBudget: budget,
 		Admission:   newAdmission(settings.Routing.Policy),
-		Logger:      parts.logger,
+		Logger:      components.logger,
 		Counters:    metric.Map("entry"),
 		Limits:      limits,
 	})
 }
 
-func runEntry(parts *parts, built *entry.Entry, callers net.Listener) *Process {
+func runEntry(components *components, instance *entry.Entry, callers net.Listener) *Process {
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
 	process := &Process{
-		parts: parts, serve: cancel, drain: built.Drain, ready: built.Ready, done: make(chan struct{}),
-		status: func() (string, any) { return roster.RoleEntry, entryStatus(built.Ready()) },
+		components: components, cancel: cancel, drain: instance.Drain, ready: instance.Ready, done: make(chan struct{}),
+		status: func() (string, any) { return roster.RoleEntry, newEntryDetail(instance.Ready()) },
 	}
-	parts.run(ctx, group, func(mux drpc.Mux) error {
-		return parts.registerPeer(mux, process.status)
+	components.run(ctx, group, func(mux drpc.Mux) error {
+		return components.registerPeer(mux, process.status)
 	})
-	group.Go(func() error { return ended(ctx, built.Serve(ctx, callers)) })
-	group.Go(func() error { return ended(ctx, parts.serveOperators(ctx, process)) })
-	process.watch(group)
+	group.Go(func() error { return ignoreCancel(ctx, instance.Serve(ctx, callers)) })
+	group.Go(func() error { return ignoreCancel(ctx, components.serveOperators(ctx, process)) })
+	process.closeWhenDone(group)
 	return process
 }
 
-// newPolicy returns the policy of each service by the settings.
-func newPolicy(settings setup.Entry, parts *parts) func(string, bool, policy.Health) policy.Policy {
+// newPolicy returns a function that creates the routing policy of a service as the
+// settings say.
+func newPolicy(settings setup.Entry, components *components) func(string, bool, policy.Health) policy.Policy {
 	return func(service string, _ bool, health policy.Health) policy.Policy {
 		if settings.Routing.Policy == "naive" {
 			return policy.NewRoundRobin(health)
@@ -97,48 +99,51 @@
 			Weights:       policy.Profiles[settings.Routing.Profile](),
 			FailureDomain: settings.FailureDomain,
 			Health:        health,
-			Seed:          routeSeed(settings) + xxh3.HashString(service),
+			Seed:          routingSeed(settings) + xxh3.HashString(service),
 		})
 		if err != nil {
-			// The profiles' weights are constants that pass every check.
-			parts.logger.Error("route: weights refused, routing in rotation", zap.Error(err))
+			// This can't happen: the weights of all profiles are valid constants.
+			components.logger.Error("route: invalid weights, falling back to round robin", zap.Error(err))
 			return policy.NewRoundRobin(health)
 		}
 		return router
 	}
 }
 
-func routeSeed(settings setup.Entry) uint64 {
+// routingSeed returns the seed of the settings, or a random one if they have none.
+func routingSeed(settings setup.Entry) uint64 {
 	if settings.Routing.Seed != 0 {
 		return settings.Routing.Seed
 	}
 	return rand.Uint64()
 }
 
-// entryDetail is the detail of an entry instance's status.
+// entryDetail holds the details of an entry instance's status.
 type entryDetail struct {
 	Ready bool `json:"ready"`
-	// Counters holds the entry instance's metrics, refusals by kind among them.
+	// Counters holds the metrics of the entry instance, including its refusals by
+	// kind.
 	Counters json.RawMessage `json:"counters"`
 }
 
-func entryStatus(ready bool) entryDetail {
+func newEntryDetail(ready bool) entryDetail {
 	return entryDetail{Ready: ready, Counters: json.RawMessage(metric.Map("entry").String())}
 }
 
-// entryRoster implements entry.Roster.
-type entryRoster struct{ parts *parts }
+// instanceSource implements entry.InstanceSource by the instance list.
+type instanceSource struct{ components *components }
 
 // SideProcess returns the side process of an upstream.
-func (list entryRoster) SideProcess(upstream string) (entry.Instance, bool) {
-	instance, ok := list.parts.roster.SideProcess(upstream)
+func (source instanceSource) SideProcess(upstream string) (entry.Instance, bool) {
+	instance, ok := source.components.roster.SideProcess(upstream)
 	return entry.Instance{Address: instance.Address, Draining: instance.Draining}, ok
 }
 
-// CountEntries returns the number of live entry instances.
-func (list entryRoster) CountEntries() int {
+// CountEntries returns the number of entry instances that aren't draining, and at
+// least 1.
+func (source instanceSource) CountEntries() int {
 	count := 0
-	for _, instance := range list.parts.roster.Instances() {
+	for _, instance := range source.components.roster.Instances() {
 		if instance.Role == roster.RoleEntry && !instance.Draining {
 			count++
 		}
@@ -146,12 +151,12 @@
 	return max(count, 1)
 }
 
-// sides implements entry.Sides.
-type sides struct{ parts *parts }
+// sideDialer implements entry.SideDialer by the connection pool.
+type sideDialer struct{ components *components }
 
 // Open returns a connection for calls to a side process.
-func (sides sides) Open(ctx context.Context, address string) (entry.Conn, error) {
-	conn, err := sides.parts.pool.Get(ctx, address)
+func (dialer sideDialer) Open(ctx context.Context, address string) (entry.Conn, error) {
+	conn, err := dialer.components.pool.Get(ctx, address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/daemon/start/health.go
+++ b/internal/daemon/start/health.go
@@ -9,13 +9,14 @@
 type serviceHealth struct{ *health.Tracker }
 
 func newHealth(string) entry.Health {
-	// The defaults pass every check.
-	service, _ := health.New(health.Config{})
-	return serviceHealth{service}
+	// The error is always nil: the defaults are valid.
+	tracker, _ := health.New(health.Config{})
+	return serviceHealth{tracker}
 }
 
-// Usable reports whether the upstream may get a request. One whose ejection is
-// over may get a probe; taking it ejects the upstream until the outcome.
+// Usable reports whether the upstream may get a request. An upstream whose ejection
+// is over may get one request as a probe, and stays ejected for others until the
+// probe's outcome is known.
 func (service serviceHealth) Usable(upstream string) bool {
 	return service.State(upstream) != health.Ejected
 }
--- a/internal/daemon/start/health_test.go
+++ b/internal/daemon/start/health_test.go
@@ -11,14 +11,14 @@
 	"jacinthfront.dev/jacinthfront/internal/flow/policy"
 )
 
-// TestProbes guards against an ejected upstream that gets more than one request
-// before its probe has succeeded, or none at all.
+// TestProbes guards against an ejected upstream that gets no probe, or more than
+// one request before its probe has succeeded.
 func TestProbes(t *testing.T) {
 	tests := []struct {
 		name   string
 		guards string
 		wait   time.Duration
-		// succeed says that the probe is answered.
+		// succeed makes the probe and all later requests succeed.
 		succeed bool
 		want    int
 	}{
@@ -29,24 +29,24 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				known := newHealth("advisor")
-				chooser := policy.NewRoundRobin(known)
-				known.SetUpstreams([]string{"a", "b"})
-				chooser.SetMembers([]policy.Member{{ID: "a"}, {ID: "b"}}, 1)
+				tracker := newHealth("advisor")
+				roundRobin := policy.NewRoundRobin(tracker)
+				tracker.SetUpstreams([]string{"a", "b"})
+				roundRobin.SetMembers([]policy.Member{{ID: "a"}, {ID: "b"}}, 1)
 				for range health.DefaultMaxFailures {
-					known.RecordFailure("a")
+					tracker.RecordFailure("a")
 				}
 				time.Sleep(test.wait)
 				sent := 0
 				for range 10 {
-					decision, ok := chooser.Choose(time.Now(), policy.Request{})
+					decision, ok := roundRobin.Choose(time.Now(), policy.Request{})
 					if !ok {
 						t.Fatal("no upstream chosen although b is healthy")
 					}
 					if decision.Upstream == "a" {
 						sent++
 						if test.succeed {
-							known.RecordSuccess("a")
+							tracker.RecordSuccess("a")
 						}
 					}
 				}
--- a/internal/daemon/start/limiter.go
+++ b/internal/daemon/start/limiter.go
@@ -14,51 +14,53 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// limiter implements side.Limiter and side.Permits with one wallet for each
-// organisation. The wallets draw from the shards at all side processes.
+// limiter implements side.Limiter, side.Estimator and side.Permits with one quota
+// client for each organisation. The clients draw tokens from the shards, which the
+// side processes host.
 type limiter struct {
-	parts    *parts
-	upstream string
-	// own is the side process that the limiter belongs to.
-	own *side.Server
+	components *components
+	upstreamID string
+	// server is the side process that the limiter belongs to.
+	server *side.Server
 
 	mu      sync.Mutex
-	wallets map[string]*walletEntry
+	clients map[string]*clientEntry
 }
 
-// walletEntry is a wallet with the limits that it was given last.
-type walletEntry struct {
-	wallet *quota.Client
-	limits limits
+// clientEntry is a quota client with the limits that were last set on it.
+type clientEntry struct {
+	client *quota.Client
+	limits quotaLimits
 }
 
-// limits is the configured quota of an organisation or of the load permits.
-type limits struct {
-	rate  conf.Tokens
+// quotaLimits is the configured quota of an organisation or of the load permits.
+type quotaLimits struct {
+	rate  conf.Tokens // tokens per second
 	burst conf.Tokens
-	hosts []string
+	hosts []string // id of the upstream whose side process hosts each shard; empty if none does
 }
 
-func newLimiter(parts *parts, upstream string) *limiter {
-	return &limiter{parts: parts, upstream: upstream, wallets: map[string]*walletEntry{}}
+func newLimiter(components *components, upstreamID string) *limiter {
+	return &limiter{components: components, upstreamID: upstreamID, clients: map[string]*clientEntry{}}
 }
 
-// Reserve waits for tokens of an organisation.
+// Reserve waits until it can reserve tokens of an organisation or ctx ends.
 func (limiter *limiter) Reserve(ctx context.Context, organisation string, tokens conf.Tokens) (side.Reservation, error) {
-	wallet, err := limiter.wallet(organisation)
+	client, err := limiter.client(organisation)
 	if err != nil {
 		return nil, err
 	}
-	taken, err := wallet.Reserve(ctx, tokens)
+	reserved, err := client.Reserve(ctx, tokens)
 	if err != nil {
 		return nil, err
 	}
-	return debit{wallet: wallet, taken: taken}, nil
+	return reservation{client: client, reserved: reserved}, nil
 }
 
-// Acquire takes the permit for one adapter load.
+// Acquire waits for the permit for one adapter load. Without shards for load
+// permits, loads are not limited.
 func (limiter *limiter) Acquire(ctx context.Context) error {
-	if len(limiter.parts.syncer.Current().Fleet().LoadShards) == 0 {
+	if len(limiter.components.syncer.Current().Fleet().LoadShards) == 0 {
 		return nil
 	}
 	for {
@@ -66,8 +68,8 @@
 		if err != nil {
 			return err
 		}
-		started := permit.Commit()
-		if started {
+		committed := permit.Commit()
+		if committed {
 			permit.Settle(side.PermitCost)
 			return nil
 		}
@@ -75,108 +77,117 @@
 	}
 }
 
-// EstimateWait returns how long a request of this cost would wait for tokens.
+// EstimateWait estimates how long a request that costs this many tokens would wait
+// for them.
 func (limiter *limiter) EstimateWait(organisation string, tokens conf.Tokens) time.Duration {
-	wallet, err := limiter.wallet(organisation)
+	client, err := limiter.client(organisation)
 	if err != nil {
 		return 0
 	}
-	return wallet.EstimateWait(tokens)
+	return client.EstimateWait(tokens)
 }
 
+// close closes all quota clients, which returns their unused tokens.
 func (limiter *limiter) close(ctx context.Context) {
 	limiter.mu.Lock()
-	entries := limiter.wallets
-	limiter.wallets = map[string]*walletEntry{}
+	entries := limiter.clients
+	limiter.clients = map[string]*clientEntry{}
 	limiter.mu.Unlock()
 	var closing sync.WaitGroup
 	for _, entry := range entries {
-		closing.Go(func() { entry.wallet.Close(ctx) })
+		closing.Go(func() { entry.client.Close(ctx) })
 	}
 	closing.Wait()
 }
 
-func (limiter *limiter) wallet(organisation string) (*quota.Client, error) {
+// client returns the quota client of an organisation with the current limits. It
+// replaces the client if the number of shards has changed.
+func (limiter *limiter) client(organisation string) (*quota.Client, error) {
 	limits, ok := limiter.limits(organisation)
 	if !ok {
 		return nil, fault.New(fault.Unauthenticated, fault.NotRun, "organisation %q is not configured; use a valid key", organisation)
 	}
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
-	found, ok := limiter.wallets[organisation]
-	if !ok || len(found.limits.hosts) != len(limits.hosts) {
-		found = &walletEntry{limits: limits, wallet: limiter.newWallet(organisation, limits)}
-		limiter.wallets[organisation] = found
-		return found.wallet, nil
+	entry, ok := limiter.clients[organisation]
+	if !ok || len(entry.limits.hosts) != len(limits.hosts) {
+		entry = &clientEntry{limits: limits, client: limiter.newClient(organisation, limits)}
+		limiter.clients[organisation] = entry
+		return entry.client, nil
 	}
-	if found.limits.rate != limits.rate || found.limits.burst != limits.burst {
-		found.wallet.Resize(limits.rate, limits.burst)
+	if entry.limits.rate != limits.rate || entry.limits.burst != limits.burst {
+		entry.client.Resize(limits.rate, limits.burst)
 	}
-	found.limits = limits
-	return found.wallet, nil
+	entry.limits = limits
+	return entry.client, nil
 }
 
-func (limiter *limiter) newWallet(organisation string, limits limits) *quota.Client {
-	var own []int
+func (limiter *limiter) newClient(organisation string, limits quotaLimits) *quota.Client {
+	var localShards []int
 	for index, host := range limits.hosts {
-		if host == limiter.upstream {
-			own = append(own, index)
+		if host == limiter.upstreamID {
+			localShards = append(localShards, index)
 		}
 	}
 	return quota.NewClient(quota.ClientConfig{
-		Transport:   shardSource{limiter: limiter, organisation: organisation},
+		Transport:   shardTransport{limiter: limiter, organisation: organisation},
 		ShardCount:  len(limits.hosts),
-		LocalShards: own,
+		LocalShards: localShards,
 		Rate:        limits.rate,
 		Burst:       limits.burst,
-		Seed:        xxh3.HashString(limiter.parts.settings.Instance + organisation),
+		Seed:        xxh3.HashString(limiter.components.settings.Instance + organisation),
 	})
 }
 
-func (limiter *limiter) limits(organisation string) (limits, bool) {
-	config := limiter.parts.syncer.Current()
+// limits returns the current limits of an organisation, or of the load permits for
+// side.LoadPermitOrganisation.
+func (limiter *limiter) limits(organisation string) (quotaLimits, bool) {
+	config := limiter.components.syncer.Current()
 	if organisation == side.LoadPermitOrganisation {
 		fleet := config.Fleet()
-		return limits{
+		return quotaLimits{
 			rate: conf.Tokens(fleet.LoadRateMilli), burst: conf.Tokens(fleet.LoadBurst) * side.PermitCost, hosts: fleet.LoadShards,
 		}, true
 	}
 	spec, ok := config.Organisation(organisation)
-	return limits{rate: spec.Rate, burst: spec.Burst, hosts: spec.Shards}, ok
+	return quotaLimits{rate: spec.Rate, burst: spec.Burst, hosts: spec.Shards}, ok
 }
 
-// debit implements side.Debit.
-type debit struct {
-	wallet *quota.Client
-	taken  quota.Reservation
+// reservation implements side.Reservation.
+type reservation struct {
+	client   *quota.Client
+	reserved quota.Reservation
 }
 
-// Commit counts the request as dispatched now.
-func (debit debit) Commit() bool { return debit.wallet.Commit(debit.taken) }
+// Commit counts the request as dispatched now. It reports false if the reserved
+// tokens have expired.
+func (reservation reservation) Commit() bool { return reservation.client.Commit(reservation.reserved) }
 
 // Settle returns the tokens that were not used.
-func (debit debit) Settle(used conf.Tokens) { debit.wallet.Settle(debit.taken, used) }
+func (reservation reservation) Settle(used conf.Tokens) {
+	reservation.client.Settle(reservation.reserved, used)
+}
 
-// shardSource implements quota.Source for one organisation.
-type shardSource struct {
+// shardTransport implements quota.Transport for one organisation.
+type shardTransport struct {
 	limiter      *limiter
 	organisation string
 }
 
-// Draw asks a shard for tokens.
-func (source shardSource) Draw(ctx context.Context, shard int, want, least conf.Tokens) (quota.Grant, error) {
+// Draw requests a grant of tokens from a shard.
+func (transport shardTransport) Draw(ctx context.Context, shard int, want, least conf.Tokens) (quota.Grant, error) {
 	request := &wirepb.DrawRequest{
-		Organisation:  source.organisation,
+		Organisation:  transport.organisation,
 		Shard:         uint32(shard),
 		Tokens:        int64(want),
 		Least:         int64(least),
-		ConfigVersion: source.limiter.parts.syncer.Current().Version(),
+		ConfigVersion: transport.limiter.components.syncer.Current().Version(),
 	}
-	response, err := call(ctx, source, shard, request, (*side.Server).Draw, wirepb.DRPCSideClient.Draw)
+	response, err := callShard(ctx, transport, shard, request, (*side.Server).Draw, wirepb.DRPCSideClient.Draw)
 	if err != nil {
 		return quota.Grant{}, err
 	}
-	source.limiter.parts.syncer.ObserveVersion(response.GetConfigVersion())
+	transport.limiter.components.syncer.ObserveVersion(response.GetConfigVersion())
 	return quota.Grant{
 		ID:          response.GetGrantId(),
 		Incarnation: response.GetIncarnation(),
@@ -187,44 +198,44 @@
 	}, nil
 }
 
-// Return gives tokens of a grant back.
-func (source shardSource) Return(ctx context.Context, shard int, refund quota.Refund) error {
+// Return returns unused tokens of a grant to their shard.
+func (transport shardTransport) Return(ctx context.Context, shard int, refund quota.Refund) error {
 	request := &wirepb.ReturnRequest{
-		Organisation: source.organisation,
+		Organisation: transport.organisation,
 		Shard:        uint32(shard),
 		GrantId:      refund.ID,
 		Incarnation:  refund.Incarnation,
 		Tokens:       int64(refund.Tokens),
 		Settled:      refund.Settled,
 	}
-	_, err := call(ctx, source, shard, request, (*side.Server).Return, wirepb.DRPCSideClient.Return)
+	_, err := callShard(ctx, transport, shard, request, (*side.Server).Return, wirepb.DRPCSideClient.Return)
 	return err
 }
 
-// call reaches the host of a shard, which may be this process.
-func call[Request, Response any](
-	ctx context.Context, source shardSource, shard int, request Request,
+// callShard calls the side process that hosts a shard, which may be this process.
+func callShard[Request, Response any](
+	ctx context.Context, transport shardTransport, shard int, request Request,
 	local func(*side.Server, context.Context, Request) (Response, error),
 	remote func(wirepb.DRPCSideClient, context.Context, Request) (Response, error),
 ) (Response, error) {
-	var none Response
-	limits, ok := source.limiter.limits(source.organisation)
+	var zero Response
+	limits, ok := transport.limiter.limits(transport.organisation)
 	if !ok || shard >= len(limits.hosts) || limits.hosts[shard] == "" {
-		return none, fault.New(fault.NoUpstream, fault.NotRun,
-			"shard %d of %q has no host; attest with ended = true that its former side process has ended", shard, source.organisation)
+		return zero, fault.New(fault.NoUpstream, fault.NotRun,
+			"shard %d of %q has no host; attest with ended = true that its former side process has ended", shard, transport.organisation)
 	}
 	host := limits.hosts[shard]
-	if host == source.limiter.upstream {
-		return local(source.limiter.own, ctx, request)
+	if host == transport.limiter.upstreamID {
+		return local(transport.limiter.server, ctx, request)
 	}
-	parts := source.limiter.parts
-	instance, ok := parts.roster.SideProcess(host)
+	components := transport.limiter.components
+	instance, ok := components.roster.SideProcess(host)
 	if !ok {
-		return none, fault.New(fault.NoUpstream, fault.NotRun, "the instance list has no side process for upstream %s; start it", host)
+		return zero, fault.New(fault.NoUpstream, fault.NotRun, "the instance list has no side process for upstream %s; start it", host)
 	}
-	conn, err := parts.pool.Get(ctx, instance.Address)
+	conn, err := components.pool.Get(ctx, instance.Address)
 	if err != nil {
-		return none, err
+		return zero, err
 	}
 	defer conn.Release()
 	return remote(wirepb.NewDRPCSideClient(conn), ctx, request)
--- a/internal/daemon/start/logclients.go
+++ b/internal/daemon/start/logclients.go
@@ -9,7 +9,7 @@
 	"jacinthfront.dev/jacinthfront/internal/link/logsvc"
 )
 
-// SyncLog is the log as the syncer uses it. It implements syncer.LogClient.
+// SyncLog implements syncer.LogClient by the client of the platform's log service.
 type SyncLog struct {
 	*logsvc.Client
 }
@@ -27,7 +27,8 @@
 	return result, nil
 }
 
-// claimLog is the log as a side process uses it for claims.
+// claimLog implements side.Log, on which a side process records claims, by the
+// client of the platform's log service.
 type claimLog struct {
 	*logsvc.Client
 }
--- a/internal/daemon/start/naive.go
+++ b/internal/daemon/start/naive.go
@@ -10,28 +10,33 @@
 	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// useNaive configures a side process for comparison: first come, first served,
-// eviction of the least recently used adapter, and no tokens of its own. Load
-// permits and the feedback from load times stay as they are.
-func useNaive(config *side.Config) {
+// useNaivePolicy configures a side process as the baseline of comparisons: first
+// come, first served, eviction of the least recently used adapter, and no quota.
+// Load permits stay, and so does the limit on concurrent loads, which follows the
+// load times.
+func useNaivePolicy(config *side.Config) {
 	config.FirstComeFirstServed = true
 	config.Limiter = nil
-	// Use counts that decay at once leave the last use to decide on evictions,
-	// and demands that are late at once leave their age to decide on loads.
+	// With use counts that decay at once, evictions depend on the last use alone.
+	// With demands that are overdue at once, loads depend on the demands' age alone.
 	config.Slots = slots.Config{HalfLife: time.Nanosecond, MaxLoadDeferral: time.Nanosecond}
 }
 
-// staticShares implements entry.Admission by static division.
-type staticShares struct{ *quota.StaticLimiter }
+// staticAdmission implements entry.Admission. Each entry instance admits an equal
+// fixed part of an organisation's rate.
+type staticAdmission struct{ *quota.StaticLimiter }
 
-// Admit takes tokens from this instance's part.
-func (shares staticShares) Admit(now time.Time, entries int, organisation conf.OrganisationSpec, tokens conf.Tokens) (time.Duration, bool) {
-	return shares.Take(now, entries, organisation, tokens)
+// Admit takes tokens from this instance's part of the organisation's rate, or
+// returns the time after which they are available.
+func (admission staticAdmission) Admit(now time.Time, entries int, organisation conf.OrganisationSpec, tokens conf.Tokens) (time.Duration, bool) {
+	return admission.Take(now, entries, organisation, tokens)
 }
 
+// newAdmission returns nil, which leaves the limits to the side processes, except
+// for the naive policy.
 func newAdmission(policy string) entry.Admission {
 	if policy == "naive" {
-		return staticShares{quota.NewStaticLimiter()}
+		return staticAdmission{quota.NewStaticLimiter()}
 	}
 	return nil
 }
--- a/internal/daemon/start/operators.go
+++ b/internal/daemon/start/operators.go
@@ -14,39 +14,41 @@
 )
 
 // serveOperators serves the operator interface until ctx ends.
-func (parts *parts) serveOperators(ctx context.Context, process *Process) error {
+func (components *components) serveOperators(ctx context.Context, process *Process) error {
 	operators, err := admin.New(admin.Config{
-		Instance:    parts.settings.Instance,
-		ConfigStore: parts.syncer,
+		Instance:    components.settings.Instance,
+		ConfigStore: components.syncer,
 		Process:     process,
-		FleetStatus: peerFleet{parts},
-		Logger:      parts.logger,
+		FleetStatus: peerStatus{components},
+		Logger:      components.logger,
 	})
 	if err != nil {
 		return err
 	}
-	return operators.Serve(ctx, parts.operators)
+	return operators.Serve(ctx, components.operators)
 }
 
 const (
-	// statusTime bounds the question to one instance.
-	statusTime = time.Second
-	// statusCalls bounds the instances asked at a time.
-	statusCalls = 32
+	// statusTimeout bounds the Status call to one instance.
+	statusTimeout = time.Second
+	// maxStatusCalls bounds the concurrent Status calls.
+	maxStatusCalls = 32
 )
 
-// peerFleet implements admin.Fleet by asking every listed instance.
-type peerFleet struct{ parts *parts }
+// peerStatus implements admin.FleetStatus by a Status call to every listed
+// instance.
+type peerStatus struct{ components *components }
 
-// Status returns the state of every listed instance.
-func (fleet peerFleet) Status(ctx context.Context) []admin.InstanceStatus {
-	instances := fleet.parts.roster.Instances()
+// Status returns the state of every listed instance, ordered by instance id. An
+// instance that can't be reached has Error set.
+func (peers peerStatus) Status(ctx context.Context) []admin.InstanceStatus {
+	instances := peers.components.roster.Instances()
 	list := make([]admin.InstanceStatus, len(instances))
 	var group errgroup.Group
-	group.SetLimit(statusCalls)
+	group.SetLimit(maxStatusCalls)
 	for index, instance := range instances {
 		group.Go(func() error {
-			list[index] = fleet.ask(ctx, instance)
+			list[index] = peers.instanceStatus(ctx, instance)
 			return nil
 		})
 	}
@@ -55,11 +57,12 @@
 	return list
 }
 
-func (fleet peerFleet) ask(ctx context.Context, instance roster.Instance) admin.InstanceStatus {
-	ctx, cancel := context.WithTimeout(ctx, statusTime)
+// instanceStatus returns the state of one instance.
+func (peers peerStatus) instanceStatus(ctx context.Context, instance roster.Instance) admin.InstanceStatus {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	status := admin.InstanceStatus{Instance: instance.ID, Role: instance.Role, Draining: instance.Draining}
-	conn, err := fleet.parts.pool.Get(ctx, instance.Address)
+	conn, err := peers.components.pool.Get(ctx, instance.Address)
 	if err != nil {
 		status.Error = err.Error()
 		return status
@@ -76,13 +79,14 @@
 	return status
 }
 
-// watch closes Done when all parts have ended.
-func (process *Process) watch(group *errgroup.Group) {
+// closeWhenDone waits in the background until all components have ended, then
+// closes the listeners and connections and the channel that Done returns.
+func (process *Process) closeWhenDone(group *errgroup.Group) {
 	go func() {
 		process.err = group.Wait()
-		process.serve()
-		process.parts.close()
-		_ = process.parts.pool.Close()
+		process.cancel()
+		process.components.close()
+		_ = process.components.pool.Close()
 		close(process.done)
 	}()
 }
--- a/internal/daemon/start/peer.go
+++ b/internal/daemon/start/peer.go
@@ -7,21 +7,21 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// statusFunc returns a role's name and the details of its state.
+// statusFunc returns the role of a process and the details of its state.
 type statusFunc func() (role string, detail any)
 
 // peerServer implements wirepb.DRPCPeerServer.
 type peerServer struct {
-	parts  *parts
-	status statusFunc
+	components *components
+	status     statusFunc
 }
 
-// Sync exchanges configuration versions.
+// Sync synchronises the configuration with a peer.
 func (peer *peerServer) Sync(ctx context.Context, request *wirepb.SyncRequest) (*wirepb.SyncResponse, error) {
-	return peer.parts.syncer.Sync(ctx, request)
+	return peer.components.syncer.Sync(ctx, request)
 }
 
-// Status reports the state of this process.
+// Status returns the state of this process.
 func (peer *peerServer) Status(context.Context, *wirepb.StatusRequest) (*wirepb.StatusResponse, error) {
 	role, detail := peer.status()
 	encoded, err := json.Marshal(detail)
@@ -29,10 +29,10 @@
 		return nil, err
 	}
 	return &wirepb.StatusResponse{
-		Instance:       peer.parts.settings.Instance,
+		Instance:       peer.components.settings.Instance,
 		Role:           role,
-		Version:        peer.parts.syncer.Current().Version(),
-		ConfirmedAgeUs: peer.parts.syncer.ConfirmedAge().Microseconds(),
+		Version:        peer.components.syncer.Current().Version(),
+		ConfirmedAgeUs: peer.components.syncer.ConfirmedAge().Microseconds(),
 		Detail:         encoded,
 	}, nil
 }
--- a/internal/daemon/start/side.go
+++ b/internal/daemon/start/side.go
@@ -19,40 +19,41 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// Side starts a side process.
+// Side starts a side process. It returns an error if the settings are invalid or a
+// listener can't be opened.
 func Side(settings setup.Side, environment Environment) (*Process, error) {
-	parts, err := newParts(settings.Process, environment)
+	components, err := newComponents(settings.Process, environment)
 	if err != nil {
 		return nil, err
 	}
-	limiter := newLimiter(parts, settings.Upstream.ID)
+	limiter := newLimiter(components, settings.Upstream.ID)
 	var server *side.Server
 	client := engine.New(engine.Config{
 		URL:          settings.Upstream.URL,
 		HTTP:         environment.HTTP,
 		FencingToken: func() uint64 { return server.FencingToken() },
 	})
-	server, err = newSide(settings, parts, limiter, upstream{client})
+	server, err = newSide(settings, components, limiter, upstreamClient{client})
 	if err != nil {
-		parts.close()
+		components.close()
 		return nil, err
 	}
-	limiter.own = server
-	return runSide(parts, server, limiter), nil
+	limiter.server = server
+	return runSide(components, server, limiter), nil
 }
 
-func newSide(settings setup.Side, parts *parts, limiter *limiter, upstream side.UpstreamClient) (*side.Server, error) {
+func newSide(settings setup.Side, components *components, limiter *limiter, upstream side.UpstreamClient) (*side.Server, error) {
 	config := side.Config{
 		UpstreamID:      settings.Upstream.ID,
-		ConfigSource:    parts.syncer,
+		ConfigSource:    components.syncer,
 		UpstreamClient:  upstream,
 		Limiter:         limiter,
 		Permits:         limiter,
-		Log:             claimLog{parts.log},
-		Roster:          leavingList{parts},
+		Log:             claimLog{components.log},
+		Roster:          sideRoster{components},
 		NewShard:        newShard,
 		Metrics:         metric.Map("side"),
-		Logger:          parts.logger,
+		Logger:          components.logger,
 		Queue:           fairq.Config{MaxRequests: settings.Queue.Requests, MaxTokens: conf.Tokens(settings.Queue.Tokens)},
 		Slots:           slots.Config{Seed: settings.Seed},
 		MaxRunning:      settings.Upstream.Concurrency,
@@ -62,12 +63,12 @@
 		DrainTimeout:    settings.Shutdown.DrainLimit,
 	}
 	if settings.Policy == "naive" {
-		useNaive(&config)
+		useNaivePolicy(&config)
 	}
 	return side.New(config)
 }
 
-func runSide(parts *parts, server *side.Server, limiter *limiter) *Process {
+func runSide(components *components, server *side.Server, limiter *limiter) *Process {
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
 	drain := func(ctx context.Context) error {
@@ -75,19 +76,19 @@
 		limiter.close(ctx)
 		return err
 	}
-	ready := func() bool { return parts.syncer.Current().Version() > 0 }
+	ready := func() bool { return components.syncer.Current().Version() > 0 }
 	process := &Process{
-		parts: parts, serve: cancel, drain: drain, ready: ready, done: make(chan struct{}),
+		components: components, cancel: cancel, drain: drain, ready: ready, done: make(chan struct{}),
 		status: func() (string, any) { return roster.RoleSide, server.Status() },
 	}
-	parts.run(ctx, group, func(mux drpc.Mux) error {
+	components.run(ctx, group, func(mux drpc.Mux) error {
 		if err := wirepb.DRPCRegisterSide(mux, server); err != nil {
 			return err
 		}
-		return parts.registerPeer(mux, process.status)
+		return components.registerPeer(mux, process.status)
 	})
-	group.Go(func() error { return ended(ctx, server.Serve(ctx)) })
-	group.Go(func() error { return ended(ctx, parts.serveOperators(ctx, process)) })
+	group.Go(func() error { return ignoreCancel(ctx, server.Serve(ctx)) })
+	group.Go(func() error { return ignoreCancel(ctx, components.serveOperators(ctx, process)) })
 	group.Go(func() error {
 		select {
 		case <-ctx.Done():
@@ -96,14 +97,14 @@
 		}
 		return nil
 	})
-	process.watch(group)
+	process.closeWhenDone(group)
 	return process
 }
 
-// hostedShard implements side.Shard.
+// hostedShard implements side.Shard by a quota.Shard.
 type hostedShard struct{ *quota.Shard }
 
-// Draw grants tokens.
+// Draw grants tokens from the shard.
 func (hosted hostedShard) Draw(now time.Time, want, least conf.Tokens) (side.Grant, bool) {
 	grant, ok := hosted.Shard.Draw(now, want, least)
 	return side.Grant{ID: grant.ID, Tokens: grant.Tokens, Level: grant.Level, RetryAfter: grant.RetryAfter}, ok
--- a/internal/daemon/start/start.go
+++ b/internal/daemon/start/start.go
@@ -1,5 +1,5 @@
-// Package start assembles entry instances and side processes from their
-// settings and runs them until they are told to stop.
+// Package start builds entry instances and side processes from their settings
+// and runs them until they are stopped.
 package start
 
 import (
@@ -14,16 +14,17 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/conns"
 )
 
-// Environment is what surrounds a process. Tests replace the network by
-// in-memory connections; the zero value is the real one.
+// Environment holds the network functions and the logger of a process. Tests
+// replace the network by in-memory connections. The zero value uses the real
+// network.
 type Environment struct {
-	// Listen defaults to TCP.
+	// Listen opens a listener; nil means TCP.
 	Listen func(address string) (net.Listener, error)
-	// Dial defaults to TCP.
+	// Dial connects to other instances; nil means TCP.
 	Dial conns.Dialer
-	// HTTP sends requests to platform and upstream.
+	// HTTP sends the requests to the platform and the upstream.
 	HTTP *http.Client
-	// Logger defaults to the one of the settings.
+	// Logger overrides the logger that the settings describe.
 	Logger *zap.Logger
 }
 
@@ -38,42 +39,46 @@
 
 // Process is a running entry instance or side process.
 type Process struct {
-	parts *parts
-	serve context.CancelFunc
-	drain func(ctx context.Context) error
-	ready func() bool
-	// status returns the role and the details for operators.
+	components *components
+	cancel     context.CancelFunc
+	drain      func(ctx context.Context) error
+	ready      func() bool
+	// status returns the role and the details of the state for operators.
 	status func() (role string, detail any)
 
-	stopping sync.Once
+	stopOnce sync.Once
 	done     chan struct{}
 	err      error
 }
 
-// Ready reports whether the process may get new work.
+// Ready reports whether the process takes new requests.
 func (process *Process) Ready() bool { return process.ready() }
 
-// Status returns the role and the details of the state.
+// Status returns the role and the details of the state, which operators get as
+// JSON.
 func (process *Process) Status() (role string, detail any) { return process.status() }
 
-// Config returns the configuration in force.
-func (process *Process) Config() *conf.Config { return process.parts.syncer.Current() }
+// Config returns the current configuration.
+func (process *Process) Config() *conf.Config { return process.components.syncer.Current() }
 
-// Version returns the number of the configuration in force.
+// Version returns the version of the current configuration.
 func (process *Process) Version() uint64 { return process.Config().Version() }
 
-// Done is closed when all parts of the process have ended.
+// Done returns a channel that is closed when all components of the process have
+// ended.
 func (process *Process) Done() <-chan struct{} { return process.done }
 
-// Err returns why the process ended; it is valid after Done.
+// Err returns the error of the component that ended the process, or nil if it was
+// stopped. It is valid once Done is closed.
 func (process *Process) Err() error { return process.err }
 
-// Stop drains the process and ends it. The end of ctx cuts the drain short.
+// Stop drains the process and ends it. The drain ends early if ctx does. The first
+// call returns the error of the drain, later ones return nil.
 func (process *Process) Stop(ctx context.Context) error {
 	var err error
-	process.stopping.Do(func() {
+	process.stopOnce.Do(func() {
 		err = process.drain(ctx)
-		process.serve()
+		process.cancel()
 		<-process.done
 	})
 	return err
@@ -81,11 +86,12 @@
 
 // Kill ends the process at once, without a drain.
 func (process *Process) Kill() {
-	process.serve()
+	process.cancel()
 	<-process.done
 }
 
-// Wait runs until ctx ends, then drains the process, or until a part fails.
+// Wait waits until ctx ends and then drains and ends the process. If a component
+// fails before, it returns that error.
 func (process *Process) Wait(ctx context.Context) error {
 	select {
 	case <-process.done:
--- a/internal/daemon/start/upstream.go
+++ b/internal/daemon/start/upstream.go
@@ -12,13 +12,13 @@
 	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// upstream implements side.Upstream with the HTTP client.
-type upstream struct {
+// upstreamClient implements side.UpstreamClient by HTTP requests.
+type upstreamClient struct {
 	client *engine.Client
 }
 
-// State returns what the upstream reports of itself.
-func (upstream upstream) State(ctx context.Context) (side.EngineState, error) {
+// State returns the state that the engine reports.
+func (upstream upstreamClient) State(ctx context.Context) (side.EngineState, error) {
 	state, err := upstream.client.State(ctx)
 	if err != nil {
 		return side.EngineState{}, err
@@ -33,48 +33,49 @@
 }
 
 // Load orders the engine to load an adapter.
-func (upstream upstream) Load(ctx context.Context, adapter string, version uint32) error {
+func (upstream upstreamClient) Load(ctx context.Context, adapter string, version uint32) error {
 	return upstream.client.Load(ctx, adapter, version)
 }
 
 // Unload orders the engine to unload an adapter.
-func (upstream upstream) Unload(ctx context.Context, adapter string, version uint32) error {
+func (upstream upstreamClient) Unload(ctx context.Context, adapter string, version uint32) error {
 	return upstream.client.Unload(ctx, adapter, version)
 }
 
-// The engine's priorities; lower goes first.
+// The priorities of requests at the engine. It runs those with a lower number
+// first.
 const (
 	interactivePriority = 0
 	patientPriority     = 10
 )
 
-// Generate starts or resumes a generation.
-func (upstream upstream) Generate(ctx context.Context, generation side.GenerateRequest) (side.Stream, error) {
+// Generate sends a request to the engine, or resumes it from a token on.
+func (upstream upstreamClient) Generate(ctx context.Context, request side.GenerateRequest) (side.Stream, error) {
 	priority := interactivePriority
-	if generation.Class == conf.Patient {
+	if request.Class == conf.Patient {
 		priority = patientPriority
 	}
 	stream, err := upstream.client.Generate(ctx, engine.Request{
-		RequestID:  generation.RequestID,
-		Adapter:    generation.Ref.Adapter,
-		Version:    generation.Ref.Version,
-		Path:       generation.Path,
-		Body:       generation.Body,
-		MaxTokens:  int64(generation.MaxTokens),
+		RequestID:  request.RequestID,
+		Adapter:    request.Ref.Adapter,
+		Version:    request.Ref.Version,
+		Path:       request.Path,
+		Body:       request.Body,
+		MaxTokens:  int64(request.MaxTokens),
 		Priority:   priority,
-		ResumeFrom: generation.ResumeFrom,
-		Headers:    httpHeaders(generation.Headers),
+		ResumeFrom: request.ResumeFrom,
+		Headers:    httpHeaders(request.Headers),
 	})
 	if err != nil {
 		return nil, err
 	}
-	return tokenStream{Stream: stream, generation: generation}, nil
+	return tokenStream{Stream: stream, request: request}, nil
 }
 
-// CallPlain sends one call to a plain service.
-func (upstream upstream) CallPlain(ctx context.Context, call side.PlainRequest) (*side.PlainResponse, error) {
+// CallPlain sends one request to a plain service.
+func (upstream upstreamClient) CallPlain(ctx context.Context, request side.PlainRequest) (*side.PlainResponse, error) {
 	response, err := upstream.client.CallPlain(ctx, engine.PlainRequest{
-		RequestID: call.RequestID, Method: call.Method, Path: call.Path, Headers: httpHeaders(call.Headers), Body: call.Body,
+		RequestID: request.RequestID, Method: request.Method, Path: request.Path, Headers: httpHeaders(request.Headers), Body: request.Body,
 	})
 	if err != nil {
 		return nil, err
@@ -88,11 +89,11 @@
 	return reply, nil
 }
 
-// tokenStream implements side.Stream. The client has checked that the tokens
-// belong to the connection's request and adapter.
+// tokenStream implements side.Stream. The HTTP client has checked that the tokens
+// belong to this request and its adapter.
 type tokenStream struct {
 	engine.Stream
-	generation side.GenerateRequest
+	request side.GenerateRequest
 }
 
 // Next returns the next token.
