--- a/internal/base/telem/log.go
+++ b/internal/base/logs/log.go
@@ -1,5 +1,5 @@
-// Package telem builds loggers, metric maps and histograms.
-package telem
+// Package logs builds the loggers of jacinthfront's processes.
+package logs
 
 import (
 	"go.uber.org/zap"
@@ -8,18 +8,19 @@
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 )
 
-// LogConfig configures a logger.
-type LogConfig struct {
+// Config configures a logger.
+type Config struct {
 	// Level is debug, info, warn or error; empty means info.
 	Level string
-	// Text writes console lines in place of JSON objects.
+	// Text means that lines are written as text, not as JSON objects.
 	Text bool
-	// Instance is a field of each line.
+	// Instance is written as a field of each line.
 	Instance string
 }
 
-// NewLogger returns a logger that writes to standard error.
-func NewLogger(config LogConfig) (*zap.Logger, error) {
+// NewLogger returns a logger that writes to standard error. Its error is a fault
+// of kind Invalid if the level is unknown.
+func NewLogger(config Config) (*zap.Logger, error) {
 	level := zapcore.InfoLevel
 	if config.Level != "" {
 		if err := level.UnmarshalText([]byte(config.Level)); err != nil {
--- a/internal/daemon/admin/status.go
+++ b/internal/daemon/admin/status.go
@@ -5,18 +5,18 @@
 )
 
 func (admin *Admin) getStatus(ctx iris.Context) error {
-	return answer(ctx, iris.StatusOK, admin.status())
+	return writeJSON(ctx, iris.StatusOK, admin.status())
 }
 
 func (admin *Admin) status() Status {
-	store := admin.config.Store
+	store := admin.config.ConfigStore
 	role, detail := admin.config.Process.Status()
 	return Status{
 		Instance:     admin.config.Instance,
 		Role:         role,
 		Ready:        admin.config.Process.Ready(),
 		Version:      store.Current().Version(),
-		ConfirmedAge: ageText(store.ConfirmedAge()),
+		ConfirmedAge: formatAge(store.ConfirmedAge()),
 		Isolated:     store.Isolated(),
 		Detail:       detail,
 	}
--- a/internal/daemon/entry/claim_test.go
+++ b/internal/daemon/entry/claim_test.go
@@ -7,26 +7,27 @@
 
 	"jacinthfront.dev/jacinthfront/internal/flow/dedup"
 	"jacinthfront.dev/jacinthfront/internal/flow/policy"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// TestClaimsOfPartitionMeet guards against keys of one partition at several
-// side processes, each of which would read the partition's whole stream.
-func TestClaimsOfPartitionMeet(t *testing.T) {
+// TestKeysOfPartitionShareUpstream guards against sending idempotency keys of one
+// partition to several side processes, each of which would read the whole stream
+// of the partition.
+func TestKeysOfPartitionShareUpstream(t *testing.T) {
 	chooser := policy.NewRoundRobin(policy.NoEjection{})
 	target := &service{name: "orders", policy: chooser}
 	var members []policy.Member
 	for index := range 40 {
 		id := fmt.Sprintf("upstream-%d", index)
-		target.specs = append(target.specs, model.UpstreamSpec{ID: id})
+		target.specs = append(target.specs, conf.UpstreamSpec{ID: id})
 		members = append(members, policy.Member{ID: id})
 	}
 	chooser.SetMembers(members, 1)
 	owners, used := map[int]string{}, map[string]bool{}
 	for index := range 2000 {
 		claim := digest("organisation", fmt.Sprint(index))
-		job := &job{service: target, claim: claim}
-		decision, ok := job.chooseByClaim(time.Now())
+		job := &job{service: target, idempotencyKeyHash: claim}
+		decision, ok := job.chooseByIdempotencyKey(time.Now())
 		if !ok {
 			t.Fatal("no upstream")
 		}
--- a/internal/daemon/entry/config.go
+++ b/internal/daemon/entry/config.go
@@ -8,91 +8,95 @@
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 	"jacinthfront.dev/jacinthfront/internal/flow/policy"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// Limits bounds what callers may send and for how long.
+// Limits bounds what callers may send and how long requests may take.
 type Limits struct {
-	// Body and Headers are in bytes.
-	Body    int64
-	Headers int
-	// HeaderTime and BodyTime bound the time in which they must arrive.
-	HeaderTime time.Duration
-	BodyTime   time.Duration
-	// InFlight is the number of requests served at the same time.
-	InFlight int
-	// Attempts is the number of upstreams that one request is sent to.
-	Attempts int
-	// Request is the longest that a request may take.
-	Request time.Duration
-	// Drain bounds a planned stop. It must exceed Request.
-	Drain time.Duration
-	// DrainDelay is the time between becoming unready and closing the
-	// listener, in which the load balancer stops sending requests.
+	// MaxBodyBytes and MaxHeaderBytes bound the size of a request.
+	MaxBodyBytes   int64
+	MaxHeaderBytes int
+	// HeaderTimeout and BodyTimeout bound the time in which the headers and the body
+	// must arrive.
+	HeaderTimeout time.Duration
+	BodyTimeout   time.Duration
+	// MaxInFlight is the number of requests that may be served at the same time.
+	MaxInFlight int
+	// MaxAttempts bounds the attempts of one request, handbacks not counted.
+	MaxAttempts int
+	// RequestTimeout is the longest time that a request may take.
+	RequestTimeout time.Duration
+	// DrainTimeout bounds a planned stop. It must exceed RequestTimeout.
+	DrainTimeout time.Duration
+	// DrainDelay is the time between becoming unready and closing the listener, in
+	// which the load balancer stops sending requests.
 	DrainDelay time.Duration
 }
 
 // Config configures an Entry.
 type Config struct {
-	Configs Configs
-	Roster  Roster
-	Sides   Sides
-	// Authenticate returns the configured key that was presented.
-	Authenticate func(config *model.Config, key string) (model.KeySpec, error)
-	// Budget defaults to one that permits every retry.
-	Budget Budget
+	ConfigSource   ConfigSource
+	InstanceSource InstanceSource
+	SideDialer     SideDialer
+	// Authenticate returns the configured key that matches the presented one, or an
+	// error.
+	Authenticate func(config *conf.Config, key string) (conf.KeySpec, error)
+	// RetryBudget defaults to one that allows every retry.
+	RetryBudget RetryBudget
 	// Admission defaults to one that admits all requests.
 	Admission Admission
-	// NewHealth returns the health record of a service. The default ejects
-	// nothing.
+	// NewHealth returns the record of the results of a service's upstreams. The
+	// default ejects no upstream.
 	NewHealth func(service string) Health
-	// NewPolicy returns the policy of a service.
+	// NewPolicy returns the routing policy of a service. plain tells whether it is a
+	// plain service, without adapters.
 	NewPolicy func(service string, plain bool, health policy.Health) policy.Policy
 	// Logger defaults to none.
 	Logger *zap.Logger
 	// Counters defaults to none.
 	Counters Counters
-	// NewID returns a request id. The default is a random UUID.
-	NewID  func() string
-	Limits Limits
-	// Refresh is the interval at which configuration and instance list are
-	// compared with the policies' members.
-	Refresh time.Duration
-	// ProbeAfter is the silence of a running attempt after which its side
-	// process is asked for a sign of life, and the time that it has to answer.
+	// NewRequestID returns a request id. The default is a random UUID.
+	NewRequestID func() string
+	Limits       Limits
+	// RefreshInterval is the interval at which the members of the policies are
+	// updated from the configuration and the instance list.
+	RefreshInterval time.Duration
+	// ProbeAfter is the time without an event after which the side process of a
+	// running attempt is probed. The probe may take twice as long if the work may
+	// run twice, otherwise ten times as long.
 	ProbeAfter time.Duration
 }
 
-// DefaultLimits returns the limits of section 12 of the design page.
+// DefaultLimits returns the limits given in section 12 of the design page.
 func DefaultLimits() Limits {
 	return Limits{
-		Body:       1 << 20,
-		Headers:    16 << 10,
-		HeaderTime: 5 * time.Second,
-		BodyTime:   10 * time.Second,
-		InFlight:   2048,
-		Attempts:   4,
-		Request:    5 * time.Minute,
-		Drain:      6 * time.Minute,
-		DrainDelay: 3 * time.Second,
+		MaxBodyBytes:   1 << 20,
+		MaxHeaderBytes: 16 << 10,
+		HeaderTimeout:  5 * time.Second,
+		BodyTimeout:    10 * time.Second,
+		MaxInFlight:    2048,
+		MaxAttempts:    4,
+		RequestTimeout: 5 * time.Minute,
+		DrainTimeout:   6 * time.Minute,
+		DrainDelay:     3 * time.Second,
 	}
 }
 
-func (config *Config) complete() error {
-	if config.Configs == nil || config.Roster == nil || config.Authenticate == nil || config.Sides == nil || config.NewPolicy == nil {
-		return fault.New(fault.Invalid, fault.NotRun, "entry needs Configs, Roster, Authenticate, Sides and NewPolicy; set them all")
+func (config *Config) setDefaults() error {
+	if config.ConfigSource == nil || config.InstanceSource == nil || config.Authenticate == nil || config.SideDialer == nil || config.NewPolicy == nil {
+		return fault.New(fault.Invalid, fault.NotRun, "entry needs ConfigSource, InstanceSource, Authenticate, SideDialer and NewPolicy; set them all")
 	}
 	if config.Limits == (Limits{}) {
 		config.Limits = DefaultLimits()
 	}
-	if err := config.Limits.check(); err != nil {
+	if err := config.Limits.validate(); err != nil {
 		return err
 	}
-	if config.Budget == nil {
-		config.Budget = freeBudget{}
+	if config.RetryBudget == nil {
+		config.RetryBudget = unlimitedRetries{}
 	}
 	if config.Admission == nil {
-		config.Admission = openAdmission{}
+		config.Admission = admitAll{}
 	}
 	if config.NewHealth == nil {
 		config.NewHealth = func(string) Health { return noHealth{} }
@@ -103,11 +107,11 @@
 	if config.Counters == nil {
 		config.Counters = noCounters{}
 	}
-	if config.NewID == nil {
-		config.NewID = uuid.NewString
+	if config.NewRequestID == nil {
+		config.NewRequestID = uuid.NewString
 	}
-	if config.Refresh <= 0 {
-		config.Refresh = 500 * time.Millisecond
+	if config.RefreshInterval <= 0 {
+		config.RefreshInterval = 500 * time.Millisecond
 	}
 	if config.ProbeAfter <= 0 {
 		config.ProbeAfter = time.Second
@@ -115,15 +119,15 @@
 	return nil
 }
 
-func (limits *Limits) check() error {
-	positive := limits.Body > 0 && limits.Headers > 0 && limits.HeaderTime > 0 && limits.BodyTime > 0 &&
-		limits.InFlight > 0 && limits.Attempts > 0 && limits.Request > 0 && limits.DrainDelay >= 0
+func (limits *Limits) validate() error {
+	positive := limits.MaxBodyBytes > 0 && limits.MaxHeaderBytes > 0 && limits.HeaderTimeout > 0 && limits.BodyTimeout > 0 &&
+		limits.MaxInFlight > 0 && limits.MaxAttempts > 0 && limits.RequestTimeout > 0 && limits.DrainDelay >= 0
 	if !positive {
 		return fault.New(fault.Invalid, fault.NotRun, "every limit of the entry instance must be positive; set the missing ones")
 	}
-	if limits.Drain <= limits.Request {
+	if limits.DrainTimeout <= limits.RequestTimeout {
 		return fault.New(fault.Invalid, fault.NotRun,
-			"drain-limit %s must exceed request-limit %s, or a planned stop interrupts requests; raise drain-limit", limits.Drain, limits.Request)
+			"drain-limit %s must exceed request-limit %s, or a planned stop interrupts requests; raise drain-limit", limits.DrainTimeout, limits.RequestTimeout)
 	}
 	return nil
 }
--- a/internal/daemon/side/ports.go
+++ b/internal/daemon/side/ports.go
@@ -4,50 +4,57 @@
 	"context"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// Configs gives the current configuration.
-type Configs interface {
-	// Current is never nil and never goes back.
-	Current() *model.Config
-	// Changed is closed at the next change.
+// ConfigSource provides the current configuration.
+type ConfigSource interface {
+	// Current returns the newest configuration. It is never nil, and its
+	// version never decreases.
+	Current() *conf.Config
+	// Changed returns a channel that is closed at the next change.
 	Changed() <-chan struct{}
-	// Hint says that somebody showed this version.
-	Hint(version uint64)
-	// Isolated says that withdrawals may not reach this process.
+	// ObserveVersion tells the source that another process has this version.
+	ObserveVersion(version uint64)
+	// Isolated reports whether withdrawals of keys may not reach this process.
 	Isolated() bool
-	// ConfirmedAge is the time since the configuration was known to be current.
+	// ConfirmedAge returns the time since the configuration was last known to
+	// be current.
 	ConfirmedAge() time.Duration
 }
 
-// Debit is what a request took from its organisation's tokens.
-type Debit interface {
+// Reservation is the tokens of an organisation that are held for one request.
+type Reservation interface {
 	// Commit counts the request as dispatched now. It reports false when the
-	// tokens have lapsed since they were taken.
+	// reservation has expired.
 	Commit() bool
 	// Settle returns the tokens that were not used.
-	Settle(used model.Tokens)
+	Settle(used conf.Tokens)
 }
 
-// Limiter debits the tokens of organisations.
+// Limiter limits the tokens of organisations.
 type Limiter interface {
-	// Take waits until it has tokens or ctx ends. Any other error refuses the
-	// request.
-	Take(ctx context.Context, organisation string, tokens model.Tokens) (Debit, error)
+	// Reserve waits until it has tokens or ctx ends. On any other error, the
+	// request is refused.
+	Reserve(ctx context.Context, organisation string, tokens conf.Tokens) (Reservation, error)
 }
 
-// Estimator is implemented by a Limiter that knows how long tokens take.
-type Estimator interface {
-	EstimateWait(organisation string, tokens model.Tokens) time.Duration
+// WaitEstimator is implemented by a Limiter that can estimate the wait for
+// tokens.
+type WaitEstimator interface {
+	// EstimateWait returns how long a request that costs tokens would wait for
+	// them.
+	EstimateWait(organisation string, tokens conf.Tokens) time.Duration
 }
 
 // unlimited is the default Limiter.
 type unlimited struct{}
 
-func (unlimited) Take(context.Context, string, model.Tokens) (Debit, error) { return unlimited{}, nil }
-func (unlimited) Commit() bool                                              { return true }
-func (unlimited) Settle(model.Tokens)                                       {}
+func (unlimited) Reserve(context.Context, string, conf.Tokens) (Reservation, error) {
+	return unlimited{}, nil
+}
+func (unlimited) Commit() bool       { return true }
+func (unlimited) Settle(conf.Tokens) {}
 
 // LogRecord is one record of a log stream.
 type LogRecord struct {
@@ -56,45 +63,50 @@
 	Data   []byte
 }
 
-// LogPage is a run of records. First is the oldest offset that the stream
-// still has; Next is the offset to read from next.
+// LogPage is a sequence of consecutive records. FirstOffset is the oldest
+// offset that the stream retains; NextOffset is the offset of the next read.
 type LogPage struct {
-	Records     []LogRecord
-	First, Next uint64
+	Records                 []LogRecord
+	FirstOffset, NextOffset uint64
 }
 
 // Log is the platform's log service.
 type Log interface {
+	// Append adds a record to a stream and returns its offset.
 	Append(ctx context.Context, stream string, record []byte) (uint64, error)
+	// Read returns records from an offset on. If there are none yet, it waits
+	// for them up to wait.
 	Read(ctx context.Context, stream string, from uint64, wait time.Duration) (LogPage, error)
 }
 
-// Roster knows which instances are leaving.
+// Roster tells which instances are draining.
 type Roster interface {
-	Leaving(upstream string) bool
+	// Draining reports whether the instance of an upstream is draining.
+	Draining(upstream string) bool
 }
 
-// staying is the default Roster.
-type staying struct{}
+// neverDraining is the default Roster.
+type neverDraining struct{}
 
-func (staying) Leaving(string) bool { return false }
+func (neverDraining) Draining(string) bool { return false }
 
-// Permits bounds adapter loads across the fleet.
+// Permits limits the rate of adapter loads across the fleet.
 type Permits interface {
+	// Acquire waits for the permit of one load.
 	Acquire(ctx context.Context) error
 }
 
-// unbounded is the default Permits.
-type unbounded struct{}
+// unlimitedPermits is the default Permits.
+type unlimitedPermits struct{}
 
-func (unbounded) Acquire(context.Context) error { return nil }
+func (unlimitedPermits) Acquire(context.Context) error { return nil }
 
 // Metrics counts events; *expvar.Map is one.
 type Metrics interface {
 	Add(name string, delta int64)
 }
 
-// uncounted is the default Metrics.
-type uncounted struct{}
+// noMetrics is the default Metrics.
+type noMetrics struct{}
 
-func (uncounted) Add(string, int64) {}
+func (noMetrics) Add(string, int64) {}
--- a/internal/daemon/side/status.go
+++ b/internal/daemon/side/status.go
@@ -4,17 +4,17 @@
 	"cmp"
 	"slices"
 
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// Status is what operators see of a side process.
+// Status is the state of a side process for operators.
 type Status struct {
 	Upstream string `json:"upstream"`
 	Draining bool   `json:"draining"`
 	Queued   int    `json:"queued"`
 	Running  int    `json:"running"`
 	Slots    int    `json:"slots"`
-	// Loaded lists adapters with their versions.
+	// Loaded lists the loaded adapters with their versions.
 	Loaded []string `json:"loaded"`
 	// Shards lists the quota shards that this process hosts.
 	Shards []ShardStatus `json:"shards"`
@@ -22,10 +22,10 @@
 
 // ShardStatus is a hosted quota shard. Rate is in tokens per second.
 type ShardStatus struct {
-	Organisation string       `json:"organisation"`
-	Index        uint32       `json:"index"`
-	Rate         model.Tokens `json:"rate"`
-	Burst        model.Tokens `json:"burst"`
+	Organisation string      `json:"organisation"`
+	Index        uint32      `json:"index"`
+	Rate         conf.Tokens `json:"rate"`
+	Burst        conf.Tokens `json:"burst"`
 }
 
 // Status returns the state of the process.
@@ -33,13 +33,13 @@
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	status := Status{
-		Upstream: server.config.Upstream,
+		Upstream: server.config.UpstreamID,
 		Draining: server.draining,
 		Queued:   server.queue.Len(),
 		Running:  len(server.running),
 		Slots:    server.table.Size(),
 	}
-	for _, ref := range server.table.LoadedAdapters(maxReported) {
+	for _, ref := range server.table.LoadedAdapters(maxReportedAdapters) {
 		status.Loaded = append(status.Loaded, ref.String())
 	}
 	slices.Sort(status.Loaded)
--- a/internal/daemon/start/logs.go
+++ b/internal/daemon/start/logclients.go
@@ -9,7 +9,7 @@
 	"jacinthfront.dev/jacinthfront/internal/link/logsvc"
 )
 
-// SyncLog is the log as the syncer uses it. It implements syncer.LogClient.
+// SyncLog implements syncer.LogClient by the client of the platform's log service.
 type SyncLog struct {
 	*logsvc.Client
 }
@@ -20,14 +20,15 @@
 	if err != nil {
 		return syncer.Page{}, err
 	}
-	result := syncer.Page{First: page.First, Next: page.Next}
+	result := syncer.Page{FirstOffset: page.FirstOffset, NextOffset: page.NextOffset}
 	for _, record := range page.Records {
 		result.Records = append(result.Records, syncer.Record(record))
 	}
 	return result, nil
 }
 
-// claimLog is the log as a side process uses it for claims.
+// claimLog implements side.Log, on which a side process records claims, by the
+// client of the platform's log service.
 type claimLog struct {
 	*logsvc.Client
 }
@@ -38,7 +39,7 @@
 	if err != nil {
 		return side.LogPage{}, err
 	}
-	result := side.LogPage{First: page.First, Next: page.Next}
+	result := side.LogPage{FirstOffset: page.FirstOffset, NextOffset: page.NextOffset}
 	for _, record := range page.Records {
 		result.Records = append(result.Records, side.LogRecord(record))
 	}
--- /dev/null
+++ b/internal/wire/codec/datagram.go
@@ -0,0 +1,124 @@
+package codec
+
+import (
+	"time"
+
+	"jacinthfront.dev/jacinthfront/internal/flow/admit"
+	"jacinthfront.dev/jacinthfront/internal/flow/lora"
+	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
+)
+
+// millisecondsPerSecond converts rates: tokens per millisecond in memory, whole
+// tokens per second on the wire.
+const millisecondsPerSecond = 1000
+
+// EncodeAdapters encodes adapters with their versions.
+func EncodeAdapters(adapters []lora.Adapter) []*wirepb.AdapterVersion {
+	encoded := make([]*wirepb.AdapterVersion, 0, len(adapters))
+	for _, adapter := range adapters {
+		encoded = append(encoded, &wirepb.AdapterVersion{Adapter: adapter.Name, Version: adapter.Version})
+	}
+	return encoded
+}
+
+// DecodeAdapters decodes what EncodeAdapters encoded.
+func DecodeAdapters(encoded []*wirepb.AdapterVersion) []lora.Adapter {
+	adapters := make([]lora.Adapter, 0, len(encoded))
+	for _, adapter := range encoded {
+		adapters = append(adapters, lora.Adapter{Name: adapter.GetAdapter(), Version: adapter.GetVersion()})
+	}
+	return adapters
+}
+
+// EncodeAdapterUses encodes how many requests use each adapter.
+func EncodeAdapterUses(uses []lora.AdapterUse) []*wirepb.AdapterUse {
+	encoded := make([]*wirepb.AdapterUse, 0, len(uses))
+	for _, use := range uses {
+		encoded = append(encoded, &wirepb.AdapterUse{
+			Adapter: use.Adapter.Name, Version: use.Adapter.Version,
+			Running: uint32(use.Running), Waiting: uint32(use.Waiting), Late: uint32(use.Late),
+		})
+	}
+	return encoded
+}
+
+// DecodeAdapterUses decodes what EncodeAdapterUses encoded.
+func DecodeAdapterUses(encoded []*wirepb.AdapterUse) []lora.AdapterUse {
+	uses := make([]lora.AdapterUse, 0, len(encoded))
+	for _, use := range encoded {
+		uses = append(uses, lora.AdapterUse{
+			Adapter: lora.Adapter{Name: use.GetAdapter(), Version: use.GetVersion()},
+			Running: int(use.GetRunning()), Waiting: int(use.GetWaiting()), Late: int(use.GetLate()),
+		})
+	}
+	return uses
+}
+
+// EncodeRequests encodes the waiting requests of an entry instance.
+func EncodeRequests(requests []admit.Request) []*wirepb.Ask {
+	encoded := make([]*wirepb.Ask, 0, len(requests))
+	for _, request := range requests {
+		encoded = append(encoded, &wirepb.Ask{
+			Id: request.ID, Adapter: request.Adapter.Name, Version: request.Adapter.Version,
+			PromptTokens: request.PromptTokens, OutputTokens: request.OutputTokens, Priority: uint32(max(request.Priority, 0)), Late: request.Late,
+			WaitedMs: uint32(request.Waited.Milliseconds()),
+		})
+	}
+	return encoded
+}
+
+// DecodeRequests decodes what EncodeRequests encoded.
+func DecodeRequests(encoded []*wirepb.Ask) []admit.Request {
+	requests := make([]admit.Request, 0, len(encoded))
+	for _, request := range encoded {
+		requests = append(requests, admit.Request{
+			ID: request.GetId(), Adapter: lora.Adapter{Name: request.GetAdapter(), Version: request.GetVersion()},
+			PromptTokens: request.GetPromptTokens(), OutputTokens: request.GetOutputTokens(), Priority: int(request.GetPriority()), Late: request.GetLate(),
+			Waited: time.Duration(request.GetWaitedMs()) * time.Millisecond,
+		})
+	}
+	return requests
+}
+
+// EncodeSpeed encodes the speed of an engine.
+func EncodeSpeed(speed admit.Speed) *wirepb.Pace {
+	return &wirepb.Pace{ReadRate: EncodeTokenRate(speed.PrefillRate), EventUs: uint32(speed.EventInterval.Microseconds())}
+}
+
+// DecodeSpeed decodes what EncodeSpeed encoded.
+func DecodeSpeed(encoded *wirepb.Pace) admit.Speed {
+	return admit.Speed{
+		PrefillRate:   DecodeTokenRate(encoded.GetReadRate()),
+		EventInterval: time.Duration(encoded.GetEventUs()) * time.Microsecond,
+	}
+}
+
+// EncodeTokenRate encodes a rate in tokens per millisecond.
+func EncodeTokenRate(rate float64) uint32 { return uint32(rate * millisecondsPerSecond) }
+
+// DecodeTokenRate decodes what EncodeTokenRate encoded.
+func DecodeTokenRate(encoded uint32) float64 { return float64(encoded) / millisecondsPerSecond }
+
+// EncodeMeasurements encodes measurements of an engine's speed.
+func EncodeMeasurements(measurements []admit.Measurement) []*wirepb.Reading {
+	encoded := make([]*wirepb.Reading, 0, len(measurements))
+	for _, measurement := range measurements {
+		encoded = append(encoded, &wirepb.Reading{
+			Ask: measurement.RequestID, FirstUs: uint32(measurement.FirstEvent.Microseconds()), PauseUs: uint32(measurement.EventInterval.Microseconds()),
+		})
+	}
+	return encoded
+}
+
+// DecodeMeasurements decodes what EncodeMeasurements encoded.
+func DecodeMeasurements(encoded []*wirepb.Reading) []admit.Measurement {
+	measurements := make([]admit.Measurement, 0, len(encoded))
+	for _, measurement := range encoded {
+		measurements = append(measurements, admit.Measurement{
+			RequestID:     measurement.GetAsk(),
+			FirstEvent:    time.Duration(measurement.GetFirstUs()) * time.Microsecond,
+			EventInterval: time.Duration(measurement.GetPauseUs()) * time.Microsecond,
+		})
+	}
+	return measurements
+}
--- a/internal/wire/codec/patch.go
+++ b/internal/wire/codec/patch.go
@@ -5,11 +5,11 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// PatchToWire converts a patch.
+// PatchToWire converts a patch to its wire form.
 func PatchToWire(record patch.Patch) *wirepb.PatchRecord {
 	wire := &wirepb.PatchRecord{
 		Id:       record.ID,
-		Base:     record.Base,
+		Base:     record.BaseVersion,
 		Force:    record.Force,
 		Operator: record.Operator,
 		Ops:      make([]*wirepb.Op, 0, len(record.Ops)),
@@ -20,15 +20,15 @@
 	return wire
 }
 
-// PatchFromWire converts a patch. An operation of an unknown kind becomes nil,
-// which patches refuse.
+// PatchFromWire converts a patch from its wire form. An operation of an unknown
+// kind becomes nil, which patch.Validate rejects.
 func PatchFromWire(wire *wirepb.PatchRecord) patch.Patch {
 	record := patch.Patch{
-		ID:       wire.GetId(),
-		Base:     wire.GetBase(),
-		Force:    wire.GetForce(),
-		Operator: wire.GetOperator(),
-		Ops:      make([]patch.Op, 0, len(wire.GetOps())),
+		ID:          wire.GetId(),
+		BaseVersion: wire.GetBase(),
+		Force:       wire.GetForce(),
+		Operator:    wire.GetOperator(),
+		Ops:         make([]patch.Op, 0, len(wire.GetOps())),
 	}
 	for _, op := range wire.GetOps() {
 		record.Ops = append(record.Ops, opFromWire(op))
--- a/internal/wire/codec/record.go
+++ b/internal/wire/codec/record.go
@@ -6,30 +6,33 @@
 	"github.com/zeebo/errs"
 	"google.golang.org/protobuf/proto"
 
-	"jacinthfront.dev/jacinthfront/internal/state/fold"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
+	"jacinthfront.dev/jacinthfront/internal/state/replay"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// Class is the errs class of malformed records and states.
+// Class is the errs class of the errors for malformed records, states and
+// patches.
 var Class = errs.Class("codec")
 
-// MaxRecord bounds a log record in bytes.
+// MaxRecord is the largest size of a log record in bytes.
 const MaxRecord = 1 << 20
 
-// Record is one entry of the stream "config": a patch or a snapshot chunk.
+// Record is one record of the log stream "config": a patch or a snapshot chunk.
 type Record struct {
 	Patch *patch.Patch
-	Chunk *fold.Chunk
+	Chunk *replay.Chunk
 }
 
-// EncodePatch encodes a patch as a log record.
+// EncodePatch encodes a patch as a log record. A record that exceeds MaxRecord
+// is an error.
 func EncodePatch(record patch.Patch) ([]byte, error) {
 	return encodeRecord(&wirepb.Record{Body: &wirepb.Record_Patch{Patch: PatchToWire(record)}})
 }
 
-// EncodeChunk encodes a snapshot chunk as a log record.
-func EncodeChunk(chunk fold.Chunk) ([]byte, error) {
+// EncodeChunk encodes a snapshot chunk as a log record. A record that exceeds
+// MaxRecord is an error.
+func EncodeChunk(chunk replay.Chunk) ([]byte, error) {
 	return encodeRecord(&wirepb.Record{Body: &wirepb.Record_Chunk{Chunk: ChunkToWire(chunk)}})
 }
 
@@ -44,8 +47,8 @@
 	return data, nil
 }
 
-// DecodeRecord decodes a log record. A malformed one is void in every process,
-// so the decision depends on the bytes alone.
+// DecodeRecord decodes a log record. Whether it returns an error depends only on
+// data, since all processes must skip the same malformed records.
 func DecodeRecord(data []byte) (Record, error) {
 	if len(data) > MaxRecord {
 		return Record{}, Class.New("the record has %d bytes, at most %d are admitted", len(data), MaxRecord)
@@ -66,33 +69,34 @@
 	}
 }
 
-// ChunkToWire converts a snapshot chunk.
-func ChunkToWire(chunk fold.Chunk) *wirepb.SnapshotChunk {
+// ChunkToWire converts a snapshot chunk to its wire form.
+func ChunkToWire(chunk replay.Chunk) *wirepb.SnapshotChunk {
 	return &wirepb.SnapshotChunk{
 		Version: chunk.Version,
 		Digest:  chunk.Digest[:],
 		Index:   chunk.Index,
 		Count:   chunk.Count,
 		Data:    chunk.Data,
-		Next:    chunk.Next,
+		Next:    chunk.ResumeOffset,
 	}
 }
 
-// ChunkFromWire converts a snapshot chunk and refuses inconsistent numbers.
-func ChunkFromWire(wire *wirepb.SnapshotChunk) (fold.Chunk, error) {
+// ChunkFromWire converts a snapshot chunk from its wire form. A chunk whose
+// fields are inconsistent is an error.
+func ChunkFromWire(wire *wirepb.SnapshotChunk) (replay.Chunk, error) {
 	if len(wire.GetDigest()) != sha256.Size {
-		return fold.Chunk{}, Class.New("the snapshot chunk has a digest of %d bytes", len(wire.GetDigest()))
+		return replay.Chunk{}, Class.New("the snapshot chunk has a digest of %d bytes", len(wire.GetDigest()))
 	}
-	chunk := fold.Chunk{
-		Version: wire.GetVersion(),
-		Digest:  [sha256.Size]byte(wire.GetDigest()),
-		Index:   wire.GetIndex(),
-		Count:   wire.GetCount(),
-		Data:    wire.GetData(),
-		Next:    wire.GetNext(),
+	chunk := replay.Chunk{
+		Version:      wire.GetVersion(),
+		Digest:       [sha256.Size]byte(wire.GetDigest()),
+		Index:        wire.GetIndex(),
+		Count:        wire.GetCount(),
+		Data:         wire.GetData(),
+		ResumeOffset: wire.GetNext(),
 	}
 	if !chunk.Valid() {
-		return fold.Chunk{}, Class.New("snapshot chunk %d of %d of version %d is inconsistent", chunk.Index, chunk.Count, chunk.Version)
+		return replay.Chunk{}, Class.New("snapshot chunk %d of %d of version %d is inconsistent", chunk.Index, chunk.Count, chunk.Version)
 	}
 	return chunk, nil
 }
--- a/internal/wire/codec/state.go
+++ b/internal/wire/codec/state.go
@@ -4,12 +4,12 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/proto"
 
-	"jacinthfront.dev/jacinthfront/internal/state/fold"
-	"jacinthfront.dev/jacinthfront/internal/state/model"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
+	"jacinthfront.dev/jacinthfront/internal/state/replay"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// Field numbers of wirepb.State.
+// Field numbers of the message wirepb.State.
 const (
 	stateVersion       protowire.Number = 1
 	stateOffset        protowire.Number = 2
@@ -22,14 +22,14 @@
 	stateAccepted      protowire.Number = 10
 )
 
-// EncodeState encodes a state as a wirepb.State, entry by entry, so that no
-// second copy of the whole configuration is built. Equal states have equal
-// encodings.
-func EncodeState(state fold.State) ([]byte, error) {
+// EncodeState encodes a state as a wirepb.State. It encodes one entry at a time,
+// so that no second copy of the whole configuration is built in memory. Equal
+// states have equal encodings.
+func EncodeState(state replay.State) ([]byte, error) {
 	config := state.Config
-	encoder := encoder{data: make([]byte, 0, sizeBase+sizeAdapter*config.AdapterCount())}
+	encoder := encoder{data: make([]byte, 0, estimatedBaseSize+estimatedAdapterSize*config.AdapterCount())}
 	encoder.varint(stateVersion, config.Version())
-	encoder.varint(stateOffset, state.Offset)
+	encoder.varint(stateOffset, state.VersionOffset)
 	for _, organisation := range config.Organisations() {
 		encoder.message(stateOrganisations, organisationToWire(organisation))
 	}
@@ -48,20 +48,22 @@
 		encoder.message(stateUpstreams, upstreamToWire(upstream))
 	}
 	encoder.message(stateFleet, fleetToWire(config.Fleet()))
-	for _, id := range state.Accepted {
+	for _, id := range state.RecentPatches {
 		encoder.data = protowire.AppendTag(encoder.data, stateAccepted, protowire.BytesType)
 		encoder.data = protowire.AppendString(encoder.data, id)
 	}
 	return encoder.data, encoder.err
 }
 
-// sizeBase and sizeAdapter estimate the length of an encoded state in bytes, so
-// that the buffer seldom grows, which would double the memory in use.
+// Estimates of the size of an encoded state in bytes, without adapters and for
+// each adapter. With them the buffer seldom has to grow, which would double the
+// memory in use.
 const (
-	sizeBase    = 64 << 10
-	sizeAdapter = 64
+	estimatedBaseSize    = 64 << 10
+	estimatedAdapterSize = 64
 )
 
+// encoder appends fields to an encoded message and keeps the first error.
 type encoder struct {
 	data []byte
 	err  error
@@ -83,40 +85,41 @@
 	encoder.data, encoder.err = data, Class.Wrap(err)
 }
 
-// DecodeState decodes a state, entry by entry.
-func DecodeState(data []byte) (fold.State, error) {
-	decoder := decoder{editor: model.New().Edit()}
+// DecodeState decodes what EncodeState encoded, one entry at a time.
+func DecodeState(data []byte) (replay.State, error) {
+	decoder := decoder{editor: conf.New().Edit()}
 	for len(data) > 0 {
 		field, kind, size := protowire.ConsumeTag(data)
 		if size < 0 {
-			return fold.State{}, Class.Wrap(protowire.ParseError(size))
+			return replay.State{}, Class.Wrap(protowire.ParseError(size))
 		}
 		value := protowire.ConsumeFieldValue(field, kind, data[size:])
 		if value < 0 {
-			return fold.State{}, Class.Wrap(protowire.ParseError(value))
+			return replay.State{}, Class.Wrap(protowire.ParseError(value))
 		}
-		if err := decoder.field(field, kind, data[size:size+value]); err != nil {
-			return fold.State{}, err
+		if err := decoder.decodeField(field, kind, data[size:size+value]); err != nil {
+			return replay.State{}, err
 		}
 		data = data[size+value:]
 	}
-	if uint64(len(decoder.accepted)) > min(decoder.version, fold.Remembered) {
-		return fold.State{}, Class.New("version %d cannot have %d accepted patches", decoder.version, len(decoder.accepted))
+	if uint64(len(decoder.accepted)) > min(decoder.version, replay.MaxRecentPatches) {
+		return replay.State{}, Class.New("version %d cannot have %d accepted patches", decoder.version, len(decoder.accepted))
 	}
-	return fold.State{
-		Config: decoder.editor.Commit(decoder.version), Offset: decoder.offset, Accepted: decoder.accepted,
+	return replay.State{
+		Config: decoder.editor.Commit(decoder.version), VersionOffset: decoder.offset, RecentPatches: decoder.accepted,
 	}, nil
 }
 
+// decoder collects the decoded fields of a state.
 type decoder struct {
-	editor   *model.Editor
+	editor   *conf.Editor
 	version  uint64
 	offset   uint64
 	accepted []string
 	adapter  wirepb.Adapter
 }
 
-func (decoder *decoder) field(field protowire.Number, kind protowire.Type, value []byte) error {
+func (decoder *decoder) decodeField(field protowire.Number, kind protowire.Type, value []byte) error {
 	switch kind {
 	case protowire.VarintType:
 		number, _ := protowire.ConsumeVarint(value)
@@ -129,13 +132,13 @@
 		return nil
 	case protowire.BytesType:
 		content, _ := protowire.ConsumeBytes(value)
-		return decoder.entry(field, content)
+		return decoder.decodeEntry(field, content)
 	default:
 		return nil
 	}
 }
 
-func (decoder *decoder) entry(field protowire.Number, content []byte) error {
+func (decoder *decoder) decodeEntry(field protowire.Number, content []byte) error {
 	editor := decoder.editor
 	switch field {
 	case stateOrganisations:
@@ -145,8 +148,8 @@
 	case stateRoutes:
 		return entry(content, &wirepb.Route{}, routeFromWire, editor.PutRoute)
 	case stateAdapters:
-		// The message is used again, since there are many adapters. The editor
-		// keeps nothing of it.
+		// The message is reused to save memory, since there are many adapters. The
+		// editor keeps no reference to it.
 		return entry(content, &decoder.adapter, adapterFromWire, editor.PutAdapter)
 	case stateUpstreams:
 		return entry(content, &wirepb.Upstream{}, upstreamFromWire, editor.PutUpstream)
--- a/internal/wire/conns/conns_test.go
+++ b/internal/wire/conns/conns_test.go
@@ -28,7 +28,7 @@
 	return &wirepb.StatusResponse{Instance: "side-1"}, nil
 }
 
-// newAuthority and issue fail the test when a certificate cannot be made.
+// newAuthority returns a certificate authority, or fails the test.
 func newAuthority(t *testing.T) *certs.Authority {
 	t.Helper()
 	authority, err := certs.NewAuthority()
@@ -38,6 +38,8 @@
 	return authority
 }
 
+// issue writes a certificate of the authority and its key to a directory and
+// returns the files, or fails the test.
 func issue(t *testing.T, authority *certs.Authority, directory string, serial int64) conns.CertFiles {
 	t.Helper()
 	files, err := authority.Issue(directory, serial)
@@ -59,7 +61,7 @@
 		{"other CA", "a process with another CA must be refused", certClient(stranger), false},
 		{"no TLS", "a plain connection must be refused", func(*testing.T) func() (*tls.Config, error) { return nil }, false},
 	}
-	loaded, err := conns.NewCerts(issue(t, fleet, t.TempDir(), 2))
+	loaded, err := conns.NewCertReloader(issue(t, fleet, t.TempDir(), 2))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,7 +73,7 @@
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		_ = conns.Serve(ctx, listener, loaded.Server(), func(mux drpc.Mux) error {
+		_ = conns.Serve(ctx, listener, loaded.ServerConfig(), func(mux drpc.Mux) error {
 			return wirepb.DRPCRegisterPeer(mux, &peerServer{})
 		})
 	}()
@@ -103,8 +105,9 @@
 	return wirepb.NewDRPCPeerClient(conn).Status(ctx, &wirepb.StatusRequest{})
 }
 
-// TestNothingSent guards against a failed dial that looks like a lost answer,
-// which made non-idempotent work end as unknown.
+// TestNothingSent guards against a failed dial that is reported like a lost
+// response. Requests that are not idempotent then ended with an unknown outcome
+// instead of being sent again.
 func TestNothingSent(t *testing.T) {
 	pool := conns.New(conns.Config{Dial: func(context.Context, string) (net.Conn, error) {
 		return nil, errors.New("connection refused")
@@ -120,11 +123,11 @@
 
 func certClient(authority *certs.Authority) func(t *testing.T) func() (*tls.Config, error) {
 	return func(t *testing.T) func() (*tls.Config, error) {
-		loaded, err := conns.NewCerts(issue(t, authority, t.TempDir(), 3))
+		loaded, err := conns.NewCertReloader(issue(t, authority, t.TempDir(), 3))
 		if err != nil {
 			t.Fatal(err)
 		}
-		return loaded.Client
+		return loaded.ClientConfig
 	}
 }
 
@@ -132,7 +135,7 @@
 	fleet := newAuthority(t)
 	directory := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		loaded, err := conns.NewCerts(issue(t, fleet, directory, 10))
+		loaded, err := conns.NewCertReloader(issue(t, fleet, directory, 10))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -142,7 +145,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(11 * time.Second)
-		config, err := loaded.Client()
+		config, err := loaded.ClientConfig()
 		if err != nil {
 			t.Fatal(err)
 		}
