--- a/cmd/jacinthfront/daemons.go
+++ b/cmd/jacinthfront/daemons.go
@@ -53,7 +53,7 @@
 	ctx, stop := signalContext()
 	defer stop()
 	context.AfterFunc(ctx, stop)
-	return process.Wait(ctx)
+	return process.DrainWhenDone(ctx)
 }
 
 // checkCommand checks a settings file and prints the settings in effect.
--- a/cmd/jacinthfront/operators.go
+++ b/cmd/jacinthfront/operators.go
@@ -102,7 +102,7 @@
 	return os.ReadFile(file)
 }
 
-func reportLines(report admin.Report) []string {
+func reportLines(report admin.PatchReport) []string {
 	lines := []string{fmt.Sprintf("patch %s: %s", report.ID, report.Result)}
 	if report.Version > 0 {
 		lines = append(lines, fmt.Sprintf("version %d", report.Version))
@@ -121,7 +121,7 @@
 
 // resultError returns the error that sets the exit code for a patch that was not
 // accepted.
-func resultError(report admin.Report) error {
+func resultError(report admin.PatchReport) error {
 	switch report.Result {
 	case patch.Accepted, patch.Duplicate:
 		return nil
@@ -169,7 +169,7 @@
 // maxOpsShown bounds the operations in a line of the text format; JSON shows all.
 const maxOpsShown = 4
 
-func changeLine(change admin.Change) string {
+func changeLine(change admin.AcceptedPatch) string {
 	ops := strings.Join(change.Ops[:min(len(change.Ops), maxOpsShown)], ", ")
 	if more := len(change.Ops) - maxOpsShown; more > 0 {
 		ops += fmt.Sprintf(" and %d more", more)
--- a/cmd/testbed/bench.go
+++ b/cmd/testbed/bench.go
@@ -52,12 +52,12 @@
 		return err
 	}
 	if command.Plot != "" {
-		if err := trial.Plot(results, command.Plot); err != nil {
+		if err := trial.WritePlot(results, command.Plot); err != nil {
 			return err
 		}
 	}
 	for index := range results {
-		if !results[index].Held() {
+		if !results[index].InvariantsHeld() {
 			return errBroken
 		}
 	}
@@ -74,19 +74,19 @@
 	}
 	logger, err := logs.NewLogger(logs.Config{Level: command.LogLevel, Text: true, Instance: "bench"})
 	return trial.Config{
-		Deployment: deployment, Network: func() demo.Network { return demo.NewTCP() }, Seed: command.Seed,
-		Warmup: command.Warmup, Length: command.For, Entries: command.Entries, Logger: logger,
+		Deployment: deployment, NewNetwork: func() demo.Network { return demo.NewTCPNetwork() }, Seed: command.Seed,
+		Warmup: command.Warmup, Duration: command.For, EntryCount: command.Entries, Logger: logger,
 	}, err
 }
 
 func (command *benchCommand) run(ctx context.Context, config trial.Config) ([]trial.Result, error) {
-	scenarios, err := trial.ByName(command.Scenario)
+	scenarios, err := trial.SelectScenarios(command.Scenario)
 	if err != nil {
 		return nil, err
 	}
 	policies := []string{command.Policy}
 	if command.Policy == "all" {
-		policies = []string{trial.Naive, trial.Default}
+		policies = []string{trial.NaivePolicy, trial.DefaultPolicy}
 	}
 	var results []trial.Result
 	for _, scenario := range scenarios {
@@ -109,7 +109,7 @@
 		return encoder.Encode(benchResult{results, trial.Compare(results)})
 	}
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	for _, line := range trial.Lines(results) {
+	for _, line := range trial.FormatTables(results) {
 		if _, err := fmt.Fprintln(table, line); err != nil {
 			return err
 		}
--- a/cmd/testbed/demo.go
+++ b/cmd/testbed/demo.go
@@ -49,7 +49,7 @@
 	}
 	progress := io.Writer(os.Stderr)
 	result, err := demo.Run(ctx, demo.Config{
-		Deployment: deployment, Network: demo.NewTCP(), Policy: command.Policy, Entries: command.Entries,
+		Deployment: deployment, Network: demo.NewTCPNetwork(), Policy: command.Policy, Entries: command.Entries,
 		Seed: command.Seed, Length: command.For, Logger: logger, Progress: progress,
 	})
 	if err != nil {
@@ -82,8 +82,8 @@
 // resultLines returns the result as lines with tab-separated columns.
 func resultLines(result demo.Result) []string {
 	lines := []string{"", "PROMISE\tHELD\tSEEN"}
-	for _, promise := range result.Promises {
-		lines = append(lines, fmt.Sprintf("%s\t%s\t%s", promise.Name, yes(promise.Held), promise.Seen))
+	for _, promise := range result.Invariants {
+		lines = append(lines, fmt.Sprintf("%s\t%s\t%s", promise.Name, yes(promise.Held), promise.Observed))
 	}
 	lines = append(lines, measureLines(result.Measures)...)
 	for _, problem := range result.Problems {
@@ -95,16 +95,16 @@
 func measureLines(measures demo.Measures) []string {
 	lines := []string{
 		"", "MEASURE\tVALUE\t",
-		fmt.Sprintf("load stall per model request\t%.1f ms\t%.1f%% of requests stalled, %d loads", measures.LoadStall, 100*measures.Stalled, measures.Loads),
+		fmt.Sprintf("load stall per model request\t%.1f ms\t%.1f%% of requests stalled, %d loads", measures.LoadStall, 100*measures.StalledFraction, measures.Loads),
 		fmt.Sprintf("tokens per engine step\t%.2f\t", measures.TokensPerStep),
-		fmt.Sprintf("worst-served organisation, p95 first token\t%.0f ms\t%s", measures.Worst, measures.WorstOrganisation),
+		fmt.Sprintf("worst-served organisation, p95 first token\t%.0f ms\t%s", measures.WorstP95, measures.WorstOrganisation),
 		fmt.Sprintf("wrongful refusals\t%d\tof %d requests, %d completed, %d unknown, errors %v",
-			measures.Wrongful, measures.Sent, measures.Completed, measures.Unknown, measures.Errors),
+			measures.WrongfulRefusals, measures.Sent, measures.Completed, measures.Unknown, measures.Errors),
 		"", "ORGANISATION\tKIND\tSENT\tDONE\tREFUSED\tFIRST TOKEN p50/p95/p99\tBETWEEN TOKENS p50/p95/p99",
 	}
 	for _, group := range measures.Groups {
 		lines = append(lines, fmt.Sprintf("%s\t%s\t%d\t%d\t%d\t%s\t%s", group.Organisation, group.Kind,
-			group.Sent, group.Completed, group.Refused, latencyText(group.FirstToken), latencyText(group.Gap)))
+			group.Sent, group.Completed, group.Refused, latencyText(group.FirstToken), latencyText(group.TokenInterval)))
 	}
 	return lines
 }
@@ -123,7 +123,7 @@
 // stay keeps a deployment up and prints commands that work against it.
 func (command *demoCommand) stay(ctx context.Context, deployment demo.Deployment, logger *zap.Logger) error {
 	fleet, err := demo.NewFleet(demo.FleetConfig{
-		Deployment: deployment, Network: demo.NewTCP(), Policy: command.Policy, Entries: command.Entries, Seed: command.Seed, Logger: logger,
+		Deployment: deployment, Network: demo.NewTCPNetwork(), Policy: command.Policy, Entries: command.Entries, Seed: command.Seed, Logger: logger,
 	})
 	if err != nil {
 		return err
@@ -132,7 +132,7 @@
 	if err := fleet.Start(ctx); err != nil {
 		return err
 	}
-	for _, line := range fleet.Examples() {
+	for _, line := range fleet.ExampleCommands() {
 		fmt.Println(line)
 	}
 	<-ctx.Done()
--- a/cmd/testbed/engine.go
+++ b/cmd/testbed/engine.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/model"
+	"jacinthfront.dev/jacinthfront/internal/bench/engsim"
 )
 
 func init() {
@@ -34,17 +34,17 @@
 
 // Execute implements flags.Commander.
 func (command *engineCommand) Execute([]string) error {
-	config := model.Config{
-		Seed: command.Seed, Slots: command.Slots, BatchLimit: command.BatchLimit, WaitLimit: command.WaitLimit,
+	config := engsim.Config{
+		Seed: command.Seed, AdapterSlots: command.Slots, BatchLimit: command.BatchLimit, QueueLimit: command.WaitLimit,
 		StepBase: command.StepBase, StepPerRequest: command.StepPerRequest, StepPerAdapter: command.StepPerAdapter,
-		PromptTokenTime: command.PromptTokenTime, PromptChunk: command.PromptChunk, CacheBlocks: command.CacheBlocks,
-		ReportLag: command.ReportLag, EventLag: command.EventLag, EventLoss: command.EventLoss,
+		PromptTokenTime: command.PromptTokenTime, PrefillChunk: command.PromptChunk, CacheBlocks: command.CacheBlocks,
+		ReportLag: command.ReportLag, CacheEventLag: command.EventLag, CacheEventLoss: command.EventLoss,
 		Fencing: command.Fencing, UnloadInUse: command.UnloadInUse, ResumeRetention: command.ResumeRetention,
 	}
 	if command.Platform != "" {
-		config.Weights = model.RemoteWeights{URL: command.Platform}
+		config.WeightStore = engsim.HTTPWeightStore{URL: command.Platform}
 	}
-	engine, err := model.New(config)
+	engine, err := engsim.New(config)
 	if err != nil {
 		return err
 	}
--- a/cmd/testbed/platform.go
+++ b/cmd/testbed/platform.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
 func init() {
@@ -26,10 +26,10 @@
 
 // Execute implements flags.Commander.
 func (command *platformCommand) Execute([]string) error {
-	platform, err := plat.New(plat.Config{
+	platform, err := infra.New(infra.Config{
 		Seed: command.Seed, Retention: command.Retention, AppendRate: command.AppendRate,
 		LoadRate: command.LoadRate, LoadBurst: command.LoadBurst, LoadTime: command.LoadTime,
-		LoadsAtFullSpeed: command.LoadsAtFullSpeed, ListLag: command.ListLag, ListLagSpread: command.ListLagSpread,
+		LoadsAtFullSpeed: command.LoadsAtFullSpeed, ListLag: command.ListLag, ListLagJitter: command.ListLagSpread,
 	})
 	if err != nil {
 		return err
--- a/cmd/testbed/proof.go
+++ b/cmd/testbed/proof.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/proof"
+	"jacinthfront.dev/jacinthfront/internal/bench/chaos"
 )
 
 // proofCommand runs schedules of failures in virtual time.
@@ -19,7 +19,7 @@
 	Seed  uint64 `long:"seed" description:"run this seed only and print all that happened"`
 
 	mutex   sync.Mutex
-	totals  proof.Totals
+	totals  chaos.Totals
 	failing []uint64
 }
 
@@ -55,7 +55,7 @@
 }
 
 func (command *proofCommand) runOne(t *testing.T, seed uint64) {
-	report, err := proof.Run(t.Context(), proof.Generate(seed))
+	report, err := chaos.Run(t.Context(), chaos.Generate(seed))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/testbed/slopes.go
+++ b/cmd/testbed/slopes.go
@@ -23,7 +23,7 @@
 func (command *slopesCommand) Execute([]string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	results, err := slope.Run(ctx, slope.Config{Only: command.Only, Quick: command.Quick, Progress: os.Stderr})
+	results, err := slope.Run(ctx, slope.Config{NamePrefix: command.Only, Quick: command.Quick, Progress: os.Stderr})
 	if err != nil {
 		return err
 	}
@@ -35,8 +35,8 @@
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "ROW\tUNIT\tPER\tSLOPE\tINTERCEPT\tSPREAD\tTARGET\tAT TARGET")
 	for _, result := range results {
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%.4g\t%.4g\t%.3g\t%s\n", result.Name, result.Unit, result.Size,
-			result.Line.Slope, result.Line.Intercept, result.Line.Spread, targetText(result))
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%.4g\t%.4g\t%.3g\t%s\n", result.Name, result.Unit, result.SizeName,
+			result.Line.Slope, result.Line.Intercept, result.Line.ResidualStdDev, targetText(result))
 	}
 	return table.Flush()
 }
--- a/internal/bench/proof/caller.go
+++ b/internal/bench/chaos/caller.go
@@ -1,4 +1,4 @@
-package proof
+package chaos
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/model"
+	"jacinthfront.dev/jacinthfront/internal/bench/engsim"
 )
 
 // Answer is what a caller got for one sending of a request.
@@ -189,8 +189,8 @@
 	return http.MethodPost, path, body
 }
 
-func (request Request) messages() []model.Message {
-	return []model.Message{{Role: "user", Content: request.prompt()}}
+func (request Request) messages() []engsim.Message {
+	return []engsim.Message{{Role: "user", Content: request.prompt()}}
 }
 
 func (request Request) orderBody() []byte {
--- a/internal/bench/proof/proof.go
+++ b/internal/bench/chaos/chaos.go
@@ -1,7 +1,7 @@
-// Package proof runs a small deployment under seeded combinations of failures
+// Package chaos runs a small deployment under seeded combinations of failures
 // and compares what callers, upstreams and the platform's log saw with the
 // invariants and with a naive single-process version.
-package proof
+package chaos
 
 import (
 	"context"
--- a/internal/bench/proof/proof_test.go
+++ b/internal/bench/chaos/chaos_test.go
@@ -1,4 +1,4 @@
-package proof
+package chaos
 
 import (
 	"flag"
@@ -8,7 +8,7 @@
 	"testing"
 	"testing/synctest"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/known"
+	"jacinthfront.dev/jacinthfront/internal/bench/xfail"
 )
 
 var (
@@ -25,7 +25,7 @@
 		for seed := *from; seed < *from+*seeds; seed++ {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				known.Skip(t)
+				xfail.SkipIfListed(t)
 				synctest.Test(t, func(t *testing.T) {
 					report, err := Run(t.Context(), Generate(seed))
 					if err != nil {
--- a/internal/bench/proof/failures.go
+++ b/internal/bench/chaos/failures.go
@@ -1,13 +1,13 @@
-package proof
+package chaos
 
 import (
 	"context"
 	"fmt"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/model"
+	"jacinthfront.dev/jacinthfront/internal/bench/engsim"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 	"jacinthfront.dev/jacinthfront/internal/bench/plain"
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
 )
 
 // failure is a kind of failure. A gentle one must not cost any request more
@@ -210,22 +210,22 @@
 	world.network.Lose(way, 0)
 }
 
-func (world *world) serviceFault(ctx context.Context, failure Failure, fault *plat.Fault) {
+func (world *world) serviceFault(ctx context.Context, failure Failure, fault *infra.Fault) {
 	service := world.services[failure.Pick%uint64(len(world.services))]
-	fault.For = plat.Duration(failure.For)
+	fault.For = infra.Duration(failure.For)
 	world.note("service %d: %s", failure.Pick%uint64(len(world.services))+1, fault.Mode)
-	if err := service.Control(plain.Control{Calls: fault}); err != nil {
+	if err := service.ApplyControl(plain.ControlRequest{CallFault: fault}); err != nil {
 		world.problem("%v", err)
 	}
 	_ = pause(ctx, failure.For)
 }
 
 func (world *world) loseServiceReplies(ctx context.Context, failure Failure) {
-	world.serviceFault(ctx, failure, &plat.Fault{Mode: plain.ModeCutAfter, Share: 0.6})
+	world.serviceFault(ctx, failure, &infra.Fault{Mode: plain.ModeCutAfter, Fraction: 0.6})
 }
 
 func (world *world) loseServiceCalls(ctx context.Context, failure Failure) {
-	world.serviceFault(ctx, failure, &plat.Fault{Mode: plain.ModeCutBefore, Share: 0.6})
+	world.serviceFault(ctx, failure, &infra.Fault{Mode: plain.ModeCutBefore, Fraction: 0.6})
 }
 
 // delayReplies delays the replies on new connections by different times, so
@@ -248,34 +248,34 @@
 	}
 }
 
-func (world *world) engineFault(ctx context.Context, failure Failure, control model.Control) {
+func (world *world) engineFault(ctx context.Context, failure Failure, control engsim.ControlRequest) {
 	number := failure.Pick % engineCount
 	world.note("engine %d: %+v", number+1, control)
-	if err := world.engines[number].Control(control); err != nil {
+	if err := world.engines[number].ApplyControl(control); err != nil {
 		world.problem("%v", err)
 	}
 	_ = pause(ctx, failure.For)
 }
 
 func (world *world) restartEngine(ctx context.Context, failure Failure) {
-	world.engineFault(ctx, failure, model.Control{Restart: &model.Restart{DownFor: plat.Duration(failure.For / 3)}})
+	world.engineFault(ctx, failure, engsim.ControlRequest{Restart: &engsim.Restart{DownFor: infra.Duration(failure.For / 3)}})
 }
 
 func (world *world) freezeEngine(ctx context.Context, failure Failure) {
-	world.engineFault(ctx, failure, model.Control{Freeze: plat.Duration(failure.For)})
+	world.engineFault(ctx, failure, engsim.ControlRequest{Freeze: infra.Duration(failure.For)})
 }
 
 func (world *world) breakStreams(ctx context.Context, failure Failure) {
-	fault := &plat.Fault{Mode: model.ModeCutStream, For: plat.Duration(failure.For), Share: 0.7, After: int(failure.Pick >> 8 % 7)}
-	world.engineFault(ctx, failure, model.Control{Break: true, Calls: fault})
+	fault := &infra.Fault{Mode: engsim.ModeCutStream, For: infra.Duration(failure.For), Fraction: 0.7, AfterTokens: int(failure.Pick >> 8 % 7)}
+	world.engineFault(ctx, failure, engsim.ControlRequest{BreakStreams: true, CompletionFault: fault})
 }
 
 func (world *world) loseEngineCalls(ctx context.Context, failure Failure) {
-	fault := &plat.Fault{Mode: model.ModeCutBefore, For: plat.Duration(failure.For), Share: 0.5}
-	world.engineFault(ctx, failure, model.Control{Calls: fault})
+	fault := &infra.Fault{Mode: engsim.ModeCutBefore, For: infra.Duration(failure.For), Fraction: 0.5}
+	world.engineFault(ctx, failure, engsim.ControlRequest{CompletionFault: fault})
 }
 
 func (world *world) failLoads(ctx context.Context, failure Failure) {
-	fault := &plat.Fault{Mode: model.ModeFailing, For: plat.Duration(failure.For), Share: 0.7}
-	world.engineFault(ctx, failure, model.Control{Loads: fault})
+	fault := &infra.Fault{Mode: engsim.ModeFailing, For: infra.Duration(failure.For), Fraction: 0.7}
+	world.engineFault(ctx, failure, engsim.ControlRequest{LoadFault: fault})
 }
--- a/internal/bench/proof/link.go
+++ b/internal/bench/chaos/link.go
@@ -1,4 +1,4 @@
-package proof
+package chaos
 
 import (
 	"bytes"
--- a/internal/bench/proof/naive.go
+++ b/internal/bench/chaos/naive.go
@@ -1,12 +1,12 @@
-package proof
+package chaos
 
 import (
 	"encoding/json"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/model"
+	"jacinthfront.dev/jacinthfront/internal/bench/engsim"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 	"jacinthfront.dev/jacinthfront/internal/bench/plain"
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
 	config "jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
@@ -22,7 +22,7 @@
 
 // foldNaively returns the accepted patches of the log in order. All patches of
 // the schedules are valid, so only their ids and bases decide.
-func foldNaively(records []plat.Record) []version {
+func foldNaively(records []infra.Record) []version {
 	var versions []version
 	seen := map[string]bool{}
 	raceWait := time.Duration(0)
@@ -75,15 +75,15 @@
 	}
 	prompt := request.prompt()
 	if request.Kind == Chat {
-		prompt = model.ChatPrompt(request.messages())
+		prompt = engsim.ChatPrompt(request.messages())
 	}
-	_, finish = model.AnswerLength(adapter, version, prompt, request.maxTokens())
-	return model.Answer(adapter, version, prompt, request.maxTokens()), finish
+	_, finish = engsim.AnswerLength(adapter, version, prompt, request.maxTokens())
+	return engsim.AnswerText(adapter, version, prompt, request.maxTokens()), finish
 }
 
 // plainResult returns the result in a plain service's answer.
 func plainResult(body string) string {
-	var reply plain.Reply
+	var reply plain.Response
 	if err := json.Unmarshal([]byte(body), &reply); err != nil {
 		return "unreadable: " + body
 	}
@@ -109,7 +109,7 @@
 func (world *world) dispatches() []dispatch {
 	var all []dispatch
 	for index, engine := range world.engines {
-		for _, start := range engine.Observed().Starts {
+		for _, start := range engine.Observed().AcceptedRequests {
 			found := dispatch{
 				upstream: index, at: start.Accepted, id: start.RequestID, organisation: start.Organisation,
 				adapter: start.Adapter, version: start.Version, tokens: start.PromptTokens + start.GeneratedTokens, effect: true,
--- a/internal/bench/proof/network.go
+++ b/internal/bench/chaos/network.go
@@ -1,4 +1,4 @@
-package proof
+package chaos
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
 // direction is what flows from one named process to another.
@@ -16,7 +16,7 @@
 // Network is an in-memory network between named processes. It buffers what is
 // sent, as TCP does, and can hold, delay, lose and cut it.
 type Network struct {
-	loopback *plat.Loopback
+	loopback *infra.PipeNetwork
 
 	mutex   sync.Mutex
 	random  *rand.Rand
@@ -35,7 +35,7 @@
 // NewNetwork returns a network whose delays follow from the seed.
 func NewNetwork(seed uint64) *Network {
 	return &Network{
-		loopback: plat.NewLoopback(), random: rand.New(rand.NewPCG(seed, 7)),
+		loopback: infra.NewPipeNetwork(), random: rand.New(rand.NewPCG(seed, 7)),
 		owners: map[string]string{}, links: map[*link]struct{}{}, paused: map[string]int{}, held: map[direction]int{},
 		delays: map[direction]time.Duration{}, losses: map[direction]int{}, exempt: map[direction]bool{},
 		changed: make(chan struct{}),
--- a/internal/bench/proof/operate.go
+++ b/internal/bench/chaos/operate.go
@@ -1,4 +1,4 @@
-package proof
+package chaos
 
 import (
 	"bytes"
@@ -24,7 +24,7 @@
 	processes := world.processes()
 	for offset := range processes {
 		if running := processes[(pick+offset)%len(processes)].current(); running != nil {
-			return running.Version()
+			return running.ConfigVersion()
 		}
 	}
 	return 0
--- a/internal/bench/proof/platform.go
+++ b/internal/bench/chaos/platform.go
@@ -1,15 +1,15 @@
-package proof
+package chaos
 
 import (
 	"context"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 	config "jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 )
 
-func (world *world) control(control plat.Control) {
+func (world *world) control(control infra.Control) {
 	if err := world.platform.Control(control); err != nil {
 		world.problem("%v", err)
 	}
@@ -20,38 +20,38 @@
 }
 
 func (world *world) logOut(ctx context.Context, failure Failure) {
-	mode := []string{plat.ModeDown, plat.ModeRefusing}[failure.Pick%2]
+	mode := []string{infra.ModeDown, infra.ModeRefusing}[failure.Pick%2]
 	world.note("log %s", mode)
 	world.mutex.Lock()
 	world.logDown = window{time.Now(), time.Now().Add(failure.For)}
 	world.mutex.Unlock()
-	world.control(plat.Control{Log: &plat.Fault{Mode: mode, For: plat.Duration(failure.For)}})
+	world.control(infra.Control{Log: &infra.Fault{Mode: mode, For: infra.Duration(failure.For)}})
 	_ = pause(ctx, failure.For)
 }
 
 func (world *world) loseLogReplies(ctx context.Context, failure Failure) {
 	world.note("log replies lost")
-	world.control(plat.Control{Log: &plat.Fault{Mode: plat.ModeLostReplies, For: plat.Duration(failure.For), Share: 0.7}})
+	world.control(infra.Control{Log: &infra.Fault{Mode: infra.ModeLostReplies, For: infra.Duration(failure.For), Fraction: 0.7}})
 	_ = pause(ctx, failure.For)
 }
 
 func (world *world) slowLog(ctx context.Context, failure Failure) {
 	world.note("log slow")
-	fault := &plat.Fault{Mode: plat.ModeSlow, Delay: plat.Duration(500 * time.Millisecond), For: plat.Duration(failure.For)}
-	world.control(plat.Control{Log: fault})
+	fault := &infra.Fault{Mode: infra.ModeSlow, Delay: infra.Duration(500 * time.Millisecond), For: infra.Duration(failure.For)}
+	world.control(infra.Control{Log: fault})
 	_ = pause(ctx, failure.For)
 }
 
 func (world *world) slowStore(ctx context.Context, failure Failure) {
 	world.note("store slow")
-	fault := &plat.Fault{Mode: plat.ModeSlow, Delay: plat.Duration(time.Second), For: plat.Duration(failure.For)}
-	world.control(plat.Control{Store: fault})
+	fault := &infra.Fault{Mode: infra.ModeSlow, Delay: infra.Duration(time.Second), For: infra.Duration(failure.For)}
+	world.control(infra.Control{Store: fault})
 	_ = pause(ctx, failure.For)
 }
 
 func (world *world) listFault(ctx context.Context, failure Failure, mode string) {
 	world.note("list %s", mode)
-	world.control(plat.Control{List: &plat.Fault{Mode: mode, For: plat.Duration(failure.For)}})
+	world.control(infra.Control{List: &infra.Fault{Mode: mode, For: infra.Duration(failure.For)}})
 	world.mutex.Lock()
 	world.listStale = window{time.Now(), time.Now().Add(failure.For)}
 	world.mutex.Unlock()
@@ -59,21 +59,21 @@
 }
 
 func (world *world) staleList(ctx context.Context, failure Failure) {
-	world.listFault(ctx, failure, plat.ModeStale)
+	world.listFault(ctx, failure, infra.ModeStale)
 }
 
 // returningList lets instances that are gone return to the list.
 func (world *world) returningList(ctx context.Context, failure Failure) {
-	gone := plat.Instance{
+	gone := infra.Instance{
 		ID: "side-gone", Role: "side", Upstream: world.upstreams[failure.Pick%uint64(len(world.upstreams))],
 		Address: world.address("side-gone", peersPort), FailureDomain: "domain-a",
 	}
-	if err := world.platform.Announce(gone); err != nil {
+	if err := world.platform.PutInstance(gone); err != nil {
 		world.problem("%v", err)
 	}
 	_ = pause(ctx, 100*time.Millisecond)
-	world.platform.Remove(gone.ID)
-	world.listFault(ctx, failure, plat.ModeReturning)
+	world.platform.RemoveInstance(gone.ID)
+	world.listFault(ctx, failure, infra.ModeShowRemoved)
 }
 
 // raceOperators lets three operators change the same things at once.
@@ -113,7 +113,7 @@
 
 func (world *world) announceLeaving(process *process) {
 	world.note("%s leaves", process.name)
-	process.state = plat.StateLeaving
+	process.state = infra.StateDraining
 	if err := process.announce(); err != nil {
 		world.problem("%v", err)
 	}
@@ -146,5 +146,5 @@
 	world.mutex.Lock()
 	world.stopped = append(world.stopped, stop{process.name, err})
 	world.mutex.Unlock()
-	world.platform.Remove(process.name)
+	world.platform.RemoveInstance(process.name)
 }
--- a/internal/bench/proof/process.go
+++ b/internal/bench/chaos/process.go
@@ -1,4 +1,4 @@
-package proof
+package chaos
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/base/setup"
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 	"jacinthfront.dev/jacinthfront/internal/daemon/start"
 )
 
@@ -112,17 +112,17 @@
 // announce puts the process on the instance list in its state.
 func (process *process) announce() error {
 	if process.state == "" {
-		process.state = plat.StateLive
+		process.state = infra.StateLive
 	}
-	return process.world.platform.Announce(process.listed(process.state))
+	return process.world.platform.PutInstance(process.listed(process.state))
 }
 
-func (process *process) listed(state string) plat.Instance {
+func (process *process) listed(state string) infra.Instance {
 	role := "entry"
 	if process.upstream != "" {
 		role = "side"
 	}
-	return plat.Instance{
+	return infra.Instance{
 		ID: process.name, Role: role, Upstream: process.upstream, Address: process.world.address(process.name, peersPort),
 		FailureDomain: "domain-a", State: state,
 	}
--- a/internal/bench/proof/processes_test.go
+++ b/internal/bench/chaos/processes_test.go
@@ -1,4 +1,4 @@
-package proof
+package chaos
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
 const (
@@ -161,7 +161,7 @@
 			}
 		}
 	}()
-	process.state = plat.StateLive
+	process.state = infra.StateLive
 	if err := process.announce(); err != nil {
 		system.t.Error(err)
 	}
@@ -231,7 +231,7 @@
 		if system.upstreams[index] != process.upstream {
 			continue
 		}
-		for _, start := range engine.Observed().Starts {
+		for _, start := range engine.Observed().AcceptedRequests {
 			if start.Ended.After(begin) && start.Outcome != "finished" {
 				system.t.Errorf("SIGTERM of %s cut a request: %+v", process.name, start)
 			}
--- a/internal/bench/proof/world.go
+++ b/internal/bench/chaos/world.go
@@ -1,4 +1,4 @@
-package proof
+package chaos
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 
 	"go.uber.org/zap"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/model"
+	"jacinthfront.dev/jacinthfront/internal/bench/engsim"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 	"jacinthfront.dev/jacinthfront/internal/bench/plain"
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
 )
 
 const (
@@ -42,8 +42,8 @@
 	network  *Network
 	logger   *zap.Logger
 	lines    *lineScan
-	platform *plat.Platform
-	engines  []*model.Engine
+	platform *infra.Platform
+	engines  []*engsim.Engine
 	services []*plain.Service
 	// upstreams holds the upstreams' names, engines first.
 	upstreams []string
@@ -131,9 +131,9 @@
 }
 
 func (world *world) startStandIns() error {
-	config := plat.DefaultConfig()
-	config.Seed, config.ListLagSpread, config.LoadRate = world.schedule.Seed, 200*time.Millisecond, 20
-	platform, err := plat.New(config)
+	config := infra.DefaultConfig()
+	config.Seed, config.ListLagJitter, config.LoadRate = world.schedule.Seed, 200*time.Millisecond, 20
+	platform, err := infra.New(config)
 	if err != nil {
 		return err
 	}
@@ -164,17 +164,17 @@
 
 func (world *world) startEngine(index int) error {
 	name := fmt.Sprintf("%s-%d", modelService, index+1)
-	config := model.DefaultConfig()
-	config.Seed, config.Weights, config.Slots = world.schedule.Seed+uint64(index), world.platform, engineSlots
+	config := engsim.DefaultConfig()
+	config.Seed, config.WeightStore, config.AdapterSlots = world.schedule.Seed+uint64(index), world.platform, engineSlots
 	// Engines that ignore fencing tokens and perform every order show what
 	// only our own side prevents.
 	if (world.schedule.Seed+uint64(index))%2 == 0 {
-		config.Fencing, config.UnloadInUse = model.FencingIgnored, model.UnloadPerform
+		config.Fencing, config.UnloadInUse = engsim.FencingIgnored, engsim.UnloadPerform
 	}
 	if (world.schedule.Seed/2+uint64(index))%3 == 0 {
 		config.ResumeRetention = 0
 	}
-	engine, err := model.New(config)
+	engine, err := engsim.New(config)
 	if err != nil {
 		return err
 	}
--- a/internal/bench/demo/check.go
+++ b/internal/bench/demo/check.go
@@ -6,20 +6,20 @@
 	"slices"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/load"
+	"jacinthfront.dev/jacinthfront/internal/bench/reqgen"
 )
 
-// Promise is one of the required invariants with what an observer outside our
+// Invariant is one of the required invariants with what an observer outside our
 // processes saw of it.
-type Promise struct {
+type Invariant struct {
 	Name string `json:"promise"`
 	Held bool   `json:"held"`
-	// Seen says what was counted, and how often.
-	Seen string `json:"seen"`
+	// Observed says what was counted, and how often.
+	Observed string `json:"seen"`
 }
 
-func promise(name string, violations int, format string, args ...any) Promise {
-	return Promise{Name: name, Held: violations == 0, Seen: fmt.Sprintf(format, args...)}
+func promise(name string, violations int, format string, args ...any) Invariant {
+	return Invariant{Name: name, Held: violations == 0, Observed: fmt.Sprintf(format, args...)}
 }
 
 // dispatch is one request that an upstream received.
@@ -50,7 +50,7 @@
 func (fleet *Fleet) dispatches() map[string][]dispatch {
 	result := map[string][]dispatch{}
 	for _, engine := range fleet.engines {
-		for _, start := range engine.Observed().Starts {
+		for _, start := range engine.Observed().AcceptedRequests {
 			result[start.Organisation] = append(result[start.Organisation],
 				dispatch{time: start.Accepted, tokens: float64(start.PromptTokens + start.GeneratedTokens)})
 		}
@@ -63,39 +63,39 @@
 	return result
 }
 
-// Check compares what the stand-ins and the callers saw with the promises.
-func (fleet *Fleet) Check(report *load.Report, events *Events) []Promise {
+// CheckInvariants compares what the stand-ins and the callers saw with the promises.
+func (fleet *Fleet) CheckInvariants(report *reqgen.Report, events *Events) []Invariant {
 	total := checked(report)
-	promises := fleet.CheckLoad(report)
+	promises := fleet.CheckLoadInvariants(report)
 	return append(promises, fleet.checkIsolation(events), events.checkWithdrawal(),
 		fleet.checkLeaving(events), events.checkStops(total), events.checkConfiguration())
 }
 
-// CheckLoad checks the promises that do not depend on operators' actions.
-func (fleet *Fleet) CheckLoad(report *load.Report) []Promise {
+// CheckLoadInvariants checks the promises that do not depend on operators' actions.
+func (fleet *Fleet) CheckLoadInvariants(report *reqgen.Report) []Invariant {
 	total := checked(report)
-	promises := []Promise{
-		promise("a request runs on its adapter and version", int(total.Wrong), "%d of %d complete answers had another text", total.Wrong, total.Completed),
+	promises := []Invariant{
+		promise("a request runs on its adapter and version", int(total.WrongText), "%d of %d complete answers had another text", total.WrongText, total.Completed),
 		fleet.checkEvictions(),
 		fleet.checkForeign(),
 		fleet.checkKeys(),
 		fleet.checkShares(),
-		promise("a caller receives its whole answer", int(total.Broken), "%d of %d answers were cut", total.Broken, total.Sent),
+		promise("a caller receives its whole answer", int(total.Incomplete), "%d of %d answers were cut", total.Incomplete, total.Sent),
 	}
 	return append(promises, fleet.checkBookings(report)...)
 }
 
 // checked sums the counts of all requests, the warm-up time included.
-func checked(report *load.Report) load.Series {
+func checked(report *reqgen.Report) reqgen.Series {
 	total, warmup := report.Total(), report.Warmup()
 	total.Sent += warmup.Sent
 	total.Completed += warmup.Completed
-	total.Broken += warmup.Broken
-	total.Wrong += warmup.Wrong
+	total.Incomplete += warmup.Incomplete
+	total.WrongText += warmup.WrongText
 	return total
 }
 
-func (fleet *Fleet) checkEvictions() Promise {
+func (fleet *Fleet) checkEvictions() Invariant {
 	violations, loads := 0, 0
 	for _, engine := range fleet.engines {
 		observed := engine.Observed()
@@ -105,12 +105,12 @@
 	return promise("an adapter in use is never evicted", violations, "%d orders to unload an adapter in use among %d loads", violations, loads)
 }
 
-func (fleet *Fleet) checkForeign() Promise {
+func (fleet *Fleet) checkForeign() Invariant {
 	foreign, starts := 0, 0
 	for _, engine := range fleet.engines {
-		for _, start := range engine.Observed().Starts {
+		for _, start := range engine.Observed().AcceptedRequests {
 			starts++
-			if load.AdapterOwner(start.Adapter) != start.Organisation {
+			if reqgen.AdapterOwner(start.Adapter) != start.Organisation {
 				foreign++
 			}
 		}
@@ -118,11 +118,11 @@
 	return promise("a request runs only for its key's organisation", foreign, "%d of %d runs were of another organisation's adapter", foreign, starts)
 }
 
-func (*Fleet) checkIsolation(events *Events) Promise {
+func (*Fleet) checkIsolation(events *Events) Invariant {
 	return promise("another organisation's adapter is refused", events.foreignRuns, "%d of %d probes ran", events.foreignRuns, events.probes)
 }
 
-func (fleet *Fleet) checkKeys() Promise {
+func (fleet *Fleet) checkKeys() Invariant {
 	leaks := 0
 	for _, engine := range fleet.engines {
 		leaks += len(engine.Observed().KeyLeaks)
@@ -133,7 +133,7 @@
 	return promise("no upstream sees a caller's key", leaks, "%d places with a key in what upstreams received", leaks)
 }
 
-func (fleet *Fleet) checkShares() Promise {
+func (fleet *Fleet) checkShares() Invariant {
 	worst, violations := 0.0, 0
 	dispatches := fleet.dispatches()
 	for _, organisation := range fleet.plan.Organisations {
@@ -146,7 +146,7 @@
 	return promise("no organisation exceeds its rate and burst", violations, "largest excess over any interval %.0f tokens", worst)
 }
 
-func (fleet *Fleet) checkBookings(report *load.Report) []Promise {
+func (fleet *Fleet) checkBookings(report *reqgen.Report) []Invariant {
 	effects := map[string]int{}
 	for _, service := range fleet.plains {
 		for _, call := range service.Observed().Calls {
@@ -161,7 +161,7 @@
 			doubled++
 		}
 	}
-	notRun := report.NotRun()
+	notRun := report.NotRunBookings()
 	for _, booking := range notRun {
 		if effects["/orders/"+booking] > 0 {
 			untrue++
@@ -173,7 +173,7 @@
 			lost++
 		}
 	}
-	return []Promise{
+	return []Invariant{
 		promise("a refusal that says not-run is true", untrue, "%d of %d bookings refused as not-run had an effect", untrue, len(notRun)),
 		promise("non-idempotent work runs at most once", doubled+lost, "%d of %d bookings had more than one effect, %d answered ones had none", doubled, len(effects), lost),
 	}
@@ -182,10 +182,10 @@
 // leavingBound is how long a leaving upstream may receive new work.
 const leavingBound = 3 * time.Second
 
-func (fleet *Fleet) checkLeaving(events *Events) Promise {
+func (fleet *Fleet) checkLeaving(events *Events) Invariant {
 	late := 0
 	if !events.leftAt.IsZero() {
-		for _, start := range fleet.engines[events.left].Observed().Starts {
+		for _, start := range fleet.engines[events.left].Observed().AcceptedRequests {
 			if start.Accepted.Sub(events.leftAt) > leavingBound {
 				late++
 			}
--- a/internal/bench/demo/config.go
+++ b/internal/bench/demo/config.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/load"
+	"jacinthfront.dev/jacinthfront/internal/bench/reqgen"
 	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/creds"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
@@ -36,7 +36,7 @@
 
 // initialPatches returns the configuration as patches on versions 0, 1, …, and
 // sets the keys of the plan's organisations.
-func (deployment Deployment) initialPatches(plan *load.Plan) []patch.Patch {
+func (deployment Deployment) initialPatches(plan *reqgen.Plan) []patch.Patch {
 	ops := deployment.upstreamOps()
 	ops = append(ops, deployment.routeOps()...)
 	for index := range plan.Organisations {
@@ -54,13 +54,13 @@
 
 func (deployment Deployment) upstreamOps() []patch.Op {
 	var ops []patch.Op
-	for index := range deployment.Runners {
+	for index := range deployment.Engines {
 		ops = append(ops, patch.PutUpstream{Upstream: conf.UpstreamSpec{
 			ID: deployment.runnerID(index), Service: deployment.ModelService,
 			FailureDomain: deployment.domain(index), FencingChecked: true,
 		}})
 	}
-	for index := range deployment.Plains {
+	for index := range deployment.PlainUpstreams {
 		ops = append(ops, patch.PutUpstream{Upstream: conf.UpstreamSpec{
 			ID: deployment.plainID(index), Service: deployment.PlainService, Plain: true, FailureDomain: deployment.domain(index),
 		}})
@@ -85,12 +85,12 @@
 	return ops
 }
 
-func (deployment Deployment) adapterPatches(organisations []load.Organisation) []patch.Patch {
+func (deployment Deployment) adapterPatches(organisations []reqgen.Organisation) []patch.Patch {
 	var ops []patch.Op
 	for _, organisation := range organisations {
-		for index := range organisation.Adapters {
+		for index := range organisation.AdapterCount {
 			ops = append(ops, patch.PutAdapter{Adapter: conf.AdapterSpec{
-				Name: load.AdapterName(organisation.Name, index), Organisation: organisation.Name,
+				Name: reqgen.AdapterName(organisation.Name, index), Organisation: organisation.Name,
 				Service: deployment.ModelService, Versions: []uint32{adapterVersion}, DefaultVersion: adapterVersion,
 			}})
 		}
--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -9,8 +9,8 @@
 	"go.uber.org/zap"
 
 	"jacinthfront.dev/jacinthfront/internal/base/setup"
-	"jacinthfront.dev/jacinthfront/internal/bench/load"
-	"jacinthfront.dev/jacinthfront/internal/bench/model"
+	"jacinthfront.dev/jacinthfront/internal/bench/engsim"
+	"jacinthfront.dev/jacinthfront/internal/bench/reqgen"
 )
 
 // Config configures a demo run.
@@ -29,17 +29,17 @@
 
 // Result is the outcome of a demo run.
 type Result struct {
-	Deployment string    `json:"deployment"`
-	Seed       uint64    `json:"seed"`
-	Length     string    `json:"length"`
-	Promises   []Promise `json:"promises"`
-	Measures   Measures  `json:"measures"`
-	Problems   []string  `json:"problems"`
+	Deployment string      `json:"deployment"`
+	Seed       uint64      `json:"seed"`
+	Length     string      `json:"length"`
+	Invariants []Invariant `json:"promises"`
+	Measures   Measures    `json:"measures"`
+	Problems   []string    `json:"problems"`
 }
 
 // Held reports whether all promises held.
 func (result Result) Held() bool {
-	for _, promise := range result.Promises {
+	for _, promise := range result.Invariants {
 		if !promise.Held {
 			return false
 		}
@@ -61,8 +61,8 @@
 	if err := fleet.Start(ctx); err != nil {
 		return Result{}, err
 	}
-	generator := load.New(load.Config{
-		Entries: fleet.Entries, Client: fleet.client, Plan: fleet.plan, Seed: config.Seed, Expect: Expect,
+	generator := reqgen.New(reqgen.Config{
+		EntryURLs: fleet.EntryURLs, Client: fleet.client, Plan: fleet.plan, Seed: config.Seed, ExpectedToken: ExpectedToken,
 	})
 	stopProgress := showProgress(config.Progress, generator.Report())
 	acted := make(chan *Events, 1)
@@ -76,17 +76,17 @@
 	report := generator.Report()
 	return Result{
 		Deployment: config.Deployment.Name, Seed: config.Seed, Length: config.Length.String(),
-		Promises: fleet.Check(report, events), Measures: fleet.Measure(report), Problems: report.Problems(),
+		Invariants: fleet.CheckInvariants(report, events), Measures: fleet.Measure(report), Problems: report.Problems(),
 	}, nil
 }
 
-// Expect returns the text of a token as the engine stand-in generates it.
-func Expect(adapter string, version uint32, prompt string, index int) string {
-	return model.Token(adapter, version, prompt, int64(index))
+// ExpectedToken returns the text of a token as the engine stand-in generates it.
+func ExpectedToken(adapter string, version uint32, prompt string, index int) string {
+	return engsim.TokenText(adapter, version, prompt, int64(index))
 }
 
 // showProgress writes a line a second until the returned function is called.
-func showProgress(writer io.Writer, report *load.Report) func() {
+func showProgress(writer io.Writer, report *reqgen.Report) func() {
 	if writer == nil {
 		return func() {}
 	}
@@ -103,7 +103,7 @@
 			case <-ticker.C:
 				total := report.Total()
 				_, _ = fmt.Fprintf(writer, "%3d s: %d answered, %d completed, %d refused, %d unknown, %d cut, %d wrong\n",
-					second, total.Sent, total.Completed, total.Refused, total.Unknown, total.Broken, total.Wrong)
+					second, total.Sent, total.Completed, total.Refused, total.UnknownEffect, total.Incomplete, total.WrongText)
 			}
 		}
 	}()
@@ -113,12 +113,12 @@
 	}
 }
 
-// Examples returns shell commands that work against the running deployment.
-func (fleet *Fleet) Examples() []string {
+// ExampleCommands returns shell commands that work against the running deployment.
+func (fleet *Fleet) ExampleCommands() []string {
 	organisation := fleet.plan.Organisations[0]
-	base := fleet.Entries()[0]
+	base := fleet.EntryURLs()[0]
 	header := fmt.Sprintf("-H 'Authorization: Bearer %s' -H 'Content-Type: application/json'", organisation.Key)
-	adapter := load.AdapterName(organisation.Name, 0)
+	adapter := reqgen.AdapterName(organisation.Name, 0)
 	fleet.mu.Lock()
 	operators := fleet.entries[0].operators
 	fleet.mu.Unlock()
--- a/internal/bench/demo/demo_test.go
+++ b/internal/bench/demo/demo_test.go
@@ -11,10 +11,10 @@
 
 // small returns a deployment that runs quickly in virtual time.
 func small(deployment Deployment) Deployment {
-	deployment.Runners = 4
-	deployment.Plains = 2
+	deployment.Engines = 4
+	deployment.PlainUpstreams = 2
 	deployment.Adapters = 100
-	deployment.Requests = 15
+	deployment.RequestRate = 15
 	return deployment
 }
 
@@ -33,7 +33,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				config := Config{
-					Deployment: test.deployment, Network: NewMemory(), Policy: "default", Entries: 2, Seed: 1, Length: 10 * time.Second,
+					Deployment: test.deployment, Network: NewMemoryNetwork(), Policy: "default", Entries: 2, Seed: 1, Length: 10 * time.Second,
 				}
 				if test.tls {
 					config.TLS = issueCertificates(t)
@@ -42,9 +42,9 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				for _, promise := range result.Promises {
+				for _, promise := range result.Invariants {
 					if !promise.Held {
-						t.Errorf("%s: %s: %s", test.guards, promise.Name, promise.Seen)
+						t.Errorf("%s: %s: %s", test.guards, promise.Name, promise.Observed)
 					}
 				}
 				t.Logf("%+v", result.Measures)
--- a/internal/bench/demo/deployment.go
+++ b/internal/bench/demo/deployment.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/load"
+	"jacinthfront.dev/jacinthfront/internal/bench/reqgen"
 	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
@@ -15,17 +15,17 @@
 	Name           string
 	FailureDomains []string
 	// DomainDelay is the one-way delay between failure domains.
-	DomainDelay  time.Duration
-	ModelService string
-	Runners      int
-	PlainService string
-	Plains       int
+	DomainDelay    time.Duration
+	ModelService   string
+	Engines        int
+	PlainService   string
+	PlainUpstreams int
 	// LoadRate is the weight store's loads per second.
 	LoadRate float64
 	Adapters int
-	// Requests is the steady load in requests per second.
-	Requests float64
-	Mix      [4]float64
+	// RequestRate is the steady load in requests per second.
+	RequestRate float64
+	Mix         [4]float64
 	// Skew is the exponent of the Zipf distribution of each organisation's
 	// adapters.
 	Skew float64
@@ -40,12 +40,12 @@
 		FailureDomains: []string{"zilina-a", "zilina-b", "zilina-c", "zilina-d"},
 		DomainDelay:    time.Millisecond,
 		ModelService:   "advisor",
-		Runners:        12,
+		Engines:        12,
 		PlainService:   "counter",
-		Plains:         4,
+		PlainUpstreams: 4,
 		LoadRate:       3,
 		Adapters:       3000,
-		Requests:       45,
+		RequestRate:    45,
 		Mix:            [4]float64{0.4, 0.15, 0.15, 0.3},
 		Skew:           skew,
 		Weights:        []float64{0.4, 0.3, 0.15, 0.1, 0.05},
@@ -59,12 +59,12 @@
 		FailureDomains: []string{"attica-a", "attica-b", "attica-c"},
 		DomainDelay:    500 * time.Microsecond,
 		ModelService:   "scribe-models",
-		Runners:        9,
+		Engines:        9,
 		PlainService:   "ledger-app",
-		Plains:         3,
+		PlainUpstreams: 3,
 		LoadRate:       2,
 		Adapters:       3000,
-		Requests:       32,
+		RequestRate:    32,
 		Mix:            [4]float64{0.5, 0.1, 0.1, 0.3},
 		Skew:           skew,
 		Weights:        []float64{0.4, 0.3, 0.15, 0.1, 0.05},
@@ -103,37 +103,37 @@
 	for _, weight := range deployment.Mix {
 		total += weight
 	}
-	return (deployment.Mix[load.Letter] + deployment.Mix[load.Chat]) / total
+	return (deployment.Mix[reqgen.Letter] + deployment.Mix[reqgen.Chat]) / total
 }
 
-func (deployment Deployment) organisations() []load.Organisation {
-	var organisations []load.Organisation
+func (deployment Deployment) organisations() []reqgen.Organisation {
+	var organisations []reqgen.Organisation
 	for index, weight := range deployment.Weights {
-		requests := deployment.Requests * weight
+		requests := deployment.RequestRate * weight
 		share := deployment.modelShare()
 		tokens := requests * (share*meanCost + (1-share)*plainCost)
 		rate := conf.Tokens(tokens*headroom) + 1
-		organisations = append(organisations, load.Organisation{
-			Name:     fmt.Sprintf("organisation-%d", index+1),
-			Rate:     rate,
-			Burst:    max(rate*burstTime, leastBurst),
-			Requests: requests,
-			Adapters: deployment.Adapters / len(deployment.Weights),
+		organisations = append(organisations, reqgen.Organisation{
+			Name:         fmt.Sprintf("organisation-%d", index+1),
+			Rate:         rate,
+			Burst:        max(rate*burstTime, leastBurst),
+			RequestRate:  requests,
+			AdapterCount: deployment.Adapters / len(deployment.Weights),
 		})
 	}
 	return organisations
 }
 
 // Plan returns the steady load of the deployment. The keys are still empty.
-func (deployment Deployment) Plan() load.Plan {
-	return load.Plan{
+func (deployment Deployment) Plan() reqgen.Plan {
+	return reqgen.Plan{
 		ModelService:   deployment.ModelService,
 		PlainService:   deployment.PlainService,
 		Organisations:  deployment.organisations(),
-		Mix:            deployment.Mix,
-		Skew:           deployment.Skew,
+		KindWeights:    deployment.Mix,
+		ZipfExponent:   deployment.Skew,
 		PromptTokens:   [2]int{60, 160},
 		MaxTokens:      [2]int{20, 100},
-		RepeatBookings: 0.2,
+		RepeatFraction: 0.2,
 	}
 }
--- a/internal/bench/demo/events.go
+++ b/internal/bench/demo/events.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/load"
+	"jacinthfront.dev/jacinthfront/internal/bench/reqgen"
 	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/creds"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
@@ -69,7 +69,7 @@
 func (fleet *Fleet) version() uint64 {
 	version := uint64(0)
 	for _, instance := range fleet.instances() {
-		version = max(version, instance.process.Version())
+		version = max(version, instance.process.ConfigVersion())
 	}
 	return version
 }
@@ -89,7 +89,7 @@
 	for time.Since(begin) < 2*configBound {
 		behind := 0
 		for _, instance := range events.fleet.instances() {
-			if instance.process.Version() < version {
+			if instance.process.ConfigVersion() < version {
 				behind++
 			}
 		}
@@ -129,8 +129,8 @@
 
 func (events *Events) probeForeign(ctx context.Context) error {
 	organisations := events.fleet.plan.Organisations
-	for _, base := range events.fleet.Entries() {
-		status, err := events.request(ctx, base, organisations[0].Key, load.AdapterName(organisations[1].Name, 0))
+	for _, base := range events.fleet.EntryURLs() {
+		status, err := events.request(ctx, base, organisations[0].Key, reqgen.AdapterName(organisations[1].Name, 0))
 		if err != nil {
 			return err
 		}
@@ -162,7 +162,7 @@
 	for _, instance := range events.fleet.instances() {
 		events.races++
 		route, ok := instance.process.Config().Route("race")
-		if ok && route.MaxWait == 7*time.Second && instance.process.Version() == base+1 {
+		if ok && route.MaxWait == 7*time.Second && instance.process.ConfigVersion() == base+1 {
 			events.racesWon++
 		}
 	}
@@ -181,8 +181,8 @@
 	if err := events.fleet.append(record); err != nil {
 		return err
 	}
-	adapter := load.AdapterName(events.fleet.plan.Organisations[0].Name, 0)
-	for _, base := range events.fleet.Entries() {
+	adapter := reqgen.AdapterName(events.fleet.plan.Organisations[0].Name, 0)
+	for _, base := range events.fleet.EntryURLs() {
 		for {
 			status, err := events.request(ctx, base, events.probeKey, adapter)
 			if err != nil {
@@ -218,7 +218,7 @@
 	return nil
 }
 
-func (events *Events) checkWithdrawal() Promise {
+func (events *Events) checkWithdrawal() Invariant {
 	violations := 0
 	if !events.withdrawn || events.withdrawal > withdrawalBound {
 		violations = 1
@@ -226,15 +226,15 @@
 	return promise("a withdrawn key stops working within seconds", violations, "refused everywhere after %s", events.withdrawal.Round(time.Millisecond))
 }
 
-func (events *Events) checkStops(total load.Series) Promise {
-	violations := int(total.Broken)
+func (events *Events) checkStops(total reqgen.Series) Invariant {
+	violations := int(total.Incomplete)
 	if events.stops < 2 {
 		violations++
 	}
-	return promise("a planned stop cuts no request", violations, "%d of 2 planned stops ended in time, %d answers were cut", events.stops, total.Broken)
+	return promise("a planned stop cuts no request", violations, "%d of 2 planned stops ended in time, %d answers were cut", events.stops, total.Incomplete)
 }
 
-func (events *Events) checkConfiguration() Promise {
+func (events *Events) checkConfiguration() Invariant {
 	slow := slowest(events.propagation)
 	violations := events.races - events.racesWon + len(events.errors)
 	if slow > configBound || events.races == 0 {
--- a/internal/bench/demo/fleet.go
+++ b/internal/bench/demo/fleet.go
@@ -11,10 +11,10 @@
 	"go.uber.org/zap"
 
 	"jacinthfront.dev/jacinthfront/internal/base/setup"
-	"jacinthfront.dev/jacinthfront/internal/bench/load"
-	"jacinthfront.dev/jacinthfront/internal/bench/model"
+	"jacinthfront.dev/jacinthfront/internal/bench/engsim"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 	"jacinthfront.dev/jacinthfront/internal/bench/plain"
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/reqgen"
 	"jacinthfront.dev/jacinthfront/internal/daemon/start"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
@@ -39,7 +39,7 @@
 // instance is a running process of ours with its entry in the instance list.
 type instance struct {
 	process *start.Process
-	listed  plat.Instance
+	listed  infra.Instance
 	// callers is the base URL of an entry instance.
 	callers string
 	// operators is the base URL of the operator interface.
@@ -50,13 +50,13 @@
 // Fleet is a running deployment.
 type Fleet struct {
 	config FleetConfig
-	plan   load.Plan
+	plan   reqgen.Plan
 	client *http.Client
 	// delays is nil without delays between failure domains.
 	delays   *delays
-	platform *plat.Platform
+	platform *infra.Platform
 	address  string
-	engines  []*model.Engine
+	engines  []*engsim.Engine
 	plains   []*plain.Service
 	// urls holds the addresses of engines and, after them, plain services.
 	urls  []string
@@ -96,7 +96,7 @@
 }
 
 // Plan returns the steady load with the organisations' keys.
-func (fleet *Fleet) Plan() load.Plan { return fleet.plan }
+func (fleet *Fleet) Plan() reqgen.Plan { return fleet.plan }
 
 // append publishes a patch by the platform's log.
 func (fleet *Fleet) append(record patch.Patch) error {
@@ -110,10 +110,10 @@
 
 func (fleet *Fleet) startStandIns() error {
 	deployment := fleet.config.Deployment
-	config := plat.DefaultConfig()
+	config := infra.DefaultConfig()
 	config.Seed = fleet.config.Seed
 	config.LoadRate = deployment.LoadRate
-	platform, err := plat.New(config)
+	platform, err := infra.New(config)
 	if err != nil {
 		return err
 	}
@@ -121,12 +121,12 @@
 	if fleet.address, err = fleet.serve(platform); err != nil {
 		return err
 	}
-	for index := range deployment.Runners {
+	for index := range deployment.Engines {
 		if err := fleet.startEngine(index); err != nil {
 			return err
 		}
 	}
-	for index := range deployment.Plains {
+	for index := range deployment.PlainUpstreams {
 		service, err := plain.New(plain.Config{Seed: fleet.config.Seed + uint64(index), Latency: 3 * time.Millisecond})
 		if err != nil {
 			return err
@@ -142,10 +142,10 @@
 }
 
 func (fleet *Fleet) startEngine(index int) error {
-	config := model.DefaultConfig()
+	config := engsim.DefaultConfig()
 	config.Seed = fleet.config.Seed + uint64(index)
-	config.Weights = fleet.platform
-	engine, err := model.New(config)
+	config.WeightStore = fleet.platform
+	engine, err := engsim.New(config)
 	if err != nil {
 		return err
 	}
@@ -274,9 +274,9 @@
 	settings.Upstream.ID = deployment.runnerID(upstream)
 	settings.Upstream.URL = fleet.urls[upstream]
 	domain := deployment.domain(upstream)
-	if upstream >= deployment.Runners {
-		settings.Upstream.ID = deployment.plainID(upstream - deployment.Runners)
-		domain = deployment.domain(upstream - deployment.Runners)
+	if upstream >= deployment.Engines {
+		settings.Upstream.ID = deployment.plainID(upstream - deployment.Engines)
+		domain = deployment.domain(upstream - deployment.Engines)
 	}
 	process, err := fleet.process(settings.Process, "side", domain)
 	if err != nil {
@@ -287,9 +287,9 @@
 	if err != nil {
 		return err
 	}
-	side := &instance{process: started, upstream: upstream, listed: plat.Instance{
+	side := &instance{process: started, upstream: upstream, listed: infra.Instance{
 		ID: process.Instance, Role: "side", Upstream: settings.Upstream.ID, Address: process.Listen.Peers,
-		FailureDomain: domain, State: plat.StateLive,
+		FailureDomain: domain, State: infra.StateLive,
 	}}
 	fleet.mu.Lock()
 	fleet.sides = append(fleet.sides, side)
@@ -316,8 +316,8 @@
 	if err != nil {
 		return err
 	}
-	entry := &instance{process: started, callers: "http://" + settings.Listen.Callers, operators: "http://" + settings.Listen.Operators, listed: plat.Instance{
-		ID: process.Instance, Role: "entry", Address: process.Listen.Peers, FailureDomain: domain, State: plat.StateLive,
+	entry := &instance{process: started, callers: "http://" + settings.Listen.Callers, operators: "http://" + settings.Listen.Operators, listed: infra.Instance{
+		ID: process.Instance, Role: "entry", Address: process.Listen.Peers, FailureDomain: domain, State: infra.StateLive,
 	}}
 	fleet.mu.Lock()
 	fleet.entries = append(fleet.entries, entry)
@@ -325,9 +325,9 @@
 	return fleet.list(ctx, entry.listed)
 }
 
-// Entries returns the base URLs of the ready entry instances, as a load
+// EntryURLs returns the base URLs of the ready entry instances, as a load
 // balancer sees them.
-func (fleet *Fleet) Entries() []string {
+func (fleet *Fleet) EntryURLs() []string {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	var urls []string
--- a/internal/bench/demo/lifecycle.go
+++ b/internal/bench/demo/lifecycle.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 	"jacinthfront.dev/jacinthfront/internal/wire/conns"
 )
 
@@ -21,7 +21,7 @@
 }
 
 // list puts an instance on the platform's list.
-func (fleet *Fleet) list(ctx context.Context, listed plat.Instance) error {
+func (fleet *Fleet) list(ctx context.Context, listed infra.Instance) error {
 	body, err := json.Marshal(listed)
 	if err != nil {
 		return err
@@ -30,7 +30,7 @@
 }
 
 // unlist removes an instance from the platform's list.
-func (fleet *Fleet) unlist(ctx context.Context, listed plat.Instance) error {
+func (fleet *Fleet) unlist(ctx context.Context, listed infra.Instance) error {
 	return fleet.change(ctx, http.MethodDelete, listed.ID, nil)
 }
 
@@ -99,7 +99,7 @@
 // retire marks a process as leaving, stops it gracefully and unlists it.
 func (fleet *Fleet) retire(ctx context.Context, retired *instance) error {
 	listed := retired.listed
-	listed.State = plat.StateLeaving
+	listed.State = infra.StateDraining
 	if err := fleet.list(ctx, listed); err != nil {
 		return err
 	}
--- a/internal/bench/demo/measure.go
+++ b/internal/bench/demo/measure.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/base/metric"
-	"jacinthfront.dev/jacinthfront/internal/bench/load"
-	"jacinthfront.dev/jacinthfront/internal/bench/model"
+	"jacinthfront.dev/jacinthfront/internal/bench/engsim"
+	"jacinthfront.dev/jacinthfront/internal/bench/reqgen"
 )
 
 // Latency sums up first-token times or times between tokens in milliseconds.
@@ -24,14 +24,14 @@
 
 // Group is the service that one organisation got for one kind of request.
 type Group struct {
-	Organisation string  `json:"organisation"`
-	Kind         string  `json:"kind"`
-	Sent         int64   `json:"sent"`
-	Completed    int64   `json:"completed"`
-	Refused      int64   `json:"refused"`
-	Wrongful     int64   `json:"wrongful"`
-	FirstToken   Latency `json:"first-token"`
-	Gap          Latency `json:"between-tokens"`
+	Organisation  string  `json:"organisation"`
+	Kind          string  `json:"kind"`
+	Sent          int64   `json:"sent"`
+	Completed     int64   `json:"completed"`
+	Refused       int64   `json:"refused"`
+	Wrongful      int64   `json:"wrongful"`
+	FirstToken    Latency `json:"first-token"`
+	TokenInterval Latency `json:"between-tokens"`
 }
 
 // Measures holds the users' four measures and what they are made of.
@@ -40,18 +40,18 @@
 	// each model request. The wait of a model request that was refused within
 	// its organisation's rate counts, since nothing else holds it up for long.
 	LoadStall float64 `json:"load-stall-ms-per-request"`
-	// Stalled is the part of model requests that waited for a load.
-	Stalled       float64 `json:"stalled-part"`
-	Loads         int     `json:"loads"`
-	TokensPerStep float64 `json:"tokens-per-step"`
-	// Worst is the highest p95 first-token time of an organisation's model
+	// StalledFraction is the part of model requests that waited for a load.
+	StalledFraction float64 `json:"stalled-part"`
+	Loads           int     `json:"loads"`
+	TokensPerStep   float64 `json:"tokens-per-step"`
+	// WorstP95 is the highest p95 first-token time of an organisation's model
 	// requests. An organisation whose load surges is left out.
-	Worst             float64 `json:"worst-organisation-p95-ms"`
+	WorstP95          float64 `json:"worst-organisation-p95-ms"`
 	WorstOrganisation string  `json:"worst-organisation"`
-	// Interactive and Patient are the p95 first-token times by class.
-	Interactive float64 `json:"interactive-p95-ms"`
-	Patient     float64 `json:"patient-p95-ms"`
-	Wrongful    int64   `json:"wrongful-refusals"`
+	// InteractiveP95 and Patient are the p95 first-token times by class.
+	InteractiveP95   float64 `json:"interactive-p95-ms"`
+	PatientP95       float64 `json:"patient-p95-ms"`
+	WrongfulRefusals int64   `json:"wrongful-refusals"`
 	// ByDesign counts those refusals that the design asks for while the log
 	// is out; they are not among the wrongful ones.
 	ByDesign  int64            `json:"refusals-by-design"`
@@ -63,10 +63,10 @@
 }
 
 // Measure computes the measures from what callers and engines saw.
-func (fleet *Fleet) Measure(report *load.Report) Measures {
+func (fleet *Fleet) Measure(report *reqgen.Report) Measures {
 	total := report.Total()
 	measures := Measures{
-		Wrongful: total.Wrongful, Sent: total.Sent, Completed: total.Completed, Unknown: total.Unknown, Errors: report.Refusals(),
+		WrongfulRefusals: total.WrongfulRefusals, Sent: total.Sent, Completed: total.Completed, Unknown: total.UnknownEffect, Errors: report.ErrorsByKind(),
 	}
 	measures.ByDesign = measures.Errors["log-unavailable"]
 	steps, tokens := 0, 0
@@ -92,7 +92,7 @@
 // counts are what an engine has counted.
 type counts struct{ steps, tokens, loads int }
 
-func countsOf(observed model.Observed) counts {
+func countsOf(observed engsim.Observed) counts {
 	return counts{observed.Steps, observed.Tokens, len(observed.Loads)}
 }
 
@@ -112,25 +112,25 @@
 }
 
 // measureWorst finds the organisation that waits longest and the times by class.
-func (measures *Measures) measureWorst(report *load.Report, surging string) {
-	for organisation, times := range report.ModelTimes() {
+func (measures *Measures) measureWorst(report *reqgen.Report, surging string) {
+	for organisation, times := range report.ModelFirstTokens() {
 		p95 := toMS(times.Quantile(95))
-		if organisation != surging && p95 > measures.Worst {
-			measures.Worst, measures.WorstOrganisation = p95, organisation
+		if organisation != surging && p95 > measures.WorstP95 {
+			measures.WorstP95, measures.WorstOrganisation = p95, organisation
 		}
 	}
 	interactive, patient := metric.NewHistogram(), metric.NewHistogram()
-	for _, trace := range report.Traces() {
+	for _, trace := range report.ModelRequests() {
 		if trace.Organisation == surging {
 			continue
 		}
-		if trace.Kind == load.Chat {
+		if trace.Kind == reqgen.Chat {
 			interactive.Observe(trace.FirstToken)
 		} else {
 			patient.Observe(trace.FirstToken)
 		}
 	}
-	measures.Interactive, measures.Patient = toMS(interactive.Quantile(95)), toMS(patient.Quantile(95))
+	measures.InteractiveP95, measures.PatientP95 = toMS(interactive.Quantile(95)), toMS(patient.Quantile(95))
 }
 
 // loadEnd is the end of one adapter load.
@@ -141,7 +141,7 @@
 
 // measureStalls finds, for each request, a load of its adapter at its engine
 // that ended between the sending and the start.
-func (fleet *Fleet) measureStalls(report *load.Report, measures *Measures) {
+func (fleet *Fleet) measureStalls(report *reqgen.Report, measures *Measures) {
 	ends := map[loadEnd][]time.Time{}
 	type place struct {
 		engine   int
@@ -156,13 +156,13 @@
 				ends[key] = append(ends[key], order.Ended)
 			}
 		}
-		for _, start := range observed.Starts {
+		for _, start := range observed.AcceptedRequests {
 			places[start.RequestID] = place{index, start.Accepted}
 		}
 	}
 	var stalled int
 	var waited time.Duration
-	traces := report.Traces()
+	traces := report.ModelRequests()
 	for _, trace := range traces {
 		place, ok := places[trace.RequestID]
 		if !ok {
@@ -183,16 +183,16 @@
 	}
 	if count := len(traces) + len(refused); count > 0 {
 		measures.LoadStall = toMS(waited) / float64(count)
-		measures.Stalled = float64(stalled) / float64(count)
+		measures.StalledFraction = float64(stalled) / float64(count)
 	}
 }
 
-func (measures *Measures) measureGroups(report *load.Report) {
+func (measures *Measures) measureGroups(report *reqgen.Report) {
 	for key, series := range report.Series() {
 		measures.Groups = append(measures.Groups, Group{
 			Organisation: key.Organisation, Kind: key.Kind.String(), Sent: series.Sent, Completed: series.Completed,
-			Refused: series.Refused, Wrongful: series.Wrongful,
-			FirstToken: latency(series.FirstToken), Gap: latency(series.Gaps),
+			Refused: series.Refused, Wrongful: series.WrongfulRefusals,
+			FirstToken: latency(series.FirstToken), TokenInterval: latency(series.TokenIntervals),
 		})
 	}
 	sort.Slice(measures.Groups, func(left, right int) bool {
--- a/internal/bench/demo/network.go
+++ b/internal/bench/demo/network.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"sync"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
 // Network connects the processes of a deployment.
@@ -25,19 +25,19 @@
 	}}
 }
 
-// TCP is the real loopback network.
-type TCP struct {
+// TCPNetwork is the real loopback network.
+type TCPNetwork struct {
 	net.Dialer
 
 	mu       sync.Mutex
 	reserved map[string]net.Listener
 }
 
-// NewTCP returns a TCP network.
-func NewTCP() *TCP { return &TCP{reserved: map[string]net.Listener{}} }
+// NewTCPNetwork returns a TCP network.
+func NewTCPNetwork() *TCPNetwork { return &TCPNetwork{reserved: map[string]net.Listener{}} }
 
 // Reserve binds a free port, so that no other process takes it.
-func (network *TCP) Reserve() (string, error) {
+func (network *TCPNetwork) Reserve() (string, error) {
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -50,7 +50,7 @@
 }
 
 // Listen returns the reserved listener of an address.
-func (network *TCP) Listen(address string) (net.Listener, error) {
+func (network *TCPNetwork) Listen(address string) (net.Listener, error) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	listener, ok := network.reserved[address]
@@ -61,19 +61,19 @@
 	return listener, nil
 }
 
-// Memory is a network for virtual time.
-type Memory struct {
-	*plat.Loopback
+// MemoryNetwork is a network for virtual time.
+type MemoryNetwork struct {
+	*infra.PipeNetwork
 
 	mu   sync.Mutex
 	next int
 }
 
-// NewMemory returns an in-memory network.
-func NewMemory() *Memory { return &Memory{Loopback: plat.NewLoopback()} }
+// NewMemoryNetwork returns an in-memory network.
+func NewMemoryNetwork() *MemoryNetwork { return &MemoryNetwork{PipeNetwork: infra.NewPipeNetwork()} }
 
 // Reserve returns an unused address.
-func (network *Memory) Reserve() (string, error) {
+func (network *MemoryNetwork) Reserve() (string, error) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	network.next++
--- a/internal/bench/demo/overhead.go
+++ b/internal/bench/demo/overhead.go
@@ -37,10 +37,10 @@
 // on TCP loopback.
 func MeasureOverhead(ctx context.Context, config OverheadConfig) (Overhead, error) {
 	deployment := Bonsai()
-	deployment.Runners, deployment.Plains, deployment.Adapters = 1, 4, 50
+	deployment.Engines, deployment.PlainUpstreams, deployment.Adapters = 1, 4, 50
 	// The organisations' rates follow from the load; the first one sends all.
-	deployment.Requests = 4 * config.Rate
-	fleet, err := NewFleet(FleetConfig{Deployment: deployment, Network: NewTCP(), Policy: "default", Entries: 1, Seed: config.Seed})
+	deployment.RequestRate = 4 * config.Rate
+	fleet, err := NewFleet(FleetConfig{Deployment: deployment, Network: NewTCPNetwork(), Policy: "default", Entries: 1, Seed: config.Seed})
 	if err != nil {
 		return Overhead{}, err
 	}
@@ -49,9 +49,9 @@
 		return Overhead{}, err
 	}
 	key := fleet.plan.Organisations[0].Key
-	entry := fleet.Entries()[0] + "/services/" + deployment.PlainService
+	entry := fleet.EntryURLs()[0] + "/services/" + deployment.PlainService
 	direct, directFailed := fleet.pace(ctx, config, func(index int) (string, string) {
-		return fleet.urls[deployment.Runners+index%deployment.Plains], ""
+		return fleet.urls[deployment.Engines+index%deployment.PlainUpstreams], ""
 	})
 	through, throughFailed := fleet.pace(ctx, config, func(int) (string, string) { return entry, key })
 	return Overhead{
--- a/internal/bench/model/batch.go
+++ b/internal/bench/engsim/batch.go
@@ -1,4 +1,4 @@
-package model
+package engsim
 
 import (
 	"cmp"
@@ -33,7 +33,7 @@
 	ended   time.Time
 	// changed holds a value after each change of produced or outcome.
 	changed chan struct{}
-	start   *Start
+	start   *AcceptedRequest
 }
 
 // notify wakes the handler of a request.
@@ -101,8 +101,8 @@
 // stepTime processes prompt tokens of the step and returns its duration.
 func (engine *Engine) stepTime() time.Duration {
 	config := &engine.config
-	chunk := config.PromptChunk
-	adapters := map[Ref]struct{}{}
+	chunk := config.PrefillChunk
+	adapters := map[AdapterRef]struct{}{}
 	for _, run := range engine.batch.running {
 		adapters[run.request.ref] = struct{}{}
 		part := min(run.prefill, chunk)
@@ -112,7 +112,7 @@
 	return config.StepBase +
 		config.StepPerRequest*time.Duration(len(engine.batch.running)) +
 		config.StepPerAdapter*time.Duration(len(adapters)) +
-		config.PromptTokenTime*time.Duration(config.PromptChunk-chunk)
+		config.PromptTokenTime*time.Duration(config.PrefillChunk-chunk)
 }
 
 // endStep produces the tokens of a step and begins the next.
@@ -177,7 +177,7 @@
 }
 
 // users returns the requests that use an adapter.
-func (engine *Engine) users(ref Ref) []*run {
+func (engine *Engine) users(ref AdapterRef) []*run {
 	return slices.DeleteFunc(slices.Concat(engine.batch.running, engine.batch.waiting), func(run *run) bool {
 		return run.request.ref != ref
 	})
--- a/internal/bench/model/cache.go
+++ b/internal/bench/engsim/cache.go
@@ -1,4 +1,4 @@
-package model
+package engsim
 
 import (
 	"container/list"
@@ -16,7 +16,7 @@
 // block is one block of the prefix cache.
 type block struct {
 	hash uint64
-	ref  Ref
+	ref  AdapterRef
 }
 
 // prefixCache holds the most recently used blocks of prompts. What is cached for
@@ -35,7 +35,7 @@
 
 // hashes returns the hash of each full block of a prompt, each of which covers
 // all blocks before it.
-func hashes(ref Ref, prompt string) []uint64 {
+func hashes(ref AdapterRef, prompt string) []uint64 {
 	hash := xxh3.HashString(ref.String())
 	var all []uint64
 	for ; len(prompt) >= blockBytes; prompt = prompt[blockBytes:] {
@@ -46,7 +46,7 @@
 }
 
 // lookup returns the number of a prompt's tokens that are cached.
-func (cache *prefixCache) lookup(ref Ref, prompt string) int64 {
+func (cache *prefixCache) lookup(ref AdapterRef, prompt string) int64 {
 	found := int64(0)
 	for _, hash := range hashes(ref, prompt) {
 		element, ok := cache.blocks[hash]
@@ -60,7 +60,7 @@
 }
 
 // store adds the blocks of a prompt and removes the least recently used ones.
-func (cache *prefixCache) store(ref Ref, prompt string) {
+func (cache *prefixCache) store(ref AdapterRef, prompt string) {
 	for _, hash := range hashes(ref, prompt) {
 		if element, ok := cache.blocks[hash]; ok {
 			cache.order.MoveToFront(element)
--- a/internal/bench/model/completion.go
+++ b/internal/bench/engsim/completion.go
@@ -1,4 +1,4 @@
-package model
+package engsim
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"strconv"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
 const (
@@ -33,7 +33,7 @@
 	Priority  int       `json:"priority"`
 
 	id         string
-	ref        Ref
+	ref        AdapterRef
 	prompt     string
 	resumeFrom int64
 }
@@ -91,14 +91,14 @@
 	if refusal.status == http.StatusServiceUnavailable {
 		writer.Header().Set("Retry-After", "1")
 	}
-	plat.Refuse(writer, refusal.status, "%s", refusal.message)
+	infra.WriteError(writer, refusal.status, "%s", refusal.message)
 }
 
 // serveCompletions handles POST /v1/completions and POST /v1/chat/completions.
 func (engine *Engine) serveCompletions(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxBody))
 	if err != nil {
-		plat.Refuse(writer, http.StatusRequestEntityTooLarge, "body: %v", err)
+		infra.WriteError(writer, http.StatusRequestEntityTooLarge, "body: %v", err)
 		return
 	}
 	engine.requests.Add(request, body)
@@ -107,10 +107,10 @@
 		engine.refuse(writer, &refusal{http.StatusBadRequest, "invalid", err.Error()})
 		return
 	}
-	if _, hit := engine.calls.Hit(ModeCutBefore, parsed.id); hit {
-		plat.Cut()
+	if _, hit := engine.calls.Inject(ModeCutBefore, parsed.id); hit {
+		infra.AbortConnection()
 	}
-	if _, hit := engine.calls.Hit(ModeRefusing, parsed.id); hit {
+	if _, hit := engine.calls.Inject(ModeRefusing, parsed.id); hit {
 		engine.refuse(writer, &refusal{http.StatusServiceUnavailable, "refusing", "the engine refuses requests"})
 		return
 	}
@@ -132,7 +132,7 @@
 	if slot, ok := engine.slots[parsed.ref]; !ok || !slot.loaded {
 		return nil, &refusal{http.StatusConflict, "not-loaded", fmt.Sprintf("adapter %s is not loaded", parsed.ref)}
 	}
-	if len(engine.batch.waiting) >= engine.config.WaitLimit {
+	if len(engine.batch.waiting) >= engine.config.QueueLimit {
 		return nil, &refusal{http.StatusServiceUnavailable, "queue-full", fmt.Sprintf("%d requests wait", len(engine.batch.waiting))}
 	}
 	accepted := &run{request: parsed, prefill: PromptTokens(parsed.prompt), changed: make(chan struct{}, 1)}
--- a/internal/bench/model/config.go
+++ b/internal/bench/engsim/config.go
@@ -1,4 +1,4 @@
-package model
+package engsim
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Weights is where an engine gets adapters from.
-type Weights interface {
+// WeightStore is where an engine gets adapters from.
+type WeightStore interface {
 	Fetch(ctx context.Context, adapter string, version uint32) error
 }
 
@@ -26,14 +26,14 @@
 // Config configures an Engine. DefaultConfig holds the defaults.
 type Config struct {
 	Seed uint64
-	// Weights is the weight store; nil stands for one that takes 250 ms per load.
-	Weights Weights
-	// Slots is the number of adapters that can be loaded.
-	Slots int
+	// WeightStore is the weight store; nil stands for one that takes 250 ms per load.
+	WeightStore WeightStore
+	// AdapterSlots is the number of adapters that can be loaded.
+	AdapterSlots int
 	// BatchLimit is the most requests that run at once; more wait.
 	BatchLimit int
-	// WaitLimit is the most requests that wait; more are refused.
-	WaitLimit int
+	// QueueLimit is the most requests that wait; more are refused.
+	QueueLimit int
 
 	// StepBase, StepPerRequest and StepPerAdapter make up the time of a step.
 	StepBase       time.Duration
@@ -42,15 +42,15 @@
 	// PromptTokenTime is the additional time for each prompt token that is not in
 	// the prefix cache; a step processes at most PromptChunk of them.
 	PromptTokenTime time.Duration
-	PromptChunk     int64
+	PrefillChunk    int64
 	// CacheBlocks is the size of the prefix cache in blocks of 16 tokens.
 	CacheBlocks int
 
 	// ReportLag is the age of the load figures in GET /v1/state.
 	ReportLag time.Duration
-	// EventLag is the delay of cache events, EventLoss the part that is lost.
-	EventLag  time.Duration
-	EventLoss float64
+	// CacheEventLag is the delay of cache events, EventLoss the part that is lost.
+	CacheEventLag  time.Duration
+	CacheEventLoss float64
 
 	// Fencing is FencingChecked or FencingIgnored.
 	Fencing string
@@ -64,10 +64,10 @@
 // DefaultConfig returns the figures of a small engine.
 func DefaultConfig() Config {
 	return Config{
-		Seed: 1, Slots: 8, BatchLimit: 32, WaitLimit: 1024,
+		Seed: 1, AdapterSlots: 8, BatchLimit: 32, QueueLimit: 1024,
 		StepBase: 20 * time.Millisecond, StepPerRequest: 100 * time.Microsecond, StepPerAdapter: 50 * time.Microsecond,
-		PromptTokenTime: 50 * time.Microsecond, PromptChunk: 512, CacheBlocks: 4096,
-		ReportLag: 200 * time.Millisecond, EventLag: 500 * time.Millisecond, EventLoss: 0.02,
+		PromptTokenTime: 50 * time.Microsecond, PrefillChunk: 512, CacheBlocks: 4096,
+		ReportLag: 200 * time.Millisecond, CacheEventLag: 500 * time.Millisecond, CacheEventLoss: 0.02,
 		Fencing: FencingChecked, UnloadInUse: UnloadRefuse, ResumeRetention: 30 * time.Second,
 	}
 }
@@ -75,16 +75,16 @@
 // check returns an error that names a value that cannot be used.
 func (config Config) check() error {
 	switch {
-	case config.Slots <= 0 || config.BatchLimit <= 0 || config.WaitLimit < 0:
-		return fmt.Errorf("slots %d, batch limit %d, wait limit %d; write numbers above 0", config.Slots, config.BatchLimit, config.WaitLimit)
+	case config.AdapterSlots <= 0 || config.BatchLimit <= 0 || config.QueueLimit < 0:
+		return fmt.Errorf("slots %d, batch limit %d, wait limit %d; write numbers above 0", config.AdapterSlots, config.BatchLimit, config.QueueLimit)
 	case config.StepBase <= 0 || config.StepPerRequest < 0 || config.StepPerAdapter < 0 || config.PromptTokenTime < 0:
 		return fmt.Errorf("step times %v, %v, %v, %v; write a base above 0 and others of at least 0", config.StepBase, config.StepPerRequest, config.StepPerAdapter, config.PromptTokenTime)
-	case config.PromptChunk <= 0 || config.CacheBlocks < 0:
-		return fmt.Errorf("prompt chunk %d, cache blocks %d; write a chunk above 0 and a cache of at least 0", config.PromptChunk, config.CacheBlocks)
-	case config.ReportLag < 0 || config.EventLag < 0 || config.ResumeRetention < 0:
-		return fmt.Errorf("report lag %v, event lag %v, resume retention %v; write times of at least 0", config.ReportLag, config.EventLag, config.ResumeRetention)
-	case config.EventLoss < 0 || config.EventLoss > 1:
-		return fmt.Errorf("event loss %v; write a part between 0 and 1", config.EventLoss)
+	case config.PrefillChunk <= 0 || config.CacheBlocks < 0:
+		return fmt.Errorf("prompt chunk %d, cache blocks %d; write a chunk above 0 and a cache of at least 0", config.PrefillChunk, config.CacheBlocks)
+	case config.ReportLag < 0 || config.CacheEventLag < 0 || config.ResumeRetention < 0:
+		return fmt.Errorf("report lag %v, event lag %v, resume retention %v; write times of at least 0", config.ReportLag, config.CacheEventLag, config.ResumeRetention)
+	case config.CacheEventLoss < 0 || config.CacheEventLoss > 1:
+		return fmt.Errorf("event loss %v; write a part between 0 and 1", config.CacheEventLoss)
 	case config.Fencing != FencingChecked && config.Fencing != FencingIgnored:
 		return fmt.Errorf("fencing %q; write checked or ignored", config.Fencing)
 	case config.UnloadInUse != UnloadRefuse && config.UnloadInUse != UnloadPerform:
--- a/internal/bench/model/control.go
+++ b/internal/bench/engsim/control.go
@@ -1,4 +1,4 @@
-package model
+package engsim
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
 // The faults of loads and calls.
@@ -23,42 +23,42 @@
 	ModeCutStream = "cut-stream"
 )
 
-// Control sets faults; nil parts keep theirs.
-type Control struct {
+// ControlRequest sets faults; nil parts keep theirs.
+type ControlRequest struct {
 	// Restart ends all requests, empties the engine and keeps it down for a time.
 	Restart *Restart `json:"restart,omitempty"`
 	// Freeze stops the engine for a time without closing connections.
-	Freeze plat.Duration `json:"freeze,omitempty"`
-	// Break cuts the connections of all requests, which can be resumed.
-	Break bool `json:"break,omitempty"`
-	// Loads is a fault of loads.
-	Loads *plat.Fault `json:"loads,omitempty"`
-	// Calls is a fault of completions.
-	Calls *plat.Fault `json:"calls,omitempty"`
+	Freeze infra.Duration `json:"freeze,omitempty"`
+	// BreakStreams cuts the connections of all requests, which can be resumed.
+	BreakStreams bool `json:"break,omitempty"`
+	// LoadFault is a fault of loads.
+	LoadFault *infra.Fault `json:"loads,omitempty"`
+	// CompletionFault is a fault of completions.
+	CompletionFault *infra.Fault `json:"calls,omitempty"`
 }
 
 // Restart restarts an engine.
 type Restart struct {
-	DownFor plat.Duration `json:"down-for"`
+	DownFor infra.Duration `json:"down-for"`
 }
 
-// Control sets faults or, if one cannot be set, none.
-func (engine *Engine) Control(control Control) error {
-	if err := engine.loads.Check(control.Loads); err != nil {
+// ApplyControl sets faults or, if one cannot be set, none.
+func (engine *Engine) ApplyControl(control ControlRequest) error {
+	if err := engine.loads.Check(control.LoadFault); err != nil {
 		return fmt.Errorf("loads: %w", err)
 	}
-	if err := engine.calls.Check(control.Calls); err != nil {
+	if err := engine.calls.Check(control.CompletionFault); err != nil {
 		return fmt.Errorf("calls: %w", err)
 	}
 	if control.Freeze < 0 || control.Restart != nil && control.Restart.DownFor < 0 {
 		return errors.New("freeze and down-for must not be negative")
 	}
-	engine.loads.Set(control.Loads)
-	engine.calls.Set(control.Calls)
+	engine.loads.Set(control.LoadFault)
+	engine.calls.Set(control.CompletionFault)
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	now := time.Now()
-	if control.Break {
+	if control.BreakStreams {
 		engine.abortAll(outcomeBroken)
 	}
 	if control.Freeze > 0 {
@@ -76,13 +76,13 @@
 
 // serveControl handles POST /control.
 func (engine *Engine) serveControl(writer http.ResponseWriter, request *http.Request) {
-	var control Control
-	if !plat.Decode(writer, request, &control) {
+	var control ControlRequest
+	if !infra.DecodeJSON(writer, request, &control) {
 		return
 	}
-	if err := engine.Control(control); err != nil {
-		plat.Refuse(writer, http.StatusBadRequest, "%v", err)
+	if err := engine.ApplyControl(control); err != nil {
+		infra.WriteError(writer, http.StatusBadRequest, "%v", err)
 		return
 	}
-	plat.Answer(writer, control)
+	infra.WriteJSON(writer, control)
 }
--- a/internal/bench/model/model.go
+++ b/internal/bench/engsim/engsim.go
@@ -1,7 +1,7 @@
-// Package model stands in for an inference engine: continuous batching over few
+// Package engsim stands in for an inference engine: continuous batching over few
 // adapter slots, a prefix cache and server-sent events. It serves the protocol of
 // section 14 of the design page.
-package model
+package engsim
 
 import (
 	"context"
@@ -12,16 +12,16 @@
 	"sync"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
 // Engine is an http.Handler.
 type Engine struct {
 	config   Config
 	mux      *http.ServeMux
-	requests *plat.RequestLog
-	loads    *plat.Faults
-	calls    *plat.Faults
+	requests *infra.RequestLog
+	loads    *infra.FaultInjector
+	calls    *infra.FaultInjector
 
 	mutex    sync.Mutex
 	observed observer
@@ -32,7 +32,7 @@
 	end      context.CancelFunc
 	fence    uint64
 	role     string
-	slots    map[Ref]*slot
+	slots    map[AdapterRef]*slot
 	cache    *prefixCache
 	events   *eventLog
 	batch    batch
@@ -48,13 +48,13 @@
 	if err := config.check(); err != nil {
 		return nil, fmt.Errorf("engine stand-in: %w", err)
 	}
-	if config.Weights == nil {
-		config.Weights = localWeights{}
+	if config.WeightStore == nil {
+		config.WeightStore = localWeights{}
 	}
 	engine := &Engine{
-		config: config, mux: http.NewServeMux(), requests: plat.NewRequestLog(),
-		loads:    plat.NewFaults(config.Seed, ModeFailing, ModeSlow),
-		calls:    plat.NewFaults(config.Seed+1, ModeRefusing, ModeCutBefore, ModeCutStream),
+		config: config, mux: http.NewServeMux(), requests: infra.NewRequestLog(),
+		loads:    infra.NewFaultInjector(config.Seed, ModeFailing, ModeSlow),
+		calls:    infra.NewFaultInjector(config.Seed+1, ModeRefusing, ModeCutBefore, ModeCutStream),
 		observed: observer{refused: map[string]int{}},
 	}
 	engine.reset()
@@ -67,7 +67,7 @@
 	engine.mux.HandleFunc("GET /v1/cache-events", engine.serveEvents)
 	engine.mux.HandleFunc("POST /control", engine.serveControl)
 	engine.mux.HandleFunc("GET /observed", func(writer http.ResponseWriter, _ *http.Request) {
-		plat.Answer(writer, engine.Observed())
+		infra.WriteJSON(writer, engine.Observed())
 	})
 	return engine, nil
 }
@@ -81,9 +81,9 @@
 	engine.life, engine.end = context.WithCancel(context.Background())
 	engine.epoch = fmt.Sprintf("%s-%d", strconv.FormatInt(time.Now().UnixNano(), 36), engine.restarts)
 	engine.fence, engine.role = 0, "serve"
-	engine.slots = map[Ref]*slot{}
+	engine.slots = map[AdapterRef]*slot{}
 	random := rand.New(rand.NewPCG(engine.config.Seed, uint64(engine.restarts)))
-	events := &eventLog{lag: engine.config.EventLag, loss: engine.config.EventLoss, random: random}
+	events := &eventLog{lag: engine.config.CacheEventLag, loss: engine.config.CacheEventLoss, random: random}
 	engine.events = events
 	engine.cache = newPrefixCache(engine.config.CacheBlocks, events.add)
 	engine.batch = batch{}
@@ -106,7 +106,7 @@
 		now, down, frozen, life := time.Now(), engine.downUntil, engine.frozenUntil, engine.life
 		engine.mutex.Unlock()
 		if now.Before(down) {
-			plat.Cut()
+			infra.AbortConnection()
 		}
 		if !now.Before(frozen) {
 			return
@@ -115,9 +115,9 @@
 		select {
 		case <-timer.C:
 		case <-request.Context().Done():
-			plat.Cut()
+			infra.AbortConnection()
 		case <-life.Done():
-			plat.Cut()
+			infra.AbortConnection()
 		}
 	}
 }
--- a/internal/bench/model/model_test.go
+++ b/internal/bench/engsim/engsim_test.go
@@ -1,4 +1,4 @@
-package model
+package engsim
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
 // newEngine returns an engine with the adapters a@1 and b@1 loaded.
@@ -88,7 +88,7 @@
 		{"batch limit", func(config *Config) { config.BatchLimit = 1 }, []generation{{"a", "x", 8, 0}, {"a", "y", 8, 0}}, 16, 16, []time.Duration{20 * ms, 180 * ms}},
 		{"priority", func(config *Config) { config.BatchLimit = 1 }, []generation{{"a", "x", 8, 0}, {"a", "y", 8, 5}, {"a", "z", 8, 1}}, 24, 24, []time.Duration{20 * ms, 340 * ms, 180 * ms}},
 		{"cost per request and adapter", func(config *Config) { config.StepPerRequest, config.StepPerAdapter = ms, 2*ms }, []generation{{"a", "x", 8, 0}, {"b", "y", 8, 0}}, 9, 16, []time.Duration{23 * ms, 49 * ms}},
-		{"prompt in chunks", func(config *Config) { config.PromptTokenTime, config.PromptChunk = ms, 10 }, []generation{{"a", strings.Repeat("x", 100), 8, 0}}, 10, 8, []time.Duration{85 * ms}},
+		{"prompt in chunks", func(config *Config) { config.PromptTokenTime, config.PrefillChunk = ms, 10 }, []generation{{"a", strings.Repeat("x", 100), 8, 0}}, 10, 8, []time.Duration{85 * ms}},
 		{"cached prompt", func(config *Config) { config.PromptTokenTime, config.BatchLimit = ms, 1 }, []generation{{"a", strings.Repeat("x", 128), 8, 0}, {"a", strings.Repeat("x", 132), 8, 0}}, 16, 16, []time.Duration{52 * ms, 213 * ms}},
 		{"no cache across adapters", func(config *Config) { config.PromptTokenTime, config.BatchLimit = ms, 1 }, []generation{{"a", strings.Repeat("x", 128), 8, 0}, {"b", strings.Repeat("x", 128), 8, 0}}, 16, 16, []time.Duration{52 * ms, 244 * ms}},
 	}
@@ -97,8 +97,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				observed := generateAll(newEngine(t, test.config), test.generations)
 				var first []time.Duration
-				for _, start := range observed.Starts {
-					first = append(first, start.FirstToken.Sub(observed.Starts[0].Accepted))
+				for _, start := range observed.AcceptedRequests {
+					first = append(first, start.FirstToken.Sub(observed.AcceptedRequests[0].Accepted))
 				}
 				if diff := cmp.Diff(test.first, first); diff != "" || observed.Steps != test.steps || observed.Tokens != test.tokens {
 					t.Errorf("%d tokens in %d steps, want %d in %d; first tokens (-want +got):\n%s", observed.Tokens, observed.Steps, test.tokens, test.steps, diff)
@@ -124,8 +124,8 @@
 		took       time.Duration
 	}{
 		{"none", nil, func(*Engine) {}, outcomeFinished, 0, 2, 160 * time.Millisecond},
-		{"restart", nil, func(engine *Engine) { _ = engine.Control(Control{Restart: &Restart{}}) }, outcomeRestarted, 0, 0, 110 * time.Millisecond},
-		{"freeze", nil, func(engine *Engine) { _ = engine.Control(Control{Freeze: plat.Duration(time.Second)}) }, outcomeFinished, 0, 2, 1150 * time.Millisecond},
+		{"restart", nil, func(engine *Engine) { _ = engine.ApplyControl(ControlRequest{Restart: &Restart{}}) }, outcomeRestarted, 0, 0, 110 * time.Millisecond},
+		{"freeze", nil, func(engine *Engine) { _ = engine.ApplyControl(ControlRequest{Freeze: infra.Duration(time.Second)}) }, outcomeFinished, 0, 2, 1150 * time.Millisecond},
 		{"unload in use refused", nil, unload, outcomeFinished, 1, 2, 160 * time.Millisecond},
 		{"unload in use performed", func(config *Config) { config.UnloadInUse = UnloadPerform }, unload, outcomeEvicted, 1, 1, 110 * time.Millisecond},
 	}
@@ -133,18 +133,18 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				engine := newEngine(t, test.config)
-				epoch := engine.Observed().Epoch
+				epoch := engine.Observed().Incarnation
 				time.AfterFunc(110*time.Millisecond, func() { test.disturb(engine) })
 				observed := generateAll(engine, []generation{{"a", "x", 8, 0}})
-				start := observed.Starts[0]
+				start := observed.AcceptedRequests[0]
 				if took := start.Ended.Sub(start.Accepted); start.Outcome != test.outcome || took != test.took {
 					t.Errorf("outcome %q after %v, want %q after %v", start.Outcome, took, test.outcome, test.took)
 				}
 				if len(observed.Violations) != test.violations || len(engine.loaded(true)) != test.loaded {
 					t.Errorf("%d violations, loaded %v; want %d, %d", len(observed.Violations), engine.loaded(true), test.violations, test.loaded)
 				}
-				if restarted := observed.Restarts > 0; restarted != (observed.Epoch != epoch) {
-					t.Errorf("epoch %s after %s, restarted %v", observed.Epoch, epoch, restarted)
+				if restarted := observed.Restarts > 0; restarted != (observed.Incarnation != epoch) {
+					t.Errorf("epoch %s after %s, restarted %v", observed.Incarnation, epoch, restarted)
 				}
 			})
 		})
@@ -157,27 +157,27 @@
 	tests := []struct {
 		name    string
 		orders  int
-		control Control
-		later   Control
+		control ControlRequest
+		later   ControlRequest
 		status  int
 		took    time.Duration
 		loads   int
 	}{
-		{"one", 1, Control{}, Control{}, 200, 250 * time.Millisecond, 1},
-		{"shared", 3, Control{}, Control{}, 200, 250 * time.Millisecond, 1},
-		{"slow", 1, Control{Loads: &plat.Fault{Mode: ModeSlow, Delay: plat.Duration(time.Second)}}, Control{}, 200, 1250 * time.Millisecond, 1},
-		{"failing", 2, Control{Loads: &plat.Fault{Mode: ModeFailing, ID: "c"}}, Control{}, 502, 250 * time.Millisecond, 1},
-		{"another adapter fails", 1, Control{Loads: &plat.Fault{Mode: ModeFailing, ID: "d"}}, Control{}, 200, 250 * time.Millisecond, 1},
-		{"restart", 1, Control{}, Control{Restart: &Restart{}}, 502, 100 * time.Millisecond, 1},
+		{"one", 1, ControlRequest{}, ControlRequest{}, 200, 250 * time.Millisecond, 1},
+		{"shared", 3, ControlRequest{}, ControlRequest{}, 200, 250 * time.Millisecond, 1},
+		{"slow", 1, ControlRequest{LoadFault: &infra.Fault{Mode: ModeSlow, Delay: infra.Duration(time.Second)}}, ControlRequest{}, 200, 1250 * time.Millisecond, 1},
+		{"failing", 2, ControlRequest{LoadFault: &infra.Fault{Mode: ModeFailing, ID: "c"}}, ControlRequest{}, 502, 250 * time.Millisecond, 1},
+		{"another adapter fails", 1, ControlRequest{LoadFault: &infra.Fault{Mode: ModeFailing, ID: "d"}}, ControlRequest{}, 200, 250 * time.Millisecond, 1},
+		{"restart", 1, ControlRequest{}, ControlRequest{Restart: &Restart{}}, 502, 100 * time.Millisecond, 1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				engine := newEngine(t, nil)
-				if err := engine.Control(test.control); err != nil {
+				if err := engine.ApplyControl(test.control); err != nil {
 					t.Fatal(err)
 				}
-				time.AfterFunc(100*time.Millisecond, func() { _ = engine.Control(test.later) })
+				time.AfterFunc(100*time.Millisecond, func() { _ = engine.ApplyControl(test.later) })
 				var group sync.WaitGroup
 				for range test.orders {
 					group.Go(func() {
@@ -188,7 +188,7 @@
 				}
 				group.Wait()
 				loads := engine.Observed().Loads[2:]
-				if len(loads) != test.loads || loads[0].Wait() != test.took || (loads[0].Error == "") != (test.status == 200) {
+				if len(loads) != test.loads || loads[0].Duration() != test.took || (loads[0].Error == "") != (test.status == 200) {
 					t.Errorf("loads %+v, want %d of %v", loads, test.loads, test.took)
 				}
 			})
@@ -200,7 +200,7 @@
 // that are early or complete.
 func TestReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engine := newEngine(t, func(config *Config) { config.EventLoss, config.CacheBlocks = 0.5, 8 })
+		engine := newEngine(t, func(config *Config) { config.CacheEventLoss, config.CacheBlocks = 0.5, 8 })
 		get := func(path string) string {
 			recorder := httptest.NewRecorder()
 			engine.ServeHTTP(recorder, httptest.NewRequest("GET", path, nil))
--- a/internal/bench/model/events.go
+++ b/internal/bench/engsim/events.go
@@ -1,4 +1,4 @@
-package model
+package engsim
 
 import (
 	"math/rand/v2"
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
 // The kinds of cache events.
@@ -73,11 +73,11 @@
 func (engine *Engine) serveEvents(writer http.ResponseWriter, request *http.Request) {
 	from, err := strconv.ParseUint(request.URL.Query().Get("from"), 10, 64)
 	if err != nil && request.URL.Query().Has("from") {
-		plat.Refuse(writer, http.StatusBadRequest, "from=%q is not a number", request.URL.Query().Get("from"))
+		infra.WriteError(writer, http.StatusBadRequest, "from=%q is not a number", request.URL.Query().Get("from"))
 		return
 	}
 	engine.mutex.Lock()
 	epoch, events := engine.epoch, engine.events.visible(from)
 	engine.mutex.Unlock()
-	plat.Answer(writer, map[string]any{"epoch": epoch, "events": events})
+	infra.WriteJSON(writer, map[string]any{"epoch": epoch, "events": events})
 }
--- a/internal/bench/model/observe.go
+++ b/internal/bench/engsim/observe.go
@@ -1,4 +1,4 @@
-package model
+package engsim
 
 import (
 	"maps"
@@ -6,11 +6,11 @@
 	"slices"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
-// Start is one request that the engine accepted.
-type Start struct {
+// AcceptedRequest is one request that the engine accepted.
+type AcceptedRequest struct {
 	RequestID    string `json:"request-id"`
 	Organisation string `json:"organisation,omitempty"`
 	Adapter      string `json:"adapter"`
@@ -32,8 +32,8 @@
 	Outcome string `json:"outcome"`
 }
 
-// Violation is an order to unload an adapter in use.
-type Violation struct {
+// UnloadViolation is an order to unload an adapter in use.
+type UnloadViolation struct {
 	Time     time.Time `json:"time"`
 	Adapter  string    `json:"adapter"`
 	Version  uint32    `json:"version"`
@@ -51,25 +51,25 @@
 	Error   string    `json:"error,omitempty"`
 }
 
-// Wait returns how long an ended load took.
-func (order LoadOrder) Wait() time.Duration { return order.Ended.Sub(order.Ordered) }
+// Duration returns how long an ended load took.
+func (order LoadOrder) Duration() time.Duration { return order.Ended.Sub(order.Ordered) }
 
 // Observed is what the engine has seen.
 type Observed struct {
-	Epoch      string      `json:"epoch"`
-	Restarts   int         `json:"restarts"`
-	Starts     []Start     `json:"starts"`
-	Violations []Violation `json:"violations"`
-	Loads      []LoadOrder `json:"loads"`
+	Incarnation      string            `json:"epoch"`
+	Restarts         int               `json:"restarts"`
+	AcceptedRequests []AcceptedRequest `json:"starts"`
+	Violations       []UnloadViolation `json:"violations"`
+	Loads            []LoadOrder       `json:"loads"`
 	// Refused counts refusals by cause.
 	Refused map[string]int `json:"refused"`
 	// Steps, Tokens and Batch count the engine's steps, the tokens they produced
 	// and the requests in them.
-	Steps  int           `json:"steps"`
-	Tokens int           `json:"tokens"`
-	Batch  int           `json:"batch"`
-	Busy   plat.Duration `json:"busy"`
-	plat.Seen
+	Steps           int            `json:"steps"`
+	Tokens          int            `json:"tokens"`
+	BatchedRequests int            `json:"batch"`
+	BusyTime        infra.Duration `json:"busy"`
+	infra.RequestSummary
 }
 
 // TokensPerStep returns the batch efficiency.
@@ -82,8 +82,8 @@
 
 // observer collects what the engine has seen. The engine's mutex protects it.
 type observer struct {
-	starts               []*Start
-	violations           []Violation
+	starts               []*AcceptedRequest
+	violations           []UnloadViolation
 	loads                []*LoadOrder
 	refused              map[string]int
 	steps, tokens, batch int
@@ -91,8 +91,8 @@
 }
 
 // addStart records an accepted request.
-func (observer *observer) addStart(request *http.Request, parsed completion) *Start {
-	start := &Start{
+func (observer *observer) addStart(request *http.Request, parsed completion) *AcceptedRequest {
+	start := &AcceptedRequest{
 		RequestID: parsed.id, Organisation: request.Header.Get("X-Organisation"),
 		Adapter: parsed.ref.Adapter, Version: parsed.ref.Version, Priority: parsed.Priority,
 		PromptTokens: PromptTokens(parsed.prompt), MaxTokens: parsed.MaxTokens,
@@ -103,8 +103,8 @@
 }
 
 // addViolation records an order to unload an adapter in use.
-func (observer *observer) addViolation(ref Ref, users []*run, performed bool) {
-	violation := Violation{Time: time.Now(), Adapter: ref.Adapter, Version: ref.Version, Performed: performed}
+func (observer *observer) addViolation(ref AdapterRef, users []*run, performed bool) {
+	violation := UnloadViolation{Time: time.Now(), Adapter: ref.Adapter, Version: ref.Version, Performed: performed}
 	for _, run := range users {
 		violation.Requests = append(violation.Requests, run.request.id)
 	}
@@ -112,7 +112,7 @@
 }
 
 // addLoad records a load that begins.
-func (observer *observer) addLoad(ref Ref) *LoadOrder {
+func (observer *observer) addLoad(ref AdapterRef) *LoadOrder {
 	order := &LoadOrder{Adapter: ref.Adapter, Version: ref.Version, Ordered: time.Now()}
 	observer.loads = append(observer.loads, order)
 	return order
@@ -132,13 +132,13 @@
 	defer engine.mutex.Unlock()
 	seen := &engine.observed
 	observed := Observed{
-		Epoch: engine.epoch, Restarts: engine.restarts,
+		Incarnation: engine.epoch, Restarts: engine.restarts,
 		Violations: slices.Clone(seen.violations), Refused: maps.Clone(seen.refused),
-		Steps: seen.steps, Tokens: seen.tokens, Batch: seen.batch, Busy: plat.Duration(seen.busy),
-		Seen: engine.requests.Seen(),
+		Steps: seen.steps, Tokens: seen.tokens, BatchedRequests: seen.batch, BusyTime: infra.Duration(seen.busy),
+		RequestSummary: engine.requests.Summary(),
 	}
 	for _, start := range seen.starts {
-		observed.Starts = append(observed.Starts, *start)
+		observed.AcceptedRequests = append(observed.AcceptedRequests, *start)
 	}
 	for _, order := range seen.loads {
 		observed.Loads = append(observed.Loads, *order)
--- a/internal/bench/model/orders.go
+++ b/internal/bench/engsim/orders.go
@@ -1,4 +1,4 @@
-package model
+package engsim
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
 // fencingHeader carries the fencing token of an order.
@@ -19,7 +19,7 @@
 var roles = []string{"serve", "prefill", "decode", "drain"}
 
 // cmpRef orders adapters by name, then by version.
-func cmpRef(a, b Ref) int {
+func cmpRef(a, b AdapterRef) int {
 	return cmp.Or(cmp.Compare(a.Adapter, b.Adapter), cmp.Compare(a.Version, b.Version))
 }
 
@@ -42,15 +42,15 @@
 }
 
 // readOrder reads the adapter that an order names.
-func (engine *Engine) readOrder(writer http.ResponseWriter, request *http.Request) (Ref, bool) {
+func (engine *Engine) readOrder(writer http.ResponseWriter, request *http.Request) (AdapterRef, bool) {
 	engine.requests.Add(request, nil)
-	var ref Ref
-	if !plat.Decode(writer, request, &ref) {
-		return Ref{}, false
+	var ref AdapterRef
+	if !infra.DecodeJSON(writer, request, &ref) {
+		return AdapterRef{}, false
 	}
 	if ref.Adapter == "" {
-		plat.Refuse(writer, http.StatusBadRequest, "the field \"adapter\" is missing")
-		return Ref{}, false
+		infra.WriteError(writer, http.StatusBadRequest, "the field \"adapter\" is missing")
+		return AdapterRef{}, false
 	}
 	return ref, true
 }
@@ -61,11 +61,11 @@
 	var order struct {
 		Role string `json:"role"`
 	}
-	if !plat.Decode(writer, request, &order) {
+	if !infra.DecodeJSON(writer, request, &order) {
 		return
 	}
 	if !slices.Contains(roles, order.Role) {
-		plat.Refuse(writer, http.StatusBadRequest, "role %q; write one of %v", order.Role, roles)
+		infra.WriteError(writer, http.StatusBadRequest, "role %q; write one of %v", order.Role, roles)
 		return
 	}
 	engine.mutex.Lock()
@@ -78,20 +78,20 @@
 		engine.refuse(writer, refused)
 		return
 	}
-	plat.Answer(writer, order)
+	infra.WriteJSON(writer, order)
 }
 
 // state is the answer to GET /v1/state. Running and Waiting lag, the rest is
 // current.
 type state struct {
-	Epoch   string `json:"epoch"`
-	Slots   int    `json:"slots"`
-	Loaded  []Ref  `json:"loaded"`
-	Loading []Ref  `json:"loading"`
-	Fence   uint64 `json:"fence"`
-	Role    string `json:"role"`
-	Running int    `json:"running"`
-	Waiting int    `json:"waiting"`
+	Epoch   string       `json:"epoch"`
+	Slots   int          `json:"slots"`
+	Loaded  []AdapterRef `json:"loaded"`
+	Loading []AdapterRef `json:"loading"`
+	Fence   uint64       `json:"fence"`
+	Role    string       `json:"role"`
+	Running int          `json:"running"`
+	Waiting int          `json:"waiting"`
 }
 
 // serveState handles GET /v1/state.
@@ -101,9 +101,9 @@
 	engine.mutex.Lock()
 	load := engine.lagged(time.Now())
 	current := state{
-		Epoch: engine.epoch, Slots: engine.config.Slots, Loaded: engine.loaded(true), Loading: engine.loaded(false),
+		Epoch: engine.epoch, Slots: engine.config.AdapterSlots, Loaded: engine.loaded(true), Loading: engine.loaded(false),
 		Fence: engine.fence, Role: engine.role, Running: load.running, Waiting: load.waiting,
 	}
 	engine.mutex.Unlock()
-	plat.Answer(writer, current)
+	infra.WriteJSON(writer, current)
 }
--- a/internal/bench/model/ref.go
+++ b/internal/bench/engsim/ref.go
@@ -1,4 +1,4 @@
-package model
+package engsim
 
 import (
 	"fmt"
@@ -6,26 +6,26 @@
 	"strings"
 )
 
-// Ref names an adapter in one version.
-type Ref struct {
+// AdapterRef names an adapter in one version.
+type AdapterRef struct {
 	Adapter string `json:"adapter"`
 	Version uint32 `json:"version"`
 }
 
 // String returns the form that requests use, adapter@version.
-func (ref Ref) String() string {
+func (ref AdapterRef) String() string {
 	return ref.Adapter + "@" + strconv.FormatUint(uint64(ref.Version), 10)
 }
 
 // parseRef reads the form adapter@version.
-func parseRef(text string) (Ref, error) {
+func parseRef(text string) (AdapterRef, error) {
 	at := strings.LastIndexByte(text, '@')
 	if at <= 0 {
-		return Ref{}, fmt.Errorf("model %q is not of the form adapter@version", text)
+		return AdapterRef{}, fmt.Errorf("model %q is not of the form adapter@version", text)
 	}
 	version, err := strconv.ParseUint(text[at+1:], 10, 32)
 	if err != nil {
-		return Ref{}, fmt.Errorf("model %q: the version is not a number", text)
+		return AdapterRef{}, fmt.Errorf("model %q: the version is not a number", text)
 	}
-	return Ref{Adapter: text[:at], Version: uint32(version)}, nil
+	return AdapterRef{Adapter: text[:at], Version: uint32(version)}, nil
 }
--- a/internal/bench/model/relay.go
+++ b/internal/bench/engsim/relay.go
@@ -1,11 +1,11 @@
-package model
+package engsim
 
 import (
 	"encoding/json"
 	"fmt"
 	"net/http"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
 // tokenEvent is the data of the event of a token.
@@ -30,8 +30,8 @@
 	writer.Header().Set("X-Request-Id", run.request.id)
 	writer.WriteHeader(http.StatusOK)
 	limit := int64(-1)
-	if fault, hit := engine.calls.Hit(ModeCutStream, run.request.id); hit {
-		limit = from + int64(fault.After)
+	if fault, hit := engine.calls.Inject(ModeCutStream, run.request.id); hit {
+		limit = from + int64(fault.AfterTokens)
 	}
 	written, hash := from, seed(run.request.ref.Adapter, run.request.ref.Version, run.request.prompt)
 	for {
@@ -46,7 +46,7 @@
 		if written == limit {
 			_ = controller.Flush()
 			engine.cancel(run, outcomeBroken)
-			plat.Cut()
+			infra.AbortConnection()
 		}
 		if outcome != "" {
 			finish(writer, run, outcome)
@@ -69,7 +69,7 @@
 	case outcomeEvicted:
 		writeEvent(writer, "error", map[string]string{"message": "the adapter was unloaded"})
 	default:
-		plat.Cut()
+		infra.AbortConnection()
 	}
 }
 
--- a/internal/bench/model/slots.go
+++ b/internal/bench/engsim/slots.go
@@ -1,4 +1,4 @@
-package model
+package engsim
 
 import (
 	"context"
@@ -8,12 +8,12 @@
 	"slices"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
 // slot holds one adapter, loaded or loading.
 type slot struct {
-	ref    Ref
+	ref    AdapterRef
 	loaded bool
 	// done is closed at the end of the load, of which err is the result.
 	done chan struct{}
@@ -44,11 +44,11 @@
 		engine.refuse(writer, &refusal{http.StatusBadGateway, "load-failed", fmt.Sprintf("load of %s: %v", ref, slot.err)})
 		return
 	}
-	plat.Answer(writer, ref)
+	infra.WriteJSON(writer, ref)
 }
 
 // reserve returns the slot of an adapter and begins its load if there is none.
-func (engine *Engine) reserve(request *http.Request, ref Ref) (*slot, *refusal) {
+func (engine *Engine) reserve(request *http.Request, ref AdapterRef) (*slot, *refusal) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	if refused := engine.checkFence(request); refused != nil {
@@ -57,8 +57,8 @@
 	if known, ok := engine.slots[ref]; ok {
 		return known, nil
 	}
-	if len(engine.slots) >= engine.config.Slots {
-		return nil, &refusal{http.StatusConflict, "no-slot", fmt.Sprintf("no slot of %d is free; unload an adapter first", engine.config.Slots)}
+	if len(engine.slots) >= engine.config.AdapterSlots {
+		return nil, &refusal{http.StatusConflict, "no-slot", fmt.Sprintf("no slot of %d is free; unload an adapter first", engine.config.AdapterSlots)}
 	}
 	added := &slot{ref: ref, done: make(chan struct{})}
 	engine.slots[ref] = added
@@ -69,8 +69,8 @@
 
 // load fetches an adapter and ends its load.
 func (engine *Engine) load(life context.Context, slot *slot, order *LoadOrder) {
-	err := engine.config.Weights.Fetch(life, slot.ref.Adapter, slot.ref.Version)
-	if fault, hit := engine.loads.Hit(ModeSlow, slot.ref.Adapter); hit && err == nil {
+	err := engine.config.WeightStore.Fetch(life, slot.ref.Adapter, slot.ref.Version)
+	if fault, hit := engine.loads.Inject(ModeSlow, slot.ref.Adapter); hit && err == nil {
 		timer := time.NewTimer(time.Duration(fault.Delay))
 		defer timer.Stop()
 		select {
@@ -78,7 +78,7 @@
 		case <-life.Done():
 		}
 	}
-	if _, hit := engine.loads.Hit(ModeFailing, slot.ref.Adapter); hit && err == nil {
+	if _, hit := engine.loads.Inject(ModeFailing, slot.ref.Adapter); hit && err == nil {
 		err = errLoadFailed
 	}
 	engine.mutex.Lock()
@@ -108,11 +108,11 @@
 		engine.refuse(writer, refused)
 		return
 	}
-	plat.Answer(writer, ref)
+	infra.WriteJSON(writer, ref)
 }
 
 // unload frees the slot of an adapter.
-func (engine *Engine) unload(request *http.Request, ref Ref) *refusal {
+func (engine *Engine) unload(request *http.Request, ref AdapterRef) *refusal {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	if refused := engine.checkFence(request); refused != nil {
@@ -140,8 +140,8 @@
 }
 
 // loaded returns the adapters that are loaded, or those that are loading.
-func (engine *Engine) loaded(loaded bool) []Ref {
-	refs := []Ref{}
+func (engine *Engine) loaded(loaded bool) []AdapterRef {
+	refs := []AdapterRef{}
 	for ref, slot := range engine.slots {
 		if slot.loaded == loaded {
 			refs = append(refs, ref)
--- a/internal/bench/model/tokens.go
+++ b/internal/bench/engsim/tokens.go
@@ -1,4 +1,4 @@
-package model
+package engsim
 
 import (
 	"strconv"
@@ -46,8 +46,8 @@
 	return xxh3.HashStringSeed(prompt, xxh3.HashStringSeed(adapter, uint64(version)))
 }
 
-// Token returns the text of the token at an index of an answer.
-func Token(adapter string, version uint32, prompt string, index int64) string {
+// TokenText returns the text of the token at an index of an answer.
+func TokenText(adapter string, version uint32, prompt string, index int64) string {
 	return token(seed(adapter, version, prompt), index)
 }
 
@@ -67,8 +67,8 @@
 	return maxTokens, FinishLength
 }
 
-// Answer returns the text of a complete answer.
-func Answer(adapter string, version uint32, prompt string, maxTokens int64) string {
+// AnswerText returns the text of a complete answer.
+func AnswerText(adapter string, version uint32, prompt string, maxTokens int64) string {
 	length, _ := AnswerLength(adapter, version, prompt, maxTokens)
 	hash := seed(adapter, version, prompt)
 	var answer strings.Builder
--- a/internal/bench/model/weights.go
+++ b/internal/bench/engsim/weights.go
@@ -1,4 +1,4 @@
-package model
+package engsim
 
 import (
 	"context"
@@ -26,8 +26,8 @@
 	}
 }
 
-// RemoteWeights fetches from a weight store over HTTP.
-type RemoteWeights struct {
+// HTTPWeightStore fetches from a weight store over HTTP.
+type HTTPWeightStore struct {
 	// URL is the address of the platform, without a trailing slash.
 	URL string
 	// HTTP sends the requests; nil stands for http.DefaultClient.
@@ -35,7 +35,7 @@
 }
 
 // Fetch implements Weights.
-func (weights RemoteWeights) Fetch(ctx context.Context, adapter string, version uint32) error {
+func (weights HTTPWeightStore) Fetch(ctx context.Context, adapter string, version uint32) error {
 	path := fmt.Sprintf("%s/v1/weights/%s/%d", weights.URL, url.PathEscape(adapter), version)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, path, nil)
 	if err != nil {
--- a/internal/bench/plat/control_test.go
+++ b/internal/bench/infra/control_test.go
@@ -1,4 +1,4 @@
-package plat
+package infra
 
 import (
 	"net/http/httptest"
@@ -62,7 +62,7 @@
 			request := httptest.NewRequest("POST", test.path, nil)
 			request.Header.Set("Authorization", test.header)
 			requests.Add(request, []byte(test.body))
-			if seen := requests.Seen(); len(seen.KeyLeaks) != test.want {
+			if seen := requests.Summary(); len(seen.KeyLeaks) != test.want {
 				t.Errorf("leaks %v, want %d", seen.KeyLeaks, test.want)
 			}
 		})
--- a/internal/bench/plat/fault.go
+++ b/internal/bench/infra/fault.go
@@ -1,4 +1,4 @@
-package plat
+package infra
 
 import (
 	"fmt"
@@ -17,12 +17,12 @@
 	For Duration `json:"for,omitempty"`
 	// Delay is the additional time of slow modes.
 	Delay Duration `json:"delay,omitempty"`
-	// Share is the part of calls affected; 0 stands for all.
-	Share float64 `json:"share,omitempty"`
+	// Fraction is the part of calls affected; 0 stands for all.
+	Fraction float64 `json:"share,omitempty"`
 	// Count is the number of calls affected; 0 stands for no limit.
 	Count int `json:"count,omitempty"`
-	// After is the number of tokens after which streams are cut.
-	After int `json:"after,omitempty"`
+	// AfterTokens is the number of tokens after which streams are cut.
+	AfterTokens int `json:"after,omitempty"`
 	// ID restricts the fault to one stream, adapter, instance or request id;
 	// empty affects all.
 	ID string `json:"id,omitempty"`
@@ -31,8 +31,8 @@
 // modeNone ends all faults of a part.
 const modeNone = "none"
 
-// Faults holds the faults in force at one part of a stand-in.
-type Faults struct {
+// FaultInjector holds the faults in force at one part of a stand-in.
+type FaultInjector struct {
 	modes  []string
 	mutex  sync.Mutex
 	random *rand.Rand
@@ -45,28 +45,28 @@
 	since, until time.Time
 }
 
-// NewFaults returns a part without faults that knows the given modes.
-func NewFaults(seed uint64, modes ...string) *Faults {
-	return &Faults{modes: modes, random: rand.New(rand.NewPCG(seed, uint64(len(modes)))), active: map[string]activeFault{}}
+// NewFaultInjector returns a part without faults that knows the given modes.
+func NewFaultInjector(seed uint64, modes ...string) *FaultInjector {
+	return &FaultInjector{modes: modes, random: rand.New(rand.NewPCG(seed, uint64(len(modes)))), active: map[string]activeFault{}}
 }
 
 // Check returns an error if the fault cannot be set.
-func (faults *Faults) Check(fault *Fault) error {
+func (faults *FaultInjector) Check(fault *Fault) error {
 	switch {
 	case fault == nil, fault.Mode == modeNone:
 		return nil
 	case !slices.Contains(faults.modes, fault.Mode):
 		return fmt.Errorf("mode %q is not known; write one of none, %s", fault.Mode, strings.Join(faults.modes, ", "))
-	case fault.Share < 0 || fault.Share > 1:
-		return fmt.Errorf("share %v is not between 0 and 1", fault.Share)
-	case fault.For < 0 || fault.Delay < 0 || fault.Count < 0 || fault.After < 0:
+	case fault.Fraction < 0 || fault.Fraction > 1:
+		return fmt.Errorf("share %v is not between 0 and 1", fault.Fraction)
+	case fault.For < 0 || fault.Delay < 0 || fault.Count < 0 || fault.AfterTokens < 0:
 		return fmt.Errorf("for, delay, count and after of mode %q must not be negative", fault.Mode)
 	}
 	return nil
 }
 
 // Set puts a checked fault in force. A nil fault changes nothing.
-func (faults *Faults) Set(fault *Fault) {
+func (faults *FaultInjector) Set(fault *Fault) {
 	if fault == nil {
 		return
 	}
@@ -83,15 +83,15 @@
 	faults.active[fault.Mode] = active
 }
 
-// Hit reports whether a call is affected by a mode, and counts it.
-func (faults *Faults) Hit(mode, id string) (Fault, bool) {
+// Inject reports whether a call is affected by a mode, and counts it.
+func (faults *FaultInjector) Inject(mode, id string) (Fault, bool) {
 	faults.mutex.Lock()
 	defer faults.mutex.Unlock()
 	active, ok := faults.current(mode)
 	if !ok || active.ID != "" && active.ID != id {
 		return Fault{}, false
 	}
-	if active.Share > 0 && faults.random.Float64() >= active.Share {
+	if active.Fraction > 0 && faults.random.Float64() >= active.Fraction {
 		return Fault{}, false
 	}
 	if active.Count > 0 {
@@ -104,8 +104,8 @@
 	return active.Fault, true
 }
 
-// Since returns when a mode came into force, if it is in force.
-func (faults *Faults) Since(mode string) (time.Time, bool) {
+// ActiveSince returns when a mode came into force, if it is in force.
+func (faults *FaultInjector) ActiveSince(mode string) (time.Time, bool) {
 	faults.mutex.Lock()
 	defer faults.mutex.Unlock()
 	active, ok := faults.current(mode)
@@ -113,7 +113,7 @@
 }
 
 // current returns the fault of a mode and removes one that is over.
-func (faults *Faults) current(mode string) (activeFault, bool) {
+func (faults *FaultInjector) current(mode string) (activeFault, bool) {
 	active, ok := faults.active[mode]
 	if ok && !active.until.IsZero() && !time.Now().Before(active.until) {
 		delete(faults.active, mode)
--- a/internal/bench/plat/plat.go
+++ b/internal/bench/infra/infra.go
@@ -1,6 +1,6 @@
-// Package plat stands in for the platform: its log service, weight store and
+// Package infra stands in for the platform: its log service, weight store and
 // instance list. It serves the protocols of section 14 of the design page.
-package plat
+package infra
 
 import (
 	"context"
@@ -25,8 +25,8 @@
 	LoadTime         time.Duration
 	LoadsAtFullSpeed int
 	// ListLag is the least time after which a change of the instance list can be
-	// seen; ListLagSpread is the range of what each change takes longer.
-	ListLag, ListLagSpread time.Duration
+	// seen; ListLagJitter is the range of what each change takes longer.
+	ListLag, ListLagJitter time.Duration
 }
 
 // DefaultConfig returns the figures of section 1 of the design page.
@@ -49,8 +49,8 @@
 		return fmt.Errorf("load rate %v with burst %d; write values above 0", config.LoadRate, config.LoadBurst)
 	case config.LoadTime <= 0 || config.LoadsAtFullSpeed <= 0:
 		return fmt.Errorf("load time %v for up to %d loads; write values above 0", config.LoadTime, config.LoadsAtFullSpeed)
-	case config.ListLag < 0 || config.ListLagSpread < 0:
-		return fmt.Errorf("list lag %v with spread %v; write times of at least 0", config.ListLag, config.ListLagSpread)
+	case config.ListLag < 0 || config.ListLagJitter < 0:
+		return fmt.Errorf("list lag %v with spread %v; write times of at least 0", config.ListLag, config.ListLagJitter)
 	}
 	return nil
 }
@@ -82,7 +82,7 @@
 	platform.mux.HandleFunc("DELETE /v1/instances/{id}", platform.list.serveDelete)
 	platform.mux.HandleFunc("POST /control", platform.serveControl)
 	platform.mux.HandleFunc("GET /observed", func(writer http.ResponseWriter, _ *http.Request) {
-		Answer(writer, platform.Observed())
+		WriteJSON(writer, platform.Observed())
 	})
 	return platform, nil
 }
@@ -109,8 +109,8 @@
 	return slices.Clone(platform.log.open(stream).records)
 }
 
-// Announce adds or changes an instance, seen after the lag.
-func (platform *Platform) Announce(instance Instance) error {
+// PutInstance adds or changes an instance, seen after the lag.
+func (platform *Platform) PutInstance(instance Instance) error {
 	if err := instance.check(); err != nil {
 		return fmt.Errorf("instance %q: %w", instance.ID, err)
 	}
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// Remove removes an instance, seen after the lag.
-func (platform *Platform) Remove(id string) { platform.list.put(Instance{ID: id}, true) }
+// RemoveInstance removes an instance, seen after the lag.
+func (platform *Platform) RemoveInstance(id string) { platform.list.put(Instance{ID: id}, true) }
 
 // Instances returns the list as readers see it now.
 func (platform *Platform) Instances() []Instance {
@@ -139,7 +139,7 @@
 func (platform *Platform) Control(control Control) error {
 	parts := []struct {
 		name   string
-		faults *Faults
+		faults *FaultInjector
 		fault  *Fault
 	}{
 		{"log", platform.log.faults, control.Log},
@@ -160,12 +160,12 @@
 // serveControl handles POST /control.
 func (platform *Platform) serveControl(writer http.ResponseWriter, request *http.Request) {
 	var control Control
-	if !Decode(writer, request, &control) {
+	if !DecodeJSON(writer, request, &control) {
 		return
 	}
 	if err := platform.Control(control); err != nil {
-		Refuse(writer, http.StatusBadRequest, "%v", err)
+		WriteError(writer, http.StatusBadRequest, "%v", err)
 		return
 	}
-	Answer(writer, control)
+	WriteJSON(writer, control)
 }
--- a/internal/bench/plat/list.go
+++ b/internal/bench/infra/list.go
@@ -1,4 +1,4 @@
-package plat
+package infra
 
 import (
 	"cmp"
@@ -12,16 +12,16 @@
 
 // The states of instances.
 const (
-	StateLive    = "live"
-	StateLeaving = "leaving"
+	StateLive     = "live"
+	StateDraining = "leaving"
 )
 
 // The faults of the instance list.
 const (
 	// ModeStale shows the list as it was when the fault began.
 	ModeStale = "stale"
-	// ModeReturning shows removed instances again, with their last state.
-	ModeReturning = "returning"
+	// ModeShowRemoved shows removed instances again, with their last state.
+	ModeShowRemoved = "returning"
 )
 
 // Instance is one entry of the instance list.
@@ -47,7 +47,7 @@
 // instanceList shows changes late.
 type instanceList struct {
 	lag, spread time.Duration
-	faults      *Faults
+	faults      *FaultInjector
 
 	mutex    sync.Mutex
 	random   *rand.Rand
@@ -61,8 +61,8 @@
 // newInstanceList returns an empty list.
 func newInstanceList(config Config) *instanceList {
 	return &instanceList{
-		lag: config.ListLag, spread: config.ListLagSpread,
-		faults:  NewFaults(config.Seed+2, ModeDown, ModeRefusing, ModeSlow, ModeStale, ModeReturning),
+		lag: config.ListLag, spread: config.ListLagJitter,
+		faults:  NewFaultInjector(config.Seed+2, ModeDown, ModeRefusing, ModeSlow, ModeStale, ModeShowRemoved),
 		random:  rand.New(rand.NewPCG(config.Seed, 2)),
 		entries: map[string]change{}, revisions: newRevisions(),
 	}
@@ -85,7 +85,7 @@
 // a later one of the same instance.
 func (list *instanceList) advance() {
 	now := time.Now()
-	if since, stale := list.faults.Since(ModeStale); stale {
+	if since, stale := list.faults.ActiveSince(ModeStale); stale {
 		now = since
 	}
 	list.pending = slices.DeleteFunc(list.pending, func(change change) bool {
@@ -120,7 +120,7 @@
 	instances := make([]Instance, 0, len(list.entries))
 	for id, entry := range list.entries {
 		if entry.removed {
-			if _, returns := list.faults.Hit(ModeReturning, id); !returns || entry.instance.Role == "" {
+			if _, returns := list.faults.Inject(ModeShowRemoved, id); !returns || entry.instance.Role == "" {
 				continue
 			}
 		}
@@ -142,14 +142,14 @@
 
 // disturb applies the faults of all calls.
 func (list *instanceList) disturb(writer http.ResponseWriter, request *http.Request) bool {
-	if _, hit := list.faults.Hit(ModeDown, ""); hit {
-		Cut()
+	if _, hit := list.faults.Inject(ModeDown, ""); hit {
+		AbortConnection()
 	}
-	if _, hit := list.faults.Hit(ModeRefusing, ""); hit {
-		RefuseFor(writer, http.StatusServiceUnavailable, time.Second, "the instance list is unavailable")
+	if _, hit := list.faults.Inject(ModeRefusing, ""); hit {
+		WriteRetryableError(writer, http.StatusServiceUnavailable, time.Second, "the instance list is unavailable")
 		return false
 	}
-	if fault, hit := list.faults.Hit(ModeSlow, ""); hit {
+	if fault, hit := list.faults.Inject(ModeSlow, ""); hit {
 		return Pause(request, time.Duration(fault.Delay))
 	}
 	return true
@@ -160,22 +160,22 @@
 	if !list.disturb(writer, request) {
 		return
 	}
-	Answer(writer, list.since(request.URL.Query().Get("since")))
+	WriteJSON(writer, list.since(request.URL.Query().Get("since")))
 }
 
 // servePut handles PUT /v1/instances/ID.
 func (list *instanceList) servePut(writer http.ResponseWriter, request *http.Request) {
 	var instance Instance
-	if !Decode(writer, request, &instance) || !list.disturb(writer, request) {
+	if !DecodeJSON(writer, request, &instance) || !list.disturb(writer, request) {
 		return
 	}
 	instance.ID = request.PathValue("id")
 	if err := instance.check(); err != nil {
-		Refuse(writer, http.StatusBadRequest, "instance %q: %v", instance.ID, err)
+		WriteError(writer, http.StatusBadRequest, "instance %q: %v", instance.ID, err)
 		return
 	}
 	list.put(instance, false)
-	Answer(writer, instance)
+	WriteJSON(writer, instance)
 }
 
 // check returns an error if a field has no usable value.
@@ -184,7 +184,7 @@
 		instance.State = StateLive
 	}
 	switch {
-	case instance.State != StateLive && instance.State != StateLeaving:
+	case instance.State != StateLive && instance.State != StateDraining:
 		return fmt.Errorf("state %q; write live or leaving", instance.State)
 	case instance.Role != "entry" && instance.Role != "side":
 		return fmt.Errorf("role %q; write entry or side", instance.Role)
@@ -202,5 +202,5 @@
 		return
 	}
 	list.put(Instance{ID: request.PathValue("id")}, true)
-	Answer(writer, map[string]string{"id": request.PathValue("id")})
+	WriteJSON(writer, map[string]string{"id": request.PathValue("id")})
 }
--- a/internal/bench/plat/list_test.go
+++ b/internal/bench/infra/list_test.go
@@ -1,4 +1,4 @@
-package plat
+package infra
 
 import (
 	"testing"
@@ -18,10 +18,10 @@
 		want  map[string]string
 	}{
 		{"within the lag", nil, 400 * time.Millisecond, map[string]string{"s1": StateLive, "s2": StateLive}},
-		{"after the lag", nil, 600 * time.Millisecond, map[string]string{"s1": StateLeaving}},
+		{"after the lag", nil, 600 * time.Millisecond, map[string]string{"s1": StateDraining}},
 		{"stale", &Fault{Mode: ModeStale, For: Duration(time.Minute)}, 50 * time.Second, map[string]string{"s1": StateLive, "s2": StateLive}},
-		{"no longer stale", &Fault{Mode: ModeStale, For: Duration(time.Minute)}, 61 * time.Second, map[string]string{"s1": StateLeaving}},
-		{"returning", &Fault{Mode: ModeReturning, ID: "s2"}, 10 * time.Second, map[string]string{"s1": StateLeaving, "s2": StateLive}},
+		{"no longer stale", &Fault{Mode: ModeStale, For: Duration(time.Minute)}, 61 * time.Second, map[string]string{"s1": StateDraining}},
+		{"returning", &Fault{Mode: ModeShowRemoved, ID: "s2"}, 10 * time.Second, map[string]string{"s1": StateDraining, "s2": StateLive}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -32,11 +32,11 @@
 				}
 				first := Instance{ID: "s1", Role: "side", Upstream: "u1", Address: "s1:80"}
 				second := Instance{ID: "s2", Role: "side", Upstream: "u2", Address: "s2:80"}
-				_, _ = platform.Announce(first), platform.Announce(second)
+				_, _ = platform.PutInstance(first), platform.PutInstance(second)
 				time.Sleep(time.Second)
-				first.State = StateLeaving
-				_, _ = platform.Announce(first), platform.Control(Control{List: test.fault})
-				platform.Remove("s2")
+				first.State = StateDraining
+				_, _ = platform.PutInstance(first), platform.Control(Control{List: test.fault})
+				platform.RemoveInstance("s2")
 				time.Sleep(test.wait)
 				got := map[string]string{}
 				for _, instance := range platform.Instances() {
--- a/internal/bench/plat/loopback.go
+++ b/internal/bench/infra/loopback.go
@@ -1,4 +1,4 @@
-package plat
+package infra
 
 import (
 	"context"
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// Loopback is an in-memory network for tests in virtual time.
-type Loopback struct {
+// PipeNetwork is an in-memory network for tests in virtual time.
+type PipeNetwork struct {
 	mutex     sync.Mutex
 	listeners map[string]*loopbackListener
 }
 
-// NewLoopback returns a network without listeners.
-func NewLoopback() *Loopback {
-	return &Loopback{listeners: map[string]*loopbackListener{}}
+// NewPipeNetwork returns a network without listeners.
+func NewPipeNetwork() *PipeNetwork {
+	return &PipeNetwork{listeners: map[string]*loopbackListener{}}
 }
 
 // Listen binds an address until the listener is closed.
-func (loopback *Loopback) Listen(address string) (net.Listener, error) {
+func (loopback *PipeNetwork) Listen(address string) (net.Listener, error) {
 	loopback.mutex.Lock()
 	defer loopback.mutex.Unlock()
 	if _, bound := loopback.listeners[address]; bound {
@@ -34,7 +34,7 @@
 
 // DialContext connects to an address; the network name is not used. It is
 // refused when nobody listens.
-func (loopback *Loopback) DialContext(ctx context.Context, _, address string) (net.Conn, error) {
+func (loopback *PipeNetwork) DialContext(ctx context.Context, _, address string) (net.Conn, error) {
 	loopback.mutex.Lock()
 	listener, bound := loopback.listeners[address]
 	loopback.mutex.Unlock()
@@ -53,7 +53,7 @@
 }
 
 // Serve serves a handler at an address until stop is called.
-func (loopback *Loopback) Serve(address string, handler http.Handler) (stop func(), err error) {
+func (loopback *PipeNetwork) Serve(address string, handler http.Handler) (stop func(), err error) {
 	listener, err := loopback.Listen(address)
 	if err != nil {
 		return nil, err
@@ -64,13 +64,13 @@
 }
 
 // Client returns an HTTP client of the network.
-func (loopback *Loopback) Client() *http.Client {
+func (loopback *PipeNetwork) Client() *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: loopback.DialContext, DisableCompression: true, MaxIdleConnsPerHost: 16}}
 }
 
 // loopbackListener hands one end of each pipe to its server.
 type loopbackListener struct {
-	loopback    *Loopback
+	loopback    *PipeNetwork
 	address     string
 	connections chan net.Conn
 	once        sync.Once
--- a/internal/bench/plat/observe.go
+++ b/internal/bench/infra/observe.go
@@ -1,4 +1,4 @@
-package plat
+package infra
 
 import (
 	"slices"
--- a/internal/bench/plat/requests.go
+++ b/internal/bench/infra/requests.go
@@ -1,4 +1,4 @@
-package plat
+package infra
 
 import (
 	"net/http"
@@ -10,8 +10,8 @@
 // keyPattern matches a caller's key, jf_<id>_<secret>.
 var keyPattern = regexp.MustCompile(`jf_[0-9A-Za-z-]+_[0-9A-Za-z_=-]{16,}`)
 
-// Seen is what upstreams have seen of requests beside their meaning.
-type Seen struct {
+// RequestSummary is what upstreams have seen of requests beside their meaning.
+type RequestSummary struct {
 	// Headers lists the distinct values of each header.
 	Headers map[string][]string `json:"headers"`
 	// KeyLeaks names the places in which a caller's key was seen.
@@ -60,11 +60,11 @@
 	}
 }
 
-// Seen returns what was recorded so far.
-func (requests *RequestLog) Seen() Seen {
+// Summary returns what was recorded so far.
+func (requests *RequestLog) Summary() RequestSummary {
 	requests.mutex.Lock()
 	defer requests.mutex.Unlock()
-	seen := Seen{Headers: map[string][]string{}, KeyLeaks: slices.Clone(requests.leaks)}
+	seen := RequestSummary{Headers: map[string][]string{}, KeyLeaks: slices.Clone(requests.leaks)}
 	for name, values := range requests.headers {
 		for value := range values {
 			seen.Headers[name] = append(seen.Headers[name], value)
--- a/internal/bench/plat/streams.go
+++ b/internal/bench/infra/streams.go
@@ -1,4 +1,4 @@
-package plat
+package infra
 
 import (
 	"fmt"
@@ -66,7 +66,7 @@
 type logService struct {
 	retention time.Duration
 	limiter   *rate.Limiter
-	faults    *Faults
+	faults    *FaultInjector
 	counts    *counts
 
 	mutex   sync.Mutex
@@ -78,7 +78,7 @@
 	return &logService{
 		retention: config.Retention,
 		limiter:   rate.NewLimiter(rate.Limit(config.AppendRate), max(1, int(config.AppendRate))),
-		faults:    NewFaults(config.Seed, ModeDown, ModeRefusing, ModeSlow, ModeLostReplies),
+		faults:    NewFaultInjector(config.Seed, ModeDown, ModeRefusing, ModeSlow, ModeLostReplies),
 		counts:    counts,
 		streams:   map[string]*stream{},
 	}
@@ -134,14 +134,14 @@
 
 // disturb applies the faults of calls that have had no effect yet.
 func (service *logService) disturb(writer http.ResponseWriter, request *http.Request, name string) bool {
-	if _, hit := service.faults.Hit(ModeDown, name); hit {
-		Cut()
+	if _, hit := service.faults.Inject(ModeDown, name); hit {
+		AbortConnection()
 	}
-	if _, hit := service.faults.Hit(ModeRefusing, name); hit {
-		RefuseFor(writer, http.StatusServiceUnavailable, time.Second, "the log is unavailable")
+	if _, hit := service.faults.Inject(ModeRefusing, name); hit {
+		WriteRetryableError(writer, http.StatusServiceUnavailable, time.Second, "the log is unavailable")
 		return false
 	}
-	if fault, hit := service.faults.Hit(ModeSlow, name); hit {
+	if fault, hit := service.faults.Inject(ModeSlow, name); hit {
 		return Pause(request, time.Duration(fault.Delay))
 	}
 	return true
@@ -151,12 +151,12 @@
 func (service *logService) serveAppend(writer http.ResponseWriter, request *http.Request) {
 	name := request.PathValue("name")
 	if !streamName.MatchString(name) {
-		Refuse(writer, http.StatusBadRequest, "stream name %q; write up to 64 of a-z, 0-9 and -", name)
+		WriteError(writer, http.StatusBadRequest, "stream name %q; write up to 64 of a-z, 0-9 and -", name)
 		return
 	}
 	data, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, MaxRecord))
 	if err != nil {
-		Refuse(writer, http.StatusRequestEntityTooLarge, "record: %v; the limit is %d bytes", err, MaxRecord)
+		WriteError(writer, http.StatusRequestEntityTooLarge, "record: %v; the limit is %d bytes", err, MaxRecord)
 		return
 	}
 	if !service.disturb(writer, request, name) {
@@ -166,15 +166,15 @@
 	if delay := reservation.Delay(); delay > 0 {
 		reservation.Cancel()
 		service.counts.add(&service.counts.refusedAppends, 1)
-		RefuseFor(writer, http.StatusTooManyRequests, delay, "more than %v appends/s", service.limiter.Limit())
+		WriteRetryableError(writer, http.StatusTooManyRequests, delay, "more than %v appends/s", service.limiter.Limit())
 		return
 	}
 	offset := service.append(name, data)
-	if _, hit := service.faults.Hit(ModeLostReplies, name); hit {
+	if _, hit := service.faults.Inject(ModeLostReplies, name); hit {
 		service.counts.add(&service.counts.lostReplies, 1)
-		Cut()
+		AbortConnection()
 	}
-	Answer(writer, map[string]uint64{"offset": offset})
+	WriteJSON(writer, map[string]uint64{"offset": offset})
 }
 
 // serveRead handles GET /v1/streams/NAME/records.
@@ -182,7 +182,7 @@
 	name := request.PathValue("name")
 	from, wait, err := readQuery(request)
 	if err != nil || !streamName.MatchString(name) {
-		Refuse(writer, http.StatusBadRequest, "read of stream %q: %v; write ?from=OFFSET&wait-ms=MILLISECONDS", name, err)
+		WriteError(writer, http.StatusBadRequest, "read of stream %q: %v; write ?from=OFFSET&wait-ms=MILLISECONDS", name, err)
 		return
 	}
 	if !service.disturb(writer, request, name) {
@@ -190,7 +190,7 @@
 	}
 	answer, changed := service.read(name, from)
 	if from > answer.Next {
-		Refuse(writer, http.StatusRequestedRangeNotSatisfiable, "offset %d of stream %q is beyond its end %d", from, name, answer.Next)
+		WriteError(writer, http.StatusRequestedRangeNotSatisfiable, "offset %d of stream %q is beyond its end %d", from, name, answer.Next)
 		return
 	}
 	if len(answer.Records) == 0 && wait > 0 {
@@ -202,12 +202,12 @@
 		case <-request.Context().Done():
 			return
 		}
-		if _, hit := service.faults.Hit(ModeDown, name); hit {
-			Cut()
+		if _, hit := service.faults.Inject(ModeDown, name); hit {
+			AbortConnection()
 		}
 		answer, _ = service.read(name, from)
 	}
-	Answer(writer, answer)
+	WriteJSON(writer, answer)
 }
 
 // readQuery returns the offset and the wait of a read.
--- a/internal/bench/plat/weights.go
+++ b/internal/bench/infra/weights.go
@@ -1,4 +1,4 @@
-package plat
+package infra
 
 import (
 	"context"
@@ -32,7 +32,7 @@
 type weightStore struct {
 	config  Config
 	limiter *rate.Limiter
-	faults  *Faults
+	faults  *FaultInjector
 	counts  *counts
 
 	mutex    sync.Mutex
@@ -44,7 +44,7 @@
 	return &weightStore{
 		config:  config,
 		limiter: rate.NewLimiter(rate.Limit(config.LoadRate), config.LoadBurst),
-		faults:  NewFaults(config.Seed+1, ModeDown, ModeRefusing, ModeSlow),
+		faults:  NewFaultInjector(config.Seed+1, ModeDown, ModeRefusing, ModeSlow),
 		counts:  counts,
 	}
 }
@@ -68,7 +68,7 @@
 		store.counts.addLoad(load)
 	}()
 	for _, mode := range []string{ModeDown, ModeRefusing} {
-		if _, hit := store.faults.Hit(mode, adapter); hit {
+		if _, hit := store.faults.Inject(mode, adapter); hit {
 			return &unavailableError{mode}
 		}
 	}
@@ -82,7 +82,7 @@
 	if err := wait(ctx, store.duration(load)); err != nil {
 		return err
 	}
-	if _, down := store.faults.Since(ModeDown); down {
+	if _, down := store.faults.ActiveSince(ModeDown); down {
 		return &unavailableError{ModeDown}
 	}
 	return nil
@@ -106,7 +106,7 @@
 	if full := store.config.LoadsAtFullSpeed; load.InFlight > full {
 		duration = duration * time.Duration(load.InFlight) / time.Duration(full)
 	}
-	if fault, hit := store.faults.Hit(ModeSlow, load.Adapter); hit {
+	if fault, hit := store.faults.Inject(ModeSlow, load.Adapter); hit {
 		duration += time.Duration(fault.Delay)
 	}
 	return duration
@@ -123,17 +123,17 @@
 	adapter := request.PathValue("adapter")
 	version, err := strconv.ParseUint(request.PathValue("version"), 10, 32)
 	if err != nil {
-		Refuse(writer, http.StatusBadRequest, "version %q is not a number", request.PathValue("version"))
+		WriteError(writer, http.StatusBadRequest, "version %q is not a number", request.PathValue("version"))
 		return
 	}
 	err = store.fetch(request.Context(), adapter, uint32(version))
 	var unavailable *unavailableError
 	switch {
 	case err == nil:
-		Answer(writer, map[string]any{"adapter": adapter, "version": version})
+		WriteJSON(writer, map[string]any{"adapter": adapter, "version": version})
 	case errors.As(err, &unavailable) && unavailable.mode == ModeDown:
-		Cut()
+		AbortConnection()
 	default:
-		RefuseFor(writer, http.StatusServiceUnavailable, time.Second, "%v", err)
+		WriteRetryableError(writer, http.StatusServiceUnavailable, time.Second, "%v", err)
 	}
 }
--- a/internal/bench/plat/weights_test.go
+++ b/internal/bench/infra/weights_test.go
@@ -1,4 +1,4 @@
-package plat
+package infra
 
 import (
 	"context"
@@ -112,7 +112,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				loopback := NewLoopback()
+				loopback := NewPipeNetwork()
 				stop, err := loopback.Serve("platform:80", platform)
 				if err != nil {
 					t.Fatal(err)
--- a/internal/bench/plain/plain.go
+++ b/internal/bench/plain/plain.go
@@ -11,7 +11,7 @@
 
 	"github.com/zeebo/xxh3"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
 // maxBody bounds the body of a call.
@@ -60,11 +60,11 @@
 	Calls []Call `json:"calls"`
 	// Effects counts the effects of each request id.
 	Effects map[string]int `json:"effects"`
-	plat.Seen
+	infra.RequestSummary
 }
 
-// Reply is the body of an answer.
-type Reply struct {
+// Response is the body of an answer.
+type Response struct {
 	RequestID string `json:"request-id"`
 	// Result depends on method, path and body only; see Result.
 	Result string `json:"result"`
@@ -76,8 +76,8 @@
 type Service struct {
 	config   Config
 	mux      *http.ServeMux
-	faults   *plat.Faults
-	requests *plat.RequestLog
+	faults   *infra.FaultInjector
+	requests *infra.RequestLog
 	epoch    string
 	closed   chan struct{}
 
@@ -93,13 +93,13 @@
 		return nil, fmt.Errorf("plain service stand-in: latency %v; write a time of at least 0", config.Latency)
 	}
 	service := &Service{
-		config: config, mux: http.NewServeMux(), requests: plat.NewRequestLog(), effects: map[string]int{},
-		faults: plat.NewFaults(config.Seed, ModeDelay, ModeFailBefore, ModeFailAfter, ModeCutBefore, ModeCutAfter),
+		config: config, mux: http.NewServeMux(), requests: infra.NewRequestLog(), effects: map[string]int{},
+		faults: infra.NewFaultInjector(config.Seed, ModeDelay, ModeFailBefore, ModeFailAfter, ModeCutBefore, ModeCutAfter),
 		epoch:  fmt.Sprintf("%x", time.Now().UnixNano()), closed: make(chan struct{}),
 	}
 	service.mux.HandleFunc("POST /control", service.serveControl)
 	service.mux.HandleFunc("GET /observed", func(writer http.ResponseWriter, _ *http.Request) {
-		plat.Answer(writer, service.Observed())
+		infra.WriteJSON(writer, service.Observed())
 	})
 	service.mux.HandleFunc("GET /v1/state", service.serveState)
 	service.mux.HandleFunc("/", service.serveCall)
@@ -124,45 +124,45 @@
 func (service *Service) Observed() Observed {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
-	observed := Observed{Calls: slices.Clone(service.calls), Effects: map[string]int{}, Seen: service.requests.Seen()}
+	observed := Observed{Calls: slices.Clone(service.calls), Effects: map[string]int{}, RequestSummary: service.requests.Summary()}
 	for id, count := range service.effects {
 		observed.Effects[id] = count
 	}
 	return observed
 }
 
-// Control sets the fault of calls.
-type Control struct {
-	Calls *plat.Fault `json:"calls"`
+// ControlRequest sets the fault of calls.
+type ControlRequest struct {
+	CallFault *infra.Fault `json:"calls"`
 }
 
-// Control sets a fault.
-func (service *Service) Control(control Control) error {
-	if err := service.faults.Check(control.Calls); err != nil {
+// ApplyControl sets a fault.
+func (service *Service) ApplyControl(control ControlRequest) error {
+	if err := service.faults.Check(control.CallFault); err != nil {
 		return fmt.Errorf("calls: %w", err)
 	}
-	service.faults.Set(control.Calls)
+	service.faults.Set(control.CallFault)
 	return nil
 }
 
 // serveControl handles POST /control.
 func (service *Service) serveControl(writer http.ResponseWriter, request *http.Request) {
-	var control Control
-	if !plat.Decode(writer, request, &control) {
+	var control ControlRequest
+	if !infra.DecodeJSON(writer, request, &control) {
 		return
 	}
-	if err := service.Control(control); err != nil {
-		plat.Refuse(writer, http.StatusBadRequest, "%v", err)
+	if err := service.ApplyControl(control); err != nil {
+		infra.WriteError(writer, http.StatusBadRequest, "%v", err)
 		return
 	}
-	plat.Answer(writer, control)
+	infra.WriteJSON(writer, control)
 }
 
 // serveState handles GET /v1/state, the load report.
 func (service *Service) serveState(writer http.ResponseWriter, _ *http.Request) {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
-	plat.Answer(writer, map[string]any{"epoch": service.epoch, "running": service.running, "waiting": 0})
+	infra.WriteJSON(writer, map[string]any{"epoch": service.epoch, "running": service.running, "waiting": 0})
 }
 
 // serveCall handles all other requests. Once a call has arrived, its effect does
@@ -170,7 +170,7 @@
 func (service *Service) serveCall(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxBody))
 	if err != nil {
-		plat.Refuse(writer, http.StatusBadRequest, "body: %v", err)
+		infra.WriteError(writer, http.StatusBadRequest, "body: %v", err)
 		return
 	}
 	service.requests.Add(request, body)
@@ -181,26 +181,26 @@
 	})
 	defer service.leave()
 	latency := service.config.Latency
-	if fault, hit := service.faults.Hit(ModeDelay, id); hit {
+	if fault, hit := service.faults.Inject(ModeDelay, id); hit {
 		latency += time.Duration(fault.Delay)
 	}
 	service.sleep(latency)
-	if _, hit := service.faults.Hit(ModeCutBefore, id); hit {
-		plat.Cut()
+	if _, hit := service.faults.Inject(ModeCutBefore, id); hit {
+		infra.AbortConnection()
 	}
-	if _, hit := service.faults.Hit(ModeFailBefore, id); hit {
-		plat.RefuseFor(writer, http.StatusServiceUnavailable, time.Second, "the call had no effect")
+	if _, hit := service.faults.Inject(ModeFailBefore, id); hit {
+		infra.WriteRetryableError(writer, http.StatusServiceUnavailable, time.Second, "the call had no effect")
 		return
 	}
 	effects := service.effect(call, id)
-	if _, hit := service.faults.Hit(ModeCutAfter, id); hit {
-		plat.Cut()
+	if _, hit := service.faults.Inject(ModeCutAfter, id); hit {
+		infra.AbortConnection()
 	}
-	if _, hit := service.faults.Hit(ModeFailAfter, id); hit {
-		plat.Refuse(writer, http.StatusInternalServerError, "the call failed after its effect")
+	if _, hit := service.faults.Inject(ModeFailAfter, id); hit {
+		infra.WriteError(writer, http.StatusInternalServerError, "the call failed after its effect")
 		return
 	}
-	plat.Answer(writer, Reply{RequestID: id, Result: Result(request.Method, request.URL.RequestURI(), body), Effects: effects})
+	infra.WriteJSON(writer, Response{RequestID: id, Result: Result(request.Method, request.URL.RequestURI(), body), Effects: effects})
 }
 
 // sleep waits and cuts the call if the service is closed meanwhile.
@@ -210,7 +210,7 @@
 	select {
 	case <-timer.C:
 	case <-service.closed:
-		plat.Cut()
+		infra.AbortConnection()
 	}
 }
 
--- a/internal/bench/load/answer.go
+++ b/internal/bench/reqgen/answer.go
@@ -1,4 +1,4 @@
-package load
+package reqgen
 
 import (
 	"bufio"
--- a/internal/bench/load/plan.go
+++ b/internal/bench/reqgen/plan.go
@@ -1,6 +1,6 @@
-// Package load generates a seeded load of letters, chats, bookings and status
+// Package reqgen generates a seeded load of letters, chats, bookings and status
 // checks against entry instances, and checks every answer.
-package load
+package reqgen
 
 import (
 	"fmt"
@@ -21,8 +21,8 @@
 	Chat
 	// Booking is non-idempotent work at the plain service.
 	Booking
-	// Check is idempotent interactive work at the plain service.
-	Check
+	// StatusCheck is idempotent interactive work at the plain service.
+	StatusCheck
 )
 
 // String returns the kind as written in reports.
@@ -30,8 +30,8 @@
 	return [...]string{"letter", "chat", "booking", "check"}[kind]
 }
 
-// Model reports whether the kind runs on an adapter.
-func (kind Kind) Model() bool { return kind == Letter || kind == Chat }
+// UsesAdapter reports whether the kind runs on an adapter.
+func (kind Kind) UsesAdapter() bool { return kind == Letter || kind == Chat }
 
 // Organisation is one source of load.
 type Organisation struct {
@@ -39,10 +39,10 @@
 	Key   string
 	Rate  conf.Tokens
 	Burst conf.Tokens
-	// Requests is the mean number of requests a second.
-	Requests float64
-	// Adapters is the number of adapters, named by AdapterName.
-	Adapters int
+	// RequestRate is the mean number of requests a second.
+	RequestRate float64
+	// AdapterCount is the number of adapters, named by AdapterName.
+	AdapterCount int
 }
 
 // Surge multiplies the load of one organisation for a time.
@@ -58,19 +58,19 @@
 	ModelService  string
 	PlainService  string
 	Organisations []Organisation
-	// Mix weighs the kinds, in the order of their constants.
-	Mix [4]float64
-	// Skew is the exponent of the Zipf distribution of adapters; above 1.
-	Skew float64
-	// ShiftAfter moves popularity to other adapters at this time; 0 never.
-	ShiftAfter time.Duration
-	Surge      Surge
+	// KindWeights weighs the kinds, in the order of their constants.
+	KindWeights [4]float64
+	// ZipfExponent is the exponent of the Zipf distribution of adapters; above 1.
+	ZipfExponent float64
+	// PopularityShiftAfter moves popularity to other adapters at this time; 0 never.
+	PopularityShiftAfter time.Duration
+	Surge                Surge
 	// PromptTokens and MaxTokens are inclusive ranges.
 	PromptTokens [2]int
 	MaxTokens    [2]int
-	// RepeatBookings is the part of bookings that the caller sends twice with
+	// RepeatFraction is the part of bookings that the caller sends twice with
 	// the same Idempotency-Key.
-	RepeatBookings float64
+	RepeatFraction float64
 }
 
 // AdapterName returns the name of an organisation's adapter.
@@ -117,14 +117,14 @@
 		plan:         plan,
 		organisation: organisation,
 		random:       random,
-		zipf:         rand.NewZipf(random, plan.Skew, 1, uint64(organisation.Adapters-1)),
+		zipf:         rand.NewZipf(random, plan.ZipfExponent, 1, uint64(organisation.AdapterCount-1)),
 		next:         index,
 	}
 }
 
 // gap returns the time until the next request of a Poisson process.
 func (source *source) gap(elapsed time.Duration) time.Duration {
-	rate := source.organisation.Requests
+	rate := source.organisation.RequestRate
 	surge := source.plan.Surge
 	if surge.Organisation == source.organisation.Name && elapsed >= surge.From && elapsed < surge.Until {
 		rate *= surge.Factor
@@ -141,10 +141,10 @@
 		maxTokens:    source.between(source.plan.MaxTokens),
 	}
 	source.next += len(source.plan.Organisations)
-	drawn.repeat = drawn.kind == Booking && source.random.Float64() < source.plan.RepeatBookings
+	drawn.repeat = drawn.kind == Booking && source.random.Float64() < source.plan.RepeatFraction
 	rank := int(source.zipf.Uint64())
-	if source.plan.ShiftAfter > 0 && elapsed >= source.plan.ShiftAfter {
-		rank = (rank + source.organisation.Adapters/2) % source.organisation.Adapters
+	if source.plan.PopularityShiftAfter > 0 && elapsed >= source.plan.PopularityShiftAfter {
+		rank = (rank + source.organisation.AdapterCount/2) % source.organisation.AdapterCount
 	}
 	drawn.adapter = AdapterName(source.organisation.Name, rank)
 	drawn.prompt = promptText(drawn.id, drawn.promptTokens)
@@ -153,17 +153,17 @@
 
 func (source *source) kind() Kind {
 	total := 0.0
-	for _, weight := range source.plan.Mix {
+	for _, weight := range source.plan.KindWeights {
 		total += weight
 	}
 	point := source.random.Float64() * total
-	for kind, weight := range source.plan.Mix {
+	for kind, weight := range source.plan.KindWeights {
 		if point < weight {
 			return Kind(kind)
 		}
 		point -= weight
 	}
-	return Check
+	return StatusCheck
 }
 
 func (source *source) between(limits [2]int) int {
--- a/internal/bench/load/report.go
+++ b/internal/bench/reqgen/report.go
@@ -1,4 +1,4 @@
-package load
+package reqgen
 
 import (
 	"sync"
@@ -13,16 +13,16 @@
 	Completed int64
 	// Refused counts answers that say not-run.
 	Refused int64
-	// Wrongful counts refusals of requests within the organisation's rate.
-	Wrongful int64
-	// Unknown counts answers whose effect is unknown.
-	Unknown int64
-	// Broken counts answers that ended without their end or an error.
-	Broken int64
-	// Wrong counts complete answers with another text than expected.
-	Wrong      int64
-	FirstToken *metric.Histogram
-	Gaps       *metric.Histogram
+	// WrongfulRefusals counts refusals of requests within the organisation's rate.
+	WrongfulRefusals int64
+	// UnknownEffect counts answers whose effect is unknown.
+	UnknownEffect int64
+	// Incomplete counts answers that ended without their end or an error.
+	Incomplete int64
+	// WrongText counts complete answers with another text than expected.
+	WrongText      int64
+	FirstToken     *metric.Histogram
+	TokenIntervals *metric.Histogram
 }
 
 // SeriesKey names a Series.
@@ -31,8 +31,8 @@
 	Kind         Kind
 }
 
-// Trace is one completed model request.
-type Trace struct {
+// ModelRequest is one completed model request.
+type ModelRequest struct {
 	RequestID    string
 	Organisation string
 	Kind         Kind
@@ -55,7 +55,7 @@
 	model  map[string]*metric.Histogram
 	// refusedWaits holds the time that refused model requests waited.
 	refusedWaits []time.Duration
-	traces       []Trace
+	traces       []ModelRequest
 }
 
 const maxProblems = 20
@@ -89,10 +89,10 @@
 		total.Sent += series.Sent
 		total.Completed += series.Completed
 		total.Refused += series.Refused
-		total.Wrongful += series.Wrongful
-		total.Unknown += series.Unknown
-		total.Broken += series.Broken
-		total.Wrong += series.Wrong
+		total.WrongfulRefusals += series.WrongfulRefusals
+		total.UnknownEffect += series.UnknownEffect
+		total.Incomplete += series.Incomplete
+		total.WrongText += series.WrongText
 	}
 	return total
 }
@@ -104,10 +104,10 @@
 	return *report.warmup
 }
 
-// ModelTimes returns, for each organisation, the first-token times of its model
+// ModelFirstTokens returns, for each organisation, the first-token times of its model
 // requests. A model request that was refused although it was within the
 // organisation's rate counts with the time that it waited for the refusal.
-func (report *Report) ModelTimes() map[string]*metric.Histogram {
+func (report *Report) ModelFirstTokens() map[string]*metric.Histogram {
 	report.mu.Lock()
 	defer report.mu.Unlock()
 	result := make(map[string]*metric.Histogram, len(report.model))
@@ -126,11 +126,11 @@
 }
 
 func newSeries() *Series {
-	return &Series{FirstToken: metric.NewHistogram(), Gaps: metric.NewHistogram()}
+	return &Series{FirstToken: metric.NewHistogram(), TokenIntervals: metric.NewHistogram()}
 }
 
-// Refusals returns the number of errors by kind.
-func (report *Report) Refusals() map[string]int64 {
+// ErrorsByKind returns the number of errors by kind.
+func (report *Report) ErrorsByKind() map[string]int64 {
 	report.mu.Lock()
 	defer report.mu.Unlock()
 	result := make(map[string]int64, len(report.refusals))
@@ -151,8 +151,8 @@
 	return result
 }
 
-// NotRun returns the bookings for which every answer said not-run.
-func (report *Report) NotRun() []string {
+// NotRunBookings returns the bookings for which every answer said not-run.
+func (report *Report) NotRunBookings() []string {
 	report.mu.Lock()
 	defer report.mu.Unlock()
 	var result []string
@@ -164,11 +164,11 @@
 	return result
 }
 
-// Traces returns the completed model requests.
-func (report *Report) Traces() []Trace {
+// ModelRequests returns the completed model requests.
+func (report *Report) ModelRequests() []ModelRequest {
 	report.mu.Lock()
 	defer report.mu.Unlock()
-	return append([]Trace(nil), report.traces...)
+	return append([]ModelRequest(nil), report.traces...)
 }
 
 // Problems returns the first unexpected answers in words.
@@ -215,7 +215,7 @@
 }
 
 func (report *Report) observeRefusal(request request, answer *answer) {
-	if request.warming || request.limited || !request.kind.Model() || !answer.refused() {
+	if request.warming || request.limited || !request.kind.UsesAdapter() || !answer.refused() {
 		return
 	}
 	report.refusedWaits = append(report.refusedWaits, answer.firstToken)
@@ -232,15 +232,15 @@
 }
 
 func (report *Report) observe(series *Series, request request, answer *answer) {
-	if request.kind.Model() && !request.warming {
+	if request.kind.UsesAdapter() && !request.warming {
 		report.observeModel(request, answer)
-		report.traces = append(report.traces, Trace{
+		report.traces = append(report.traces, ModelRequest{
 			RequestID: answer.requestID, Organisation: request.organisation.Name, Kind: request.kind,
 			Adapter: request.adapter, Sent: answer.sent, FirstToken: answer.firstToken,
 		})
 	}
 	series.FirstToken.Observe(max(answer.firstToken, time.Microsecond))
 	for _, gap := range answer.gaps {
-		series.Gaps.Observe(gap)
+		series.TokenIntervals.Observe(gap)
 	}
 }
--- a/internal/bench/load/load.go
+++ b/internal/bench/reqgen/reqgen.go
@@ -1,4 +1,4 @@
-package load
+package reqgen
 
 import (
 	"bytes"
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// Expect returns the text of one token of an answer.
-type Expect func(adapter string, version uint32, prompt string, index int) string
+// TokenFunc returns the text of one token of an answer.
+type TokenFunc func(adapter string, version uint32, prompt string, index int) string
 
 // Config configures a Generator.
 type Config struct {
-	// Entries returns the base URLs of the ready entry instances.
-	Entries func() []string
-	Client  *http.Client
-	Plan    Plan
-	Seed    uint64
-	Expect  Expect
+	// EntryURLs returns the base URLs of the ready entry instances.
+	EntryURLs     func() []string
+	Client        *http.Client
+	Plan          Plan
+	Seed          uint64
+	ExpectedToken TokenFunc
 	// Warmup is the first part of a run, whose answers are checked and not
 	// measured. AfterWarmup, if set, is called at its end.
 	Warmup      time.Duration
@@ -114,7 +114,7 @@
 const plainCost = 10
 
 func (request request) cost() int {
-	if request.kind.Model() {
+	if request.kind.UsesAdapter() {
 		return request.promptTokens + request.maxTokens
 	}
 	return plainCost
@@ -138,7 +138,7 @@
 }
 
 func (generator *Generator) exchange(ctx context.Context, request request) *answer {
-	entries := generator.config.Entries()
+	entries := generator.config.EntryURLs()
 	if len(entries) == 0 {
 		return &answer{err: fmt.Errorf("no entry instance is ready")}
 	}
@@ -179,7 +179,7 @@
 	switch request.kind {
 	case Booking:
 		return http.MethodPost, "/services/" + plan.PlainService + "/orders/" + request.booking(), []byte(`{"quantity":1}`)
-	case Check:
+	case StatusCheck:
 		return http.MethodGet, fmt.Sprintf("/services/%s/stock/%d", plan.PlainService, request.id), nil
 	default:
 		return http.MethodPost, "/routes/" + request.kind.String() + "s/v1/completions", generator.modelBody(request)
@@ -214,21 +214,21 @@
 		series.Completed++
 		report.observe(series, request, answer)
 		if problem := generator.mismatch(request, answer); problem != "" {
-			series.Wrong++
+			series.WrongText++
 			report.addProblem(problem)
 		}
 	case answer.refused():
 		series.Refused++
 		report.refuse(request, answer)
 		if !request.limited && !request.warming && answer.kind != logUnavailable {
-			series.Wrongful++
+			series.WrongfulRefusals++
 			report.addProblem(fmt.Sprintf("%s of %s within its rate was refused: %s", request.kind, request.organisation.Name, answer.kind))
 		}
 	case answer.kind != "":
-		series.Unknown++
+		series.UnknownEffect++
 		report.refuse(request, answer)
 	default:
-		series.Broken++
+		series.Incomplete++
 		report.addProblem(fmt.Sprintf("%s of %s ended early: status %d, %v", request.kind, request.organisation.Name, answer.status, answer.err))
 	}
 }
@@ -238,7 +238,7 @@
 const logUnavailable = "log-unavailable"
 
 func (generator *Generator) mismatch(request request, answer *answer) string {
-	if !request.kind.Model() || generator.config.Expect == nil {
+	if !request.kind.UsesAdapter() || generator.config.ExpectedToken == nil {
 		return ""
 	}
 	if answer.adapter != request.adapter {
@@ -249,7 +249,7 @@
 	}
 	version := versionNumber(answer.version)
 	for index, text := range answer.text {
-		if want := generator.config.Expect(answer.adapter, version, request.prompt, index); text != want {
+		if want := generator.config.ExpectedToken(answer.adapter, version, request.prompt, index); text != want {
 			return fmt.Sprintf("adapter %s token %d is %q, expected %q", answer.adapter, index, text, want)
 		}
 	}
--- a/internal/bench/slope/fit.go
+++ b/internal/bench/slope/fit.go
@@ -15,8 +15,8 @@
 type Line struct {
 	Slope     float64 `json:"slope"`
 	Intercept float64 `json:"intercept"`
-	// Spread is the standard deviation of the residuals.
-	Spread float64 `json:"spread"`
+	// ResidualStdDev is the standard deviation of the residuals.
+	ResidualStdDev float64 `json:"spread"`
 }
 
 // At returns the value of the line.
@@ -46,7 +46,7 @@
 		squares += residual * residual
 	}
 	// Two degrees of freedom went into slope and intercept.
-	line.Spread = math.Sqrt(squares / max(1, count-2))
+	line.ResidualStdDev = math.Sqrt(squares / max(1, count-2))
 	return line
 }
 
--- a/internal/bench/slope/fit_test.go
+++ b/internal/bench/slope/fit_test.go
@@ -16,8 +16,8 @@
 	}{
 		{"exact", []Point{{1, 5}, {2, 7}, {3, 9}, {10, 23}}, Line{Slope: 2, Intercept: 3}},
 		{"flat", []Point{{1, 4}, {5, 4}, {9, 4}}, Line{Intercept: 4}},
-		{"residuals of 1", []Point{{-1, 1}, {-1, -1}, {1, 1}, {1, -1}}, Line{Spread: 1.4142135623730951}},
-		{"one size", []Point{{3, 6}, {3, 8}}, Line{Intercept: 7, Spread: 1.4142135623730951}},
+		{"residuals of 1", []Point{{-1, 1}, {-1, -1}, {1, 1}, {1, -1}}, Line{ResidualStdDev: 1.4142135623730951}},
+		{"one size", []Point{{3, 6}, {3, 8}}, Line{Intercept: 7, ResidualStdDev: 1.4142135623730951}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/bench/slope/process.go
+++ b/internal/bench/slope/process.go
@@ -18,7 +18,7 @@
 	"github.com/BurntSushi/toml"
 
 	"jacinthfront.dev/jacinthfront/internal/base/setup"
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
@@ -63,7 +63,7 @@
 // ground is what surrounds processes of the real binary: the platform stand-in
 // and the settings' directory.
 type ground struct {
-	platform  *plat.Platform
+	platform  *infra.Platform
 	url       string
 	directory string
 	counter   *counter
@@ -74,11 +74,11 @@
 
 // newGround serves a platform whose log holds a configuration.
 func newGround(ctx context.Context, state shape, keys ...conf.KeySpec) (*ground, error) {
-	config := plat.DefaultConfig()
+	config := infra.DefaultConfig()
 	config.ListLag = 0
 	config.LoadRate, config.LoadBurst = 1000, 1000
 	config.LoadTime = time.Millisecond
-	platform, err := plat.New(config)
+	platform, err := infra.New(config)
 	if err != nil {
 		return nil, err
 	}
@@ -262,7 +262,7 @@
 	if err := ground.start(ctx, process, "side", settings); err != nil {
 		return nil, err
 	}
-	return process, ground.platform.Announce(plat.Instance{
+	return process, ground.platform.PutInstance(infra.Instance{
 		ID: settings.Instance, Role: "side", Upstream: upstream, Address: process.peers, FailureDomain: settings.FailureDomain,
 	})
 }
@@ -281,7 +281,7 @@
 	if err := ground.start(ctx, process, "entry", settings); err != nil {
 		return nil, err
 	}
-	return process, ground.platform.Announce(plat.Instance{
+	return process, ground.platform.PutInstance(infra.Instance{
 		ID: settings.Instance, Role: "entry", Address: process.peers, FailureDomain: settings.FailureDomain,
 	})
 }
--- a/internal/bench/slope/rows_claims.go
+++ b/internal/bench/slope/rows_claims.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/bench/demo"
-	"jacinthfront.dev/jacinthfront/internal/bench/load"
+	"jacinthfront.dev/jacinthfront/internal/bench/reqgen"
 )
 
 // claimTime is how long bookings with an Idempotency-Key are sent.
@@ -47,10 +47,10 @@
 // claimsOf sends requests with an Idempotency-Key, each twice, and returns the
 // traffic and the number of keys.
 func claimsOf(ctx context.Context, rate float64, upstreams int, length time.Duration) (traffic, float64, error) {
-	network, counter := demo.NewMemory(), newCounter()
+	network, counter := demo.NewMemoryNetwork(), newCounter()
 	deployment := demo.Bonsai()
-	deployment.Runners, deployment.Plains, deployment.Adapters = 2, upstreams, 50
-	deployment.Requests, deployment.Mix = rate, [4]float64{0, 0, 1, 0}
+	deployment.Engines, deployment.PlainUpstreams, deployment.Adapters = 2, upstreams, 50
+	deployment.RequestRate, deployment.Mix = rate, [4]float64{0, 0, 1, 0}
 	fleet, err := demo.NewFleet(demo.FleetConfig{
 		Deployment: deployment, Network: countedNetwork{network, counter}, Policy: "default", Entries: 2, Seed: 1,
 	})
@@ -64,9 +64,9 @@
 		return traffic{}, 0, fmt.Errorf("the fleet did not become ready: %w", err)
 	}
 	plan := fleet.Plan()
-	plan.RepeatBookings = 1
-	generator := load.New(load.Config{
-		Entries: fleet.Entries, Plan: plan, Seed: 1,
+	plan.RepeatFraction = 1
+	generator := reqgen.New(reqgen.Config{
+		EntryURLs: fleet.EntryURLs, Plan: plan, Seed: 1,
 		Client: &http.Client{Transport: &http.Transport{DialContext: network.DialContext, MaxIdleConnsPerHost: 64}},
 	})
 	counter.take()
--- a/internal/bench/slope/rows_control.go
+++ b/internal/bench/slope/rows_control.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/bench/demo"
-	"jacinthfront.dev/jacinthfront/internal/bench/load"
+	"jacinthfront.dev/jacinthfront/internal/bench/reqgen"
 )
 
 const (
@@ -32,10 +32,10 @@
 // which draw tokens and report loads as engines do but need no adapter loads.
 func controlDeployment(upstreams int) demo.Deployment {
 	deployment := demo.Bonsai()
-	deployment.Runners = controlRunners
-	deployment.Plains = upstreams - controlRunners
+	deployment.Engines = controlRunners
+	deployment.PlainUpstreams = upstreams - controlRunners
 	deployment.Adapters = 50
-	deployment.Requests = sideRequests * float64(upstreams)
+	deployment.RequestRate = sideRequests * float64(upstreams)
 	deployment.Mix = [4]float64{0.01, 0.01, 0.01, 0.97}
 	return deployment
 }
@@ -68,7 +68,7 @@
 }
 
 func controlOf(ctx context.Context, sides int, note func(suffix, unit string, processes, value float64)) error {
-	network := demo.NewMemory()
+	network := demo.NewMemoryNetwork()
 	counter := newCounter()
 	entries := max(1, sides/sidesPerEntry)
 	fleet, err := demo.NewFleet(demo.FleetConfig{
@@ -91,8 +91,8 @@
 	window.flows = counter.take()
 	window.report("-idle", note)
 
-	generator := load.New(load.Config{
-		Entries: fleet.Entries, Plan: fleet.Plan(), Seed: 1, Expect: demo.Expect,
+	generator := reqgen.New(reqgen.Config{
+		EntryURLs: fleet.EntryURLs, Plan: fleet.Plan(), Seed: 1, ExpectedToken: demo.ExpectedToken,
 		Client: &http.Client{Transport: &http.Transport{DialContext: network.DialContext, MaxIdleConnsPerHost: 256}},
 	})
 	done := make(chan struct{})
--- a/internal/bench/slope/rows_peer.go
+++ b/internal/bench/slope/rows_peer.go
@@ -14,7 +14,7 @@
 
 	"storj.io/drpc"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 	"jacinthfront.dev/jacinthfront/internal/link/roster"
 	"jacinthfront.dev/jacinthfront/internal/wire/conns"
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
@@ -149,10 +149,10 @@
 }
 
 // listed returns the instance list of a fleet.
-func listed(count int) []plat.Instance {
-	list := make([]plat.Instance, 0, count)
+func listed(count int) []infra.Instance {
+	list := make([]infra.Instance, 0, count)
 	for index := range count {
-		instance := plat.Instance{
+		instance := infra.Instance{
 			ID: fmt.Sprintf("side-%05d", index), Role: roster.RoleSide, Upstream: upstreamName(index),
 			Address: fmt.Sprintf("10.%d.%d.%d:7000", index>>16, index>>8&255, index&255), FailureDomain: domainName(index),
 		}
@@ -182,15 +182,15 @@
 }
 
 func pollListOf(ctx context.Context, size int) ([]float64, error) {
-	config := plat.DefaultConfig()
+	config := infra.DefaultConfig()
 	config.ListLag = 0
-	platform, err := plat.New(config)
+	platform, err := infra.New(config)
 	if err != nil {
 		return nil, err
 	}
 	list := listed(size)
 	for _, instance := range list {
-		if err := platform.Announce(instance); err != nil {
+		if err := platform.PutInstance(instance); err != nil {
 			return nil, err
 		}
 	}
@@ -203,8 +203,8 @@
 	}
 	var costs []float64
 	for index := range repeats {
-		list[index].State = plat.StateLeaving
-		if err := platform.Announce(list[index]); err != nil {
+		list[index].State = infra.StateDraining
+		if err := platform.PutInstance(list[index]); err != nil {
 			return nil, err
 		}
 		time.Sleep(2 * time.Millisecond)
--- a/internal/bench/slope/rows_process.go
+++ b/internal/bench/slope/rows_process.go
@@ -70,7 +70,7 @@
 		if instance.Upstream == upstreamName(0) {
 			continue
 		}
-		if err := ground.platform.Announce(instance); err != nil {
+		if err := ground.platform.PutInstance(instance); err != nil {
 			return err
 		}
 	}
--- a/internal/bench/slope/rows_request.go
+++ b/internal/bench/slope/rows_request.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/model"
+	"jacinthfront.dev/jacinthfront/internal/bench/engsim"
 	configured "jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/creds"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
@@ -30,7 +30,7 @@
 // engine stand-in in this process.
 type path struct {
 	*ground
-	engine  *model.Engine
+	engine  *engsim.Engine
 	side    *osProcess
 	entry   *osProcess
 	key     string
@@ -41,7 +41,7 @@
 }
 
 // newPath starts both processes and warms the path up.
-func newPath(ctx context.Context, config model.Config, concurrency int) (*path, error) {
+func newPath(ctx context.Context, config engsim.Config, concurrency int) (*path, error) {
 	key, spec := creds.Issue(organisationName(0))
 	ground, err := newGround(ctx, shape{organisations: 1, upstreams: 1, adapters: 50}, spec)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return path, nil
 }
 
-func (path *path) begin(ctx context.Context, config model.Config, concurrency int) error {
+func (path *path) begin(ctx context.Context, config engsim.Config, concurrency int) error {
 	// One large organisation, so that no request waits for its tokens.
 	err := path.publish(patch.PutOrganisation{Organisation: configured.OrganisationSpec{
 		Name: organisationName(0), Rate: 100_000_000, Burst: 1_000_000_000,
@@ -64,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	if path.engine, err = model.New(config); err != nil {
+	if path.engine, err = engsim.New(config); err != nil {
 		return err
 	}
 	path.stops = append(path.stops, path.engine.Close)
@@ -87,7 +87,7 @@
 	var prompts []string
 	for index := 0; len(prompts) < 32; index++ {
 		prompt := fmt.Sprintf("Write letter %06d about a juniper of great age, with care and at length.", index)
-		if length, _ := model.AnswerLength(adapter, 2, prompt, 1<<20); length >= 520 {
+		if length, _ := engsim.AnswerLength(adapter, 2, prompt, 1<<20); length >= 520 {
 			prompts = append(prompts, prompt)
 		}
 	}
@@ -147,11 +147,11 @@
 }
 
 // fastEngine returns an engine whose steps take little time.
-func fastEngine(step time.Duration) model.Config {
-	config := model.DefaultConfig()
+func fastEngine(step time.Duration) engsim.Config {
+	config := engsim.DefaultConfig()
 	config.StepBase, config.StepPerRequest, config.StepPerAdapter = step, 0, 0
 	config.PromptTokenTime = 0
-	config.BatchLimit, config.WaitLimit = 4096, 4096
+	config.BatchLimit, config.QueueLimit = 4096, 4096
 	return config
 }
 
--- a/internal/bench/slope/rows_spread.go
+++ b/internal/bench/slope/rows_spread.go
@@ -8,7 +8,7 @@
 
 	"storj.io/drpc"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 	"jacinthfront.dev/jacinthfront/internal/daemon/start"
 	"jacinthfront.dev/jacinthfront/internal/daemon/syncer"
 	"jacinthfront.dev/jacinthfront/internal/link/logsvc"
@@ -29,17 +29,17 @@
 func spread(ctx context.Context, size float64) (float64, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	platform, err := plat.New(plat.DefaultConfig())
+	platform, err := infra.New(infra.DefaultConfig())
 	if err != nil {
 		return 0, err
 	}
-	network := plat.NewLoopback()
+	network := infra.NewPipeNetwork()
 	stop, err := network.Serve("platform:80", platform)
 	if err != nil {
 		return 0, err
 	}
 	defer stop()
-	log := start.SyncLog{Client: logsvc.New(logsvc.Config{URL: "http://platform:80", HTTP: network.Client()})}
+	log := start.ConfigLog{Client: logsvc.New(logsvc.Config{URL: "http://platform:80", HTTP: network.Client()})}
 	processes, err := peersWithout(ctx, network, int(size), log)
 	if err != nil {
 		return 0, err
@@ -67,7 +67,7 @@
 }
 
 // peersWithout runs syncers of which only the first reaches the log.
-func peersWithout(ctx context.Context, network *plat.Loopback, count int, log syncer.LogClient) ([]*syncer.Syncer, error) {
+func peersWithout(ctx context.Context, network *infra.PipeNetwork, count int, log syncer.LogClient) ([]*syncer.Syncer, error) {
 	address := func(index int) string { return fmt.Sprintf("10.0.%d.%d:7000", index>>8, index&255) }
 	all := make([]string, count)
 	for index := range all {
@@ -82,8 +82,8 @@
 		config := syncer.Config{
 			Instance: own, Address: own, Log: lostLog{}, Seed: uint64(index + 1),
 			// A process's own address answers at once, so that it need not be left out.
-			Peers: func() []string { return all },
-			Dial:  func(ctx context.Context, address string) (syncer.PeerConn, error) { return pool.Get(ctx, address) },
+			PeerAddresses: func() []string { return all },
+			DialPeer:      func(ctx context.Context, address string) (syncer.PeerConn, error) { return pool.Get(ctx, address) },
 		}
 		if index == 0 {
 			config.Log = log
--- a/internal/bench/slope/rows_start.go
+++ b/internal/bench/slope/rows_start.go
@@ -10,7 +10,7 @@
 
 	"storj.io/drpc"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 	"jacinthfront.dev/jacinthfront/internal/daemon/start"
 	"jacinthfront.dev/jacinthfront/internal/daemon/syncer"
 	"jacinthfront.dev/jacinthfront/internal/link/logsvc"
@@ -33,8 +33,8 @@
 func (lostLog) Append(context.Context, string, []byte) (uint64, error) { return 0, errLost }
 
 // Read implements syncer.LogClient.
-func (lostLog) Read(context.Context, string, uint64, time.Duration) (syncer.Page, error) {
-	return syncer.Page{}, errLost
+func (lostLog) Read(context.Context, string, uint64, time.Duration) (syncer.LogPage, error) {
+	return syncer.LogPage{}, errLost
 }
 
 // fresh measures bytes and time until a fresh process has the configuration,
@@ -63,7 +63,7 @@
 		}
 		return counter.wrap(conn, address), nil
 	}
-	log := start.SyncLog{Client: logsvc.New(logsvc.Config{URL: client, HTTP: &http.Client{Transport: &http.Transport{DialContext: dial}}})}
+	log := start.ConfigLog{Client: logsvc.New(logsvc.Config{URL: client, HTTP: &http.Client{Transport: &http.Transport{DialContext: dial}}})}
 	first, err := timeStart(ctx, syncer.Config{Instance: "first", Log: log}, counter, "-log", size, table)
 	if err != nil {
 		return err
@@ -78,8 +78,8 @@
 	defer func() { _ = pool.Close() }()
 	second, err := timeStart(ctx, syncer.Config{
 		Instance: "second", Log: lostLog{},
-		Peers: func() []string { return []string{address} },
-		Dial:  func(ctx context.Context, address string) (syncer.PeerConn, error) { return pool.Get(ctx, address) },
+		PeerAddresses: func() []string { return []string{address} },
+		DialPeer:      func(ctx context.Context, address string) (syncer.PeerConn, error) { return pool.Get(ctx, address) },
 	}, counter, "-peer", size, table)
 	if err != nil {
 		return err
@@ -94,20 +94,20 @@
 	if err != nil {
 		return "", nil, err
 	}
-	config := plat.DefaultConfig()
+	config := infra.DefaultConfig()
 	config.Retention = expiry
-	platform, err := plat.New(config)
+	platform, err := infra.New(config)
 	if err != nil {
 		return "", nil, err
 	}
-	platform.Append(syncer.Stream, []byte("expires before it is read"))
+	platform.Append(syncer.ConfigStream, []byte("expires before it is read"))
 	sleep(ctx, expiry+100*time.Millisecond)
 	for _, chunk := range replay.Split(1, 1, encoded) {
 		record, err := codec.EncodeChunk(chunk)
 		if err != nil {
 			return "", nil, err
 		}
-		platform.Append(syncer.Stream, record)
+		platform.Append(syncer.ConfigStream, record)
 	}
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/bench/slope/slope.go
+++ b/internal/bench/slope/slope.go
@@ -45,13 +45,13 @@
 
 // Result is a measured row.
 type Result struct {
-	Name   string  `json:"name"`
-	What   string  `json:"what"`
-	Unit   string  `json:"unit"`
-	Size   string  `json:"size"`
-	Points []Point `json:"points"`
-	Line   Line    `json:"line"`
-	Target float64 `json:"target,omitempty"`
+	Name     string  `json:"name"`
+	What     string  `json:"what"`
+	Unit     string  `json:"unit"`
+	SizeName string  `json:"size"`
+	Points   []Point `json:"points"`
+	Line     Line    `json:"line"`
+	Target   float64 `json:"target,omitempty"`
 	// AtTarget is the line's value at the target.
 	AtTarget float64 `json:"at-target,omitempty"`
 	Took     string  `json:"took"`
@@ -59,8 +59,8 @@
 
 // Config selects what Run measures.
 type Config struct {
-	// Only selects the rows whose names begin with it; empty selects all.
-	Only string
+	// NamePrefix selects the rows whose names begin with it; empty selects all.
+	NamePrefix string
 	// Quick measures a few rows at small sizes.
 	Quick bool
 	// Progress receives a line for each point; nil means none.
@@ -94,7 +94,7 @@
 		if config.Quick {
 			sizes, row.once = row.quick, true
 		}
-		if !strings.HasPrefix(row.name, config.Only) || len(sizes) == 0 {
+		if !strings.HasPrefix(row.name, config.NamePrefix) || len(sizes) == 0 {
 			continue
 		}
 		if ctx.Err() != nil {
@@ -108,7 +108,7 @@
 		debug.FreeOSMemory()
 	}
 	if len(results) == 0 {
-		return nil, fmt.Errorf("no row begins with %q; the rows are %s", config.Only, strings.Join(Names(), ", "))
+		return nil, fmt.Errorf("no row begins with %q; the rows are %s", config.NamePrefix, strings.Join(Names(), ", "))
 	}
 	return results, nil
 }
@@ -126,7 +126,7 @@
 	var results []Result
 	for _, series := range measured {
 		result := Result{
-			Name: row.name + series.suffix, What: row.what, Unit: row.unit, Size: row.size,
+			Name: row.name + series.suffix, What: row.what, Unit: row.unit, SizeName: row.size,
 			Points: series.points, Line: Fit(series.points), Target: row.target,
 			Took: time.Since(started).Round(time.Millisecond).String(),
 		}
@@ -137,7 +137,7 @@
 			result.AtTarget = result.Line.At(row.target)
 		}
 		_, _ = fmt.Fprintf(config.Progress, "%s: %v, slope %.6g, intercept %.6g, spread %.3g\n",
-			result.Name, result.Points, result.Line.Slope, result.Line.Intercept, result.Line.Spread)
+			result.Name, result.Points, result.Line.Slope, result.Line.Intercept, result.Line.ResidualStdDev)
 		results = append(results, result)
 	}
 	return results, nil
--- a/internal/bench/trial/plot.go
+++ b/internal/bench/trial/plot.go
@@ -30,13 +30,13 @@
 }{
 	{"load stall, ms per model request", func(result *Result) float64 { return result.Measures.LoadStall }},
 	{"tokens per engine step", func(result *Result) float64 { return result.Measures.TokensPerStep }},
-	{"worst-served organisation, p95 first token, ms", func(result *Result) float64 { return result.Measures.Worst }},
-	{"wrongful refusals", func(result *Result) float64 { return float64(result.Measures.Wrongful) }},
+	{"worst-served organisation, p95 first token, ms", func(result *Result) float64 { return result.Measures.WorstP95 }},
+	{"wrongful refusals", func(result *Result) float64 { return float64(result.Measures.WrongfulRefusals) }},
 }
 
-// Plot writes the four measures of each scenario as bars. The file's ending
+// WritePlot writes the four measures of each scenario as bars. The file's ending
 // chooses SVG or PNG.
-func Plot(results []Result, file string) error {
+func WritePlot(results []Result, file string) error {
 	var canvas interface {
 		vg.CanvasSizer
 		io.WriterTo
@@ -82,7 +82,7 @@
 	drawn.Title.Text = title
 	drawn.Legend.Top = true
 	drawn.X.Tick.Label.Rotation = labelAngle
-	for index, policy := range []string{Naive, Default} {
+	for index, policy := range []string{NaivePolicy, DefaultPolicy} {
 		var values plotter.Values
 		var names []string
 		for position := range results {
--- a/internal/bench/trial/scenario.go
+++ b/internal/bench/trial/scenario.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/bench/demo"
-	"jacinthfront.dev/jacinthfront/internal/bench/load"
+	"jacinthfront.dev/jacinthfront/internal/bench/reqgen"
 )
 
 // Scenario is a load with what happens during it. Times are parts of the
@@ -16,11 +16,11 @@
 type Scenario struct {
 	Name string
 	// plan changes the steady load; the warm-up time comes first.
-	plan func(plan *load.Plan, warmup, length time.Duration)
+	plan func(plan *reqgen.Plan, warmup, length time.Duration)
 	// steps happen during the measured time.
 	steps []step
 	// check adds a promise.
-	check func(fleet *demo.Fleet) demo.Promise
+	check func(fleet *demo.Fleet) demo.Invariant
 }
 
 // step happens after a part of the measured time.
@@ -44,11 +44,11 @@
 func Scenarios() []Scenario {
 	return []Scenario{
 		{Name: "steady"},
-		{Name: "popularity-shift", plan: func(plan *load.Plan, warmup, length time.Duration) {
-			plan.ShiftAfter = warmup + part(length, 0.25)
+		{Name: "popularity-shift", plan: func(plan *reqgen.Plan, warmup, length time.Duration) {
+			plan.PopularityShiftAfter = warmup + part(length, 0.25)
 		}},
-		{Name: "one-organisation-5x", plan: func(plan *load.Plan, warmup, length time.Duration) {
-			plan.Surge = load.Surge{
+		{Name: "one-organisation-5x", plan: func(plan *reqgen.Plan, warmup, length time.Duration) {
+			plan.Surge = reqgen.Surge{
 				Organisation: plan.Organisations[0].Name, Factor: surgeFactor, From: warmup, Until: warmup + length,
 			}
 		}},
@@ -58,13 +58,13 @@
 		}}}},
 		{Name: "entry-replacement", steps: []step{{0.2, replaceEntry}, {0.6, replaceEntry}}},
 		{Name: "log-outage", steps: []step{{0.2, func(_ context.Context, fleet *demo.Fleet, length time.Duration) error {
-			return fleet.StopLog(part(length, 0.5))
+			return fleet.FailLog(part(length, 0.5))
 		}}}},
 		{Name: "failure-domain-loss", steps: []step{{0.3, func(ctx context.Context, fleet *demo.Fleet, length time.Duration) error {
-			return fleet.LoseDomain(ctx, length)
+			return fleet.FailDomain(ctx, length)
 		}}}},
 		{Name: "half-split", check: (*demo.Fleet).CheckHalves, steps: []step{{0.3, func(ctx context.Context, fleet *demo.Fleet, _ time.Duration) error {
-			return fleet.Split(ctx)
+			return fleet.SplitHalves(ctx)
 		}}}},
 	}
 }
@@ -79,8 +79,8 @@
 	return fleet.ReplaceEntry(ctx)
 }
 
-// ByName returns the scenario of a name, or all of them for "all".
-func ByName(name string) ([]Scenario, error) {
+// SelectScenarios returns the scenario of a name, or all of them for "all".
+func SelectScenarios(name string) ([]Scenario, error) {
 	scenarios := Scenarios()
 	if name == "all" {
 		return scenarios, nil
--- a/internal/bench/trial/table.go
+++ b/internal/bench/trial/table.go
@@ -6,16 +6,16 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/demo"
 )
 
-// Lines returns the results as lines with tab-separated columns.
-func Lines(results []Result) []string {
+// FormatTables returns the results as lines with tab-separated columns.
+func FormatTables(results []Result) []string {
 	lines := []string{"SCENARIO\tPOLICY\tLOAD STALL\tSTALLED\tTOKENS/STEP\tWORST ORGANISATION p95\tINTERACTIVE/PATIENT p95\tWRONGFUL REFUSALS\tLOADS\tPROMISES"}
 	for index := range results {
 		result := &results[index]
 		measures := &result.Measures
 		lines = append(lines, fmt.Sprintf("%s\t%s\t%.1f ms\t%.1f%%\t%.2f\t%.0f ms (%s)\t%.0f/%.0f ms\t%d of %d\t%d\t%s",
-			result.Scenario, result.Policy, measures.LoadStall, 100*measures.Stalled, measures.TokensPerStep,
-			measures.Worst, measures.WorstOrganisation, measures.Interactive, measures.Patient,
-			measures.Wrongful, measures.Sent, measures.Loads, promises(result)))
+			result.Scenario, result.Policy, measures.LoadStall, 100*measures.StalledFraction, measures.TokensPerStep,
+			measures.WorstP95, measures.WorstOrganisation, measures.InteractiveP95, measures.PatientP95,
+			measures.WrongfulRefusals, measures.Sent, measures.Loads, promises(result)))
 	}
 	if comparisons := Compare(results); len(comparisons) > 0 {
 		lines = append(lines, "", "DEFAULT/NAIVE\tLOAD STALL\tTOKENS/STEP\tWORST ORGANISATION\tWRONGFUL REFUSALS")
@@ -32,12 +32,12 @@
 
 // promises sums up the promise table of a result.
 func promises(result *Result) string {
-	for _, promise := range result.Promises {
+	for _, promise := range result.Invariants {
 		if !promise.Held {
-			return "BROKEN: " + promise.Name + ": " + promise.Seen
+			return "BROKEN: " + promise.Name + ": " + promise.Observed
 		}
 	}
-	return fmt.Sprintf("%d held", len(result.Promises))
+	return fmt.Sprintf("%d held", len(result.Invariants))
 }
 
 func groupLines(result *Result) []string {
@@ -47,7 +47,7 @@
 	}
 	for _, group := range result.Measures.Groups {
 		lines = append(lines, fmt.Sprintf("%s\t%s, %s\t%d\t%d\t%d\t%d\t%s\t%s", group.Organisation, group.Kind, class(group.Kind),
-			group.Sent, group.Completed, group.Refused, group.Wrongful, latency(group.FirstToken), latency(group.Gap)))
+			group.Sent, group.Completed, group.Refused, group.Wrongful, latency(group.FirstToken), latency(group.TokenInterval)))
 	}
 	return lines
 }
--- a/internal/bench/trial/trial.go
+++ b/internal/bench/trial/trial.go
@@ -8,43 +8,43 @@
 	"go.uber.org/zap"
 
 	"jacinthfront.dev/jacinthfront/internal/bench/demo"
-	"jacinthfront.dev/jacinthfront/internal/bench/load"
+	"jacinthfront.dev/jacinthfront/internal/bench/reqgen"
 )
 
 // The policies that are compared.
 const (
-	Naive   = "naive"
-	Default = "default"
+	NaivePolicy   = "naive"
+	DefaultPolicy = "default"
 )
 
 // Config configures runs.
 type Config struct {
 	Deployment demo.Deployment
-	// Network returns the network of one run.
-	Network func() demo.Network
-	Seed    uint64
+	// NewNetwork returns the network of one run.
+	NewNetwork func() demo.Network
+	Seed       uint64
 	// Warmup comes before the measured Length.
-	Warmup  time.Duration
-	Length  time.Duration
-	Entries int
-	Logger  *zap.Logger
+	Warmup     time.Duration
+	Duration   time.Duration
+	EntryCount int
+	Logger     *zap.Logger
 }
 
 // Result is the outcome of one scenario under one policy.
 type Result struct {
-	Scenario   string         `json:"scenario"`
-	Deployment string         `json:"deployment"`
-	Policy     string         `json:"policy"`
-	Seed       uint64         `json:"seed"`
-	Length     string         `json:"length"`
-	Promises   []demo.Promise `json:"promises"`
-	Measures   demo.Measures  `json:"measures"`
-	Problems   []string       `json:"problems"`
+	Scenario   string           `json:"scenario"`
+	Deployment string           `json:"deployment"`
+	Policy     string           `json:"policy"`
+	Seed       uint64           `json:"seed"`
+	Length     string           `json:"length"`
+	Invariants []demo.Invariant `json:"promises"`
+	Measures   demo.Measures    `json:"measures"`
+	Problems   []string         `json:"problems"`
 }
 
-// Held reports whether all promises held.
-func (result *Result) Held() bool {
-	for _, promise := range result.Promises {
+// InvariantsHeld reports whether all promises held.
+func (result *Result) InvariantsHeld() bool {
+	for _, promise := range result.Invariants {
 		if !promise.Held {
 			return false
 		}
@@ -55,7 +55,7 @@
 // Run runs one scenario under one policy.
 func Run(ctx context.Context, config Config, scenario Scenario, policy string) (Result, error) {
 	fleet, err := demo.NewFleet(demo.FleetConfig{
-		Deployment: config.Deployment, Network: config.Network(), Policy: policy, Entries: config.Entries,
+		Deployment: config.Deployment, Network: config.NewNetwork(), Policy: policy, Entries: config.EntryCount,
 		Seed: config.Seed, Delays: true, Logger: config.Logger,
 	})
 	if err != nil {
@@ -67,26 +67,26 @@
 	}
 	plan := fleet.Plan()
 	if scenario.plan != nil {
-		scenario.plan(&plan, config.Warmup, config.Length)
+		scenario.plan(&plan, config.Warmup, config.Duration)
 		fleet.SetSurge(plan.Surge)
 	}
-	generator := load.New(load.Config{
-		Entries: fleet.Entries, Client: fleet.Client(), Plan: plan, Seed: config.Seed, Expect: demo.Expect,
+	generator := reqgen.New(reqgen.Config{
+		EntryURLs: fleet.EntryURLs, Client: fleet.Client(), Plan: plan, Seed: config.Seed, ExpectedToken: demo.ExpectedToken,
 		Warmup: config.Warmup, AfterWarmup: fleet.BeginMeasure,
 	})
 	acted := make(chan error, 1)
 	go func() { acted <- act(ctx, fleet, scenario, config) }()
-	generator.Run(ctx, config.Warmup+config.Length)
+	generator.Run(ctx, config.Warmup+config.Duration)
 	if err := <-acted; err != nil {
 		return Result{}, fmt.Errorf("scenario %s: %w", scenario.Name, err)
 	}
 	report := generator.Report()
 	result := Result{
 		Scenario: scenario.Name, Deployment: config.Deployment.Name, Policy: policy, Seed: config.Seed,
-		Length: config.Length.String(), Promises: fleet.CheckLoad(report), Measures: fleet.Measure(report), Problems: report.Problems(),
+		Length: config.Duration.String(), Invariants: fleet.CheckLoadInvariants(report), Measures: fleet.Measure(report), Problems: report.Problems(),
 	}
 	if scenario.check != nil {
-		result.Promises = append(result.Promises, scenario.check(fleet))
+		result.Invariants = append(result.Invariants, scenario.check(fleet))
 	}
 	return result, ctx.Err()
 }
@@ -95,14 +95,14 @@
 func act(ctx context.Context, fleet *demo.Fleet, scenario Scenario, config Config) error {
 	begin := time.Now().Add(config.Warmup)
 	for _, step := range scenario.steps {
-		timer := time.NewTimer(time.Until(begin.Add(part(config.Length, step.at))))
+		timer := time.NewTimer(time.Until(begin.Add(part(config.Duration, step.at))))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return ctx.Err()
 		case <-timer.C:
 		}
-		if err := step.action(ctx, fleet, config.Length); err != nil {
+		if err := step.action(ctx, fleet, config.Duration); err != nil {
 			return err
 		}
 	}
@@ -126,21 +126,21 @@
 func Compare(results []Result) []Comparison {
 	naive := map[string]demo.Measures{}
 	for _, result := range results {
-		if result.Policy == Naive {
+		if result.Policy == NaivePolicy {
 			naive[result.Scenario] = result.Measures
 		}
 	}
 	var comparisons []Comparison
 	for _, result := range results {
 		base, ok := naive[result.Scenario]
-		if !ok || result.Policy != Default {
+		if !ok || result.Policy != DefaultPolicy {
 			continue
 		}
 		measures := result.Measures
 		comparisons = append(comparisons, Comparison{
 			Scenario: result.Scenario, Stall: ratio(measures.LoadStall, base.LoadStall),
-			Tokens: ratio(measures.TokensPerStep, base.TokensPerStep), Worst: ratio(measures.Worst, base.Worst),
-			Wrongful: measures.Wrongful - base.Wrongful,
+			Tokens: ratio(measures.TokensPerStep, base.TokensPerStep), Worst: ratio(measures.WorstP95, base.WorstP95),
+			Wrongful: measures.WrongfulRefusals - base.WrongfulRefusals,
 		})
 	}
 	return comparisons
--- a/internal/bench/trial/trial_test.go
+++ b/internal/bench/trial/trial_test.go
@@ -6,17 +6,17 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/bench/demo"
-	"jacinthfront.dev/jacinthfront/internal/bench/known"
+	"jacinthfront.dev/jacinthfront/internal/bench/xfail"
 )
 
 // short returns a deployment of four engines that runs quickly in virtual time.
 // With the skew, its 32 slots leave about half of the store's loads free in
 // steady state, as those of the whole deployment do.
 func short(deployment demo.Deployment) demo.Deployment {
-	scale := 4 / float64(deployment.Runners)
+	scale := 4 / float64(deployment.Engines)
 	deployment.LoadRate *= scale
-	deployment.Requests *= scale
-	deployment.Runners, deployment.Plains, deployment.Adapters, deployment.Skew = 4, 2, 1000, 2.6
+	deployment.RequestRate *= scale
+	deployment.Engines, deployment.PlainUpstreams, deployment.Adapters, deployment.Skew = 4, 2, 1000, 2.6
 	return deployment
 }
 
@@ -38,8 +38,8 @@
 	var result Result
 	synctest.Test(t, func(t *testing.T) {
 		config := Config{
-			Deployment: short(deployment), Network: func() demo.Network { return demo.NewMemory() },
-			Seed: testSeed, Warmup: length.warmup, Length: length.measured, Entries: 3,
+			Deployment: short(deployment), NewNetwork: func() demo.Network { return demo.NewMemoryNetwork() },
+			Seed: testSeed, Warmup: length.warmup, Duration: length.measured, EntryCount: 3,
 		}
 		var err error
 		if result, err = Run(t.Context(), config, scenario, policy); err != nil {
@@ -48,11 +48,11 @@
 		// Packets under way between failure domains end before the bubble does.
 		time.Sleep(time.Second)
 	})
-	for _, promise := range result.Promises {
+	for _, promise := range result.Invariants {
 		// The static division counts tokens on arrival, so that requests which
 		// wait may run together and exceed the rate.
-		if !promise.Held && policy == Default {
-			t.Errorf("%s, %s: %s: %s", scenario.Name, policy, promise.Name, promise.Seen)
+		if !promise.Held && policy == DefaultPolicy {
+			t.Errorf("%s, %s: %s: %s", scenario.Name, policy, promise.Name, promise.Observed)
 		}
 	}
 	return result
@@ -70,12 +70,12 @@
 		return result.Measures.TokensPerStep >= 1.3*naive.Measures.TokensPerStep
 	}},
 	{"worst-served organisation within 1.2 times steady", func(_, result, steady *Result) bool {
-		return result.Scenario != surged || result.Measures.Worst <= 1.2*steady.Measures.Worst
+		return result.Scenario != surged || result.Measures.WorstP95 <= 1.2*steady.Measures.WorstP95
 	}},
 	{"interactive p95 not above patient p95", func(_, result, _ *Result) bool {
-		return result.Measures.Interactive <= result.Measures.Patient
+		return result.Measures.InteractiveP95 <= result.Measures.PatientP95
 	}},
-	{"no wrongful refusals", func(_, result, _ *Result) bool { return result.Measures.Wrongful == 0 }},
+	{"no wrongful refusals", func(_, result, _ *Result) bool { return result.Measures.WrongfulRefusals == 0 }},
 }
 
 // surged is the scenario in which another organisation sends five times its load.
@@ -91,19 +91,19 @@
 	for _, deployment := range []demo.Deployment{demo.Bonsai(), demo.Gourd()} {
 		t.Run(deployment.Name, func(t *testing.T) {
 			t.Parallel()
-			steady := runShort(t, deployment, Scenarios()[0], Default, settled)
+			steady := runShort(t, deployment, Scenarios()[0], DefaultPolicy, settled)
 			for _, scenario := range Scenarios() {
 				t.Run(scenario.Name, func(t *testing.T) {
 					t.Parallel()
 					if !compared[scenario.Name] {
-						runShort(t, deployment, scenario, Default, brief)
+						runShort(t, deployment, scenario, DefaultPolicy, brief)
 						return
 					}
 					result := steady
 					if scenario.Name != steady.Scenario {
-						result = runShort(t, deployment, scenario, Default, settled)
+						result = runShort(t, deployment, scenario, DefaultPolicy, settled)
 					}
-					checkTargets(t, runShort(t, deployment, scenario, Naive, settled), result, steady)
+					checkTargets(t, runShort(t, deployment, scenario, NaivePolicy, settled), result, steady)
 				})
 			}
 		})
@@ -114,12 +114,12 @@
 // name those that are missed.
 func checkTargets(t *testing.T, naive, result, steady Result) {
 	t.Helper()
-	for _, line := range Lines([]Result{naive, result})[:6] {
+	for _, line := range FormatTables([]Result{naive, result})[:6] {
 		t.Log(line)
 	}
 	for _, target := range targets {
 		t.Run(target.name, func(t *testing.T) {
-			known.Skip(t)
+			xfail.SkipIfListed(t)
 			if !target.met(&naive, &result, &steady) {
 				t.Error("target missed")
 			}
--- a/internal/bench/known/known.go
+++ b/internal/bench/xfail/xfail.go
@@ -1,5 +1,5 @@
-// Package known passes over the tests that KNOWN-RED.txt lists.
-package known
+// Package xfail passes over the tests that KNOWN-RED.txt lists.
+package xfail
 
 import (
 	"fmt"
@@ -12,9 +12,9 @@
 // where all tests run.
 const file = "../../../KNOWN-RED.txt"
 
-// Skip skips a test and prints its entry if KNOWN-RED.txt has one. An entry is a
+// SkipIfListed skips a test and prints its entry if KNOWN-RED.txt has one. An entry is a
 // line that begins with the test's full name and a colon.
-func Skip(t *testing.T) {
+func SkipIfListed(t *testing.T) {
 	t.Helper()
 	data, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/daemon/admin/admin.go
+++ b/internal/daemon/admin/admin.go
@@ -22,7 +22,7 @@
 // ConfigStore holds the configuration that operators read and change.
 type ConfigStore interface {
 	Current() *conf.Config
-	Publish(ctx context.Context, record patch.Patch) (syncer.Report, error)
+	Publish(ctx context.Context, record patch.Patch) (syncer.PublishReport, error)
 	Result(id string) patch.Result
 	History() []syncer.Change
 	ConfirmedAge() time.Duration
--- a/internal/daemon/admin/admin_test.go
+++ b/internal/daemon/admin/admin_test.go
@@ -34,16 +34,16 @@
 
 func (store *fakeStore) Current() *conf.Config { return store.Config() }
 
-func (store *fakeStore) Publish(_ context.Context, record patch.Patch) (syncer.Report, error) {
+func (store *fakeStore) Publish(_ context.Context, record patch.Patch) (syncer.PublishReport, error) {
 	if store.publishError != nil {
-		return syncer.Report{}, store.publishError
+		return syncer.PublishReport{}, store.publishError
 	}
 	if store.competingPatches > 0 {
 		store.competingPatches--
 		store.ApplyPatch(store.NextOffset(), patch.Patch{ID: record.ID + "-rival", BaseVersion: record.BaseVersion, Ops: []patch.Op{upstream("rival")}})
 	}
 	result, _ := store.ApplyPatch(store.NextOffset(), record)
-	return syncer.Report{Result: result, Advice: result.Kind.String()}, nil
+	return syncer.PublishReport{Result: result, Advice: result.Kind.String()}, nil
 }
 
 func (store *fakeStore) History() []syncer.Change {
@@ -82,12 +82,12 @@
 	tests := []struct {
 		name   string
 		record patch.Patch
-		want   Report
+		want   PatchReport
 	}{
-		{name: "accepted", record: record, want: Report{ID: "first", Result: patch.Accepted, Version: 1, Advice: "accepted"}},
-		{name: "again", record: record, want: Report{ID: "first", Result: patch.Duplicate, Version: 1, Advice: "duplicate"}},
-		{name: "conflict", record: patch.Patch{ID: "second", Ops: record.Ops}, want: Report{ID: "second", Result: patch.Conflict, Version: 1, Advice: "conflict"}},
-		{name: "invalid", record: patch.Patch{ID: "third", BaseVersion: 1}, want: Report{
+		{name: "accepted", record: record, want: PatchReport{ID: "first", Result: patch.Accepted, Version: 1, Advice: "accepted"}},
+		{name: "again", record: record, want: PatchReport{ID: "first", Result: patch.Duplicate, Version: 1, Advice: "duplicate"}},
+		{name: "conflict", record: patch.Patch{ID: "second", Ops: record.Ops}, want: PatchReport{ID: "second", Result: patch.Conflict, Version: 1, Advice: "conflict"}},
+		{name: "invalid", record: patch.Patch{ID: "third", BaseVersion: 1}, want: PatchReport{
 			ID: "third", Result: patch.Invalid, Version: 1, Field: "ops", Reason: "has 0 operations; write 1 to 10000", Advice: "invalid",
 		}},
 	}
@@ -100,7 +100,7 @@
 		})
 	}
 	got, err := client.PatchResult(t.Context(), "second")
-	if diff := cmp.Diff(Report{ID: "second", Result: patch.Conflict, Version: 1}, got); diff != "" || err != nil {
+	if diff := cmp.Diff(PatchReport{ID: "second", Result: patch.Conflict, Version: 1}, got); diff != "" || err != nil {
 		t.Errorf("error %v (-want +got):\n%s", err, diff)
 	}
 	history, err := client.History(t.Context())
--- a/internal/daemon/admin/client.go
+++ b/internal/daemon/admin/client.go
@@ -47,27 +47,27 @@
 
 // Publish publishes a patch and returns its result. A patch without an id gets
 // one. Only a patch with an id can be published again safely.
-func (client Client) Publish(ctx context.Context, record patch.Patch) (Report, error) {
+func (client Client) Publish(ctx context.Context, record patch.Patch) (PatchReport, error) {
 	data, err := codec.EncodePatchJSON(record)
 	if err != nil {
-		return Report{}, err
+		return PatchReport{}, err
 	}
-	var report Report
+	var report PatchReport
 	err = client.call(ctx, http.MethodPost, "/config/patches", data, &report,
 		httpStatus(patch.Accepted), httpStatus(patch.Conflict), httpStatus(patch.Invalid), httpStatus(patch.Unknown))
 	return report, err
 }
 
 // PatchResult returns what is known of a patch.
-func (client Client) PatchResult(ctx context.Context, id string) (Report, error) {
-	var report Report
+func (client Client) PatchResult(ctx context.Context, id string) (PatchReport, error) {
+	var report PatchReport
 	err := client.call(ctx, http.MethodGet, "/config/patches/"+url.PathEscape(id), nil, &report)
 	return report, err
 }
 
 // History returns the last accepted patches, the oldest first.
-func (client Client) History(ctx context.Context) ([]Change, error) {
-	var changes []Change
+func (client Client) History(ctx context.Context) ([]AcceptedPatch, error) {
+	var changes []AcceptedPatch
 	err := client.call(ctx, http.MethodGet, "/config/history", nil, &changes)
 	return changes, err
 }
@@ -84,8 +84,8 @@
 }
 
 // WithdrawKey withdraws a key by its id.
-func (client Client) WithdrawKey(ctx context.Context, id, operator string) (Report, error) {
-	var report Report
+func (client Client) WithdrawKey(ctx context.Context, id, operator string) (PatchReport, error) {
+	var report PatchReport
 	path := "/keys/" + url.PathEscape(id) + "?operator=" + url.QueryEscape(operator)
 	err := client.call(ctx, http.MethodDelete, path, nil, &report)
 	return report, err
