--- a/internal/daemon/admin/json.go
+++ b/internal/daemon/admin/json.go
@@ -12,19 +12,19 @@
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 )
 
-// Report is the result of a patch.
-type Report struct {
+// PatchReport is the result of a patch.
+type PatchReport struct {
 	ID      string           `json:"id"`
 	Result  patch.ResultKind `json:"result"`
 	Version uint64           `json:"version,omitempty"`
 	Field   string           `json:"field,omitempty"`
 	Reason  string           `json:"reason,omitempty"`
-	Changes []Change         `json:"changes,omitempty"`
+	Changes []AcceptedPatch  `json:"changes,omitempty"`
 	Advice  string           `json:"advice,omitempty"`
 }
 
-// Change is an accepted patch.
-type Change struct {
+// AcceptedPatch is an accepted patch.
+type AcceptedPatch struct {
 	Version  uint64   `json:"version"`
 	ID       string   `json:"id"`
 	Operator string   `json:"operator,omitempty"`
@@ -75,21 +75,21 @@
 	}
 }
 
-func resultToJSON(result patch.Result) Report {
-	return Report{ID: result.ID, Result: result.Kind, Version: result.Version, Field: result.Field, Reason: result.Reason}
+func resultToJSON(result patch.Result) PatchReport {
+	return PatchReport{ID: result.ID, Result: result.Kind, Version: result.Version, Field: result.Field, Reason: result.Reason}
 }
 
-func reportToJSON(report syncer.Report) Report {
+func reportToJSON(report syncer.PublishReport) PatchReport {
 	form := resultToJSON(report.Result)
 	form.Advice = report.Advice
 	form.Changes = changesToJSON(report.Changes)
 	return form
 }
 
-func changesToJSON(changes []syncer.Change) []Change {
-	list := make([]Change, 0, len(changes))
+func changesToJSON(changes []syncer.Change) []AcceptedPatch {
+	list := make([]AcceptedPatch, 0, len(changes))
 	for _, change := range changes {
-		list = append(list, Change(change))
+		list = append(list, AcceptedPatch(change))
 	}
 	return list
 }
--- a/internal/daemon/admin/keys.go
+++ b/internal/daemon/admin/keys.go
@@ -65,7 +65,7 @@
 
 // publishOp publishes one operation against the current version, and again after
 // each conflict with another patch.
-func (admin *Admin) publishOp(ctx context.Context, operator string, op patch.Op) (syncer.Report, error) {
+func (admin *Admin) publishOp(ctx context.Context, operator string, op patch.Op) (syncer.PublishReport, error) {
 	for attempt := 1; ; attempt++ {
 		report, err := admin.config.ConfigStore.Publish(ctx, patch.Patch{
 			ID:          uuid.NewString(),
@@ -79,7 +79,7 @@
 	}
 }
 
-func keyChangeFault(report syncer.Report, verb, id string) error {
+func keyChangeFault(report syncer.PublishReport, verb, id string) error {
 	switch report.Kind {
 	case patch.Conflict:
 		return fault.New(fault.Conflict, fault.NotRun, "other patches were faster %d times; %s the key again", maxPublishAttempts, verb)
--- a/internal/daemon/entry/attempt.go
+++ b/internal/daemon/entry/attempt.go
@@ -65,7 +65,7 @@
 func (attempt *attempt) run(ctx context.Context) result {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	conn, err := attempt.entry().config.SideDialer.Open(ctx, attempt.address)
+	conn, err := attempt.entry().config.SideDialer.Dial(ctx, attempt.address)
 	if err != nil {
 		return attempt.unreachableResult()
 	}
--- a/internal/daemon/entry/config.go
+++ b/internal/daemon/entry/config.go
@@ -47,7 +47,7 @@
 	Admission Admission
 	// NewHealth returns the record of the results of a service's upstreams. The
 	// default ejects no upstream.
-	NewHealth func(service string) Health
+	NewHealth func(service string) HealthTracker
 	// NewPolicy returns the routing policy of a service. plain tells whether it is a
 	// plain service, without adapters.
 	NewPolicy func(service string, plain bool, health policy.Health) policy.Policy
@@ -61,10 +61,10 @@
 	// RefreshInterval is the interval at which the members of the policies are
 	// updated from the configuration and the instance list.
 	RefreshInterval time.Duration
-	// ProbeAfter is the time without an event after which the side process of a
+	// LivenessInterval is the time without an event after which the side process of a
 	// running attempt is probed. The probe may take twice as long if the work may
 	// run twice, otherwise ten times as long.
-	ProbeAfter time.Duration
+	LivenessInterval time.Duration
 }
 
 // DefaultLimits returns the limits given in section 12 of the design page.
@@ -99,7 +99,7 @@
 		config.Admission = admitAll{}
 	}
 	if config.NewHealth == nil {
-		config.NewHealth = func(string) Health { return noHealth{} }
+		config.NewHealth = func(string) HealthTracker { return noHealth{} }
 	}
 	if config.Logger == nil {
 		config.Logger = zap.NewNop()
@@ -113,8 +113,8 @@
 	if config.RefreshInterval <= 0 {
 		config.RefreshInterval = 500 * time.Millisecond
 	}
-	if config.ProbeAfter <= 0 {
-		config.ProbeAfter = time.Second
+	if config.LivenessInterval <= 0 {
+		config.LivenessInterval = time.Second
 	}
 	return nil
 }
--- a/internal/daemon/entry/harness_test.go
+++ b/internal/daemon/entry/harness_test.go
@@ -53,8 +53,8 @@
 	return near, nil
 }
 
-// Open implements SideDialer.
-func (pipes *pipes) Open(_ context.Context, address string) (Conn, error) {
+// Dial implements SideDialer.
+func (pipes *pipes) Dial(_ context.Context, address string) (Conn, error) {
 	conn, err := pipes.dial(address)
 	if err != nil {
 		return nil, err
--- a/internal/daemon/entry/lifecycle_test.go
+++ b/internal/daemon/entry/lifecycle_test.go
@@ -242,7 +242,7 @@
 		t.Run(path, func(t *testing.T) {
 			log := &recordingHealth{events: map[string]int{}}
 			runTest(t, func(harness *harness) {
-				harness.config.NewHealth = func(string) Health { return log }
+				harness.config.NewHealth = func(string) HealthTracker { return log }
 			}, func(harness *harness) {
 				harness.pipes.listen("engine-a", nil)
 				harness.pipes.listen("plain-a", nil)
--- a/internal/daemon/entry/liveness.go
+++ b/internal/daemon/entry/liveness.go
@@ -18,7 +18,7 @@
 // Work that may not run twice is given more time, because ending its attempt
 // would only tell the caller earlier that the outcome is unknown.
 func (attempt *attempt) probeLiveness(ctx context.Context, cancel context.CancelCauseFunc) {
-	probeAfter := attempt.entry().config.ProbeAfter
+	probeAfter := attempt.entry().config.LivenessInterval
 	timeout := 2 * probeAfter
 	if !attempt.job.idempotent() {
 		timeout = 10 * probeAfter
@@ -53,7 +53,7 @@
 }
 
 func (entry *Entry) callOutcome(ctx context.Context, address string, request *wirepb.OutcomeRequest) (*wirepb.OutcomeResponse, error) {
-	conn, err := entry.config.SideDialer.Open(ctx, address)
+	conn, err := entry.config.SideDialer.Dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -62,7 +62,7 @@
 }
 
 func (entry *Entry) callCancel(ctx context.Context, address string, request *wirepb.CancelRequest) (*wirepb.CancelResponse, error) {
-	conn, err := entry.config.SideDialer.Open(ctx, address)
+	conn, err := entry.config.SideDialer.Dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/daemon/entry/ports.go
+++ b/internal/daemon/entry/ports.go
@@ -55,7 +55,7 @@
 
 // SideDialer opens connections to side processes.
 type SideDialer interface {
-	Open(ctx context.Context, address string) (Conn, error)
+	Dial(ctx context.Context, address string) (Conn, error)
 }
 
 // RetryBudget bounds the number of retries and sets their backoff.
@@ -68,8 +68,8 @@
 	Backoff(retry int) time.Duration
 }
 
-// Health records the results of requests to the upstreams of one service.
-type Health interface {
+// HealthTracker records the results of requests to the upstreams of one service.
+type HealthTracker interface {
 	policy.Health
 	// SetUpstreams sets the upstreams of the service.
 	SetUpstreams(upstreams []string)
--- a/internal/daemon/entry/services.go
+++ b/internal/daemon/entry/services.go
@@ -14,7 +14,7 @@
 type service struct {
 	name   string
 	policy policy.Policy
-	health Health
+	health HealthTracker
 	specs  []conf.UpstreamSpec
 	ids    []string
 	// hadUpstream means that the instance list has shown an upstream that is not
--- a/internal/daemon/side/checks.go
+++ b/internal/daemon/side/checks.go
@@ -93,7 +93,7 @@
 		return fault.New(fault.WrongHalf, fault.NotRun,
 			"this upstream belongs to the half %q; send the request to an upstream of the organisation's half", upstream.Half)
 	}
-	if server.config.Roster.Draining(server.config.UpstreamID) {
+	if server.config.DrainStatus.Draining(server.config.UpstreamID) {
 		return fault.New(fault.Draining, fault.NotRun, "this upstream is leaving; send the request to another upstream")
 	}
 	return nil
--- a/internal/daemon/side/fakes_test.go
+++ b/internal/daemon/side/fakes_test.go
@@ -187,7 +187,7 @@
 	if engine.unresponsive {
 		return EngineState{}, errCut
 	}
-	state := EngineState{Epoch: engine.epoch, Slots: engine.slots, FencingToken: engine.fence, Loaded: slices.Collect(maps.Keys(engine.loaded))}
+	state := EngineState{Incarnation: engine.epoch, Slots: engine.slots, FencingToken: engine.fence, Loaded: slices.Collect(maps.Keys(engine.loaded))}
 	for _, report := range engine.reports {
 		if time.Since(report.at) >= fakeReportLag {
 			state.Running = report.running
@@ -466,7 +466,7 @@
 	}
 	config := Config{
 		UpstreamID: "up", ConfigSource: harness.configs, UpstreamClient: harness.fakeEngine, Limiter: harness.limiter, Log: harness.log,
-		Roster: harness.roster, Metrics: harness.metrics, Incarnation: 77,
+		DrainStatus: harness.roster, Metrics: harness.metrics, Incarnation: 77,
 	}
 	if change != nil {
 		change(&config)
--- a/internal/daemon/side/loads.go
+++ b/internal/daemon/side/loads.go
@@ -45,7 +45,7 @@
 	} else {
 		refuseWaiting = server.table.LoadFinished(now, order.Load, err)
 	}
-	if engineState != nil && engineState.Epoch == server.engine.epoch {
+	if engineState != nil && engineState.Incarnation == server.engine.epoch {
 		server.table.Reconcile(now, engineState.Loaded)
 	}
 	if refuseWaiting && !server.table.Ready(order.Load) {
--- a/internal/daemon/side/ports.go
+++ b/internal/daemon/side/ports.go
@@ -79,8 +79,8 @@
 	Read(ctx context.Context, stream string, from uint64, wait time.Duration) (LogPage, error)
 }
 
-// Roster tells which instances are draining.
-type Roster interface {
+// DrainStatus tells which instances are draining.
+type DrainStatus interface {
 	// Draining reports whether the instance of an upstream is draining.
 	Draining(upstream string) bool
 }
--- a/internal/daemon/side/serve.go
+++ b/internal/daemon/side/serve.go
@@ -82,7 +82,7 @@
 	defer server.mu.Unlock()
 	server.engine.reportedAt = askedAt
 	server.updateFencingToken(state)
-	if !server.engine.known || state.Epoch != server.engine.epoch {
+	if !server.engine.known || state.Incarnation != server.engine.epoch {
 		server.resetEngine(state)
 	}
 	server.table.Resize(state.Slots)
@@ -95,13 +95,13 @@
 func (server *Server) resetEngine(state EngineState) {
 	first := !server.engine.known
 	server.engine.generation++
-	server.engine.epoch, server.engine.known = state.Epoch, true
+	server.engine.epoch, server.engine.known = state.Incarnation, true
 	server.unconfirmed = nil
 	now := time.Now()
 	server.table.Reset(now, state.Slots, state.Loaded)
 	if first {
 		server.pinInherited(now, state.Loaded)
 	}
-	server.config.Logger.Info("place: new engine epoch", zap.String("epoch", state.Epoch),
+	server.config.Logger.Info("place: new engine epoch", zap.String("epoch", state.Incarnation),
 		zap.Int("slots", state.Slots), zap.Int("loaded", len(state.Loaded)), zap.String("upstream", server.config.UpstreamID))
 }
--- a/internal/daemon/side/side.go
+++ b/internal/daemon/side/side.go
@@ -28,9 +28,9 @@
 	Limiter        Limiter
 	// Log stores idempotency claims. Without it, requests with an idempotency
 	// key are refused.
-	Log     Log
-	Roster  Roster
-	Permits Permits
+	Log         Log
+	DrainStatus DrainStatus
+	Permits     Permits
 	// NewShard creates the quota shards that this process hosts.
 	NewShard func(ShardConfig) Shard
 	Metrics  Metrics
@@ -98,7 +98,7 @@
 
 func (config Config) withDefaults() Config {
 	orDefault[Limiter](&config.Limiter, unlimited{})
-	orDefault[Roster](&config.Roster, neverDraining{})
+	orDefault[DrainStatus](&config.DrainStatus, neverDraining{})
 	orDefault[Permits](&config.Permits, unlimitedPermits{})
 	orDefault[Metrics](&config.Metrics, noMetrics{})
 	orDefault(&config.Logger, zap.NewNop())
--- a/internal/daemon/side/upstream.go
+++ b/internal/daemon/side/upstream.go
@@ -26,8 +26,8 @@
 
 // EngineState is the state that an engine reports.
 type EngineState struct {
-	// Epoch changes when the engine restarts.
-	Epoch        string
+	// Incarnation changes when the engine restarts.
+	Incarnation  string
 	Slots        int
 	Loaded       []slots.AdapterRef
 	FencingToken uint64
--- a/internal/daemon/start/components.go
+++ b/internal/daemon/start/components.go
@@ -110,12 +110,12 @@
 	components.syncer, err = syncer.New(syncer.Config{
 		Instance:       components.settings.Instance,
 		Address:        components.settings.Listen.Peers,
-		Log:            SyncLog{Client: components.log},
-		Peers:          components.peerAddresses,
-		Dial:           components.dialPeer,
+		Log:            ConfigLog{Client: components.log},
+		PeerAddresses:  components.peerAddresses,
+		DialPeer:       components.dialPeer,
 		Logger:         components.logger,
 		IsolationLimit: components.settings.IsolationLimit,
-		Retention:      components.settings.LogRetention,
+		LogRetention:   components.settings.LogRetention,
 	})
 	if err == nil {
 		metric.Map("config").Set(components.settings.Instance, components.syncer.Metrics())
--- a/internal/daemon/start/entry.go
+++ b/internal/daemon/start/entry.go
@@ -154,8 +154,8 @@
 // sideDialer implements entry.SideDialer by the connection pool.
 type sideDialer struct{ components *components }
 
-// Open returns a connection for calls to a side process.
-func (dialer sideDialer) Open(ctx context.Context, address string) (entry.Conn, error) {
+// Dial returns a connection for calls to a side process.
+func (dialer sideDialer) Dial(ctx context.Context, address string) (entry.Conn, error) {
 	conn, err := dialer.components.pool.Get(ctx, address)
 	if err != nil {
 		return nil, err
--- a/internal/daemon/start/health.go
+++ b/internal/daemon/start/health.go
@@ -8,7 +8,7 @@
 // serviceHealth implements entry.Health.
 type serviceHealth struct{ *health.Tracker }
 
-func newHealth(string) entry.Health {
+func newHealth(string) entry.HealthTracker {
 	// The error is always nil: the defaults are valid.
 	tracker, _ := health.New(health.Config{})
 	return serviceHealth{tracker}
--- a/internal/daemon/start/logclients.go
+++ b/internal/daemon/start/logclients.go
@@ -9,20 +9,20 @@
 	"jacinthfront.dev/jacinthfront/internal/link/logsvc"
 )
 
-// SyncLog implements syncer.LogClient by the client of the platform's log service.
-type SyncLog struct {
+// ConfigLog implements syncer.LogClient by the client of the platform's log service.
+type ConfigLog struct {
 	*logsvc.Client
 }
 
 // Read returns a page of a stream.
-func (log SyncLog) Read(ctx context.Context, stream string, from uint64, wait time.Duration) (syncer.Page, error) {
+func (log ConfigLog) Read(ctx context.Context, stream string, from uint64, wait time.Duration) (syncer.LogPage, error) {
 	page, err := log.Client.Read(ctx, stream, from, wait)
 	if err != nil {
-		return syncer.Page{}, err
+		return syncer.LogPage{}, err
 	}
-	result := syncer.Page{FirstOffset: page.FirstOffset, NextOffset: page.NextOffset}
+	result := syncer.LogPage{FirstOffset: page.FirstOffset, NextOffset: page.NextOffset}
 	for _, record := range page.Records {
-		result.Records = append(result.Records, syncer.Record(record))
+		result.Records = append(result.Records, syncer.LogRecord(record))
 	}
 	return result, nil
 }
--- a/internal/daemon/start/start.go
+++ b/internal/daemon/start/start.go
@@ -61,8 +61,8 @@
 // Config returns the current configuration.
 func (process *Process) Config() *conf.Config { return process.components.syncer.Current() }
 
-// Version returns the version of the current configuration.
-func (process *Process) Version() uint64 { return process.Config().Version() }
+// ConfigVersion returns the version of the current configuration.
+func (process *Process) ConfigVersion() uint64 { return process.Config().Version() }
 
 // Done returns a channel that is closed when all components of the process have
 // ended.
@@ -90,9 +90,9 @@
 	<-process.done
 }
 
-// Wait waits until ctx ends and then drains and ends the process. If a component
+// DrainWhenDone waits until ctx ends and then drains and ends the process. If a component
 // fails before, it returns that error.
-func (process *Process) Wait(ctx context.Context) error {
+func (process *Process) DrainWhenDone(ctx context.Context) error {
 	select {
 	case <-process.done:
 		return process.err
--- a/internal/daemon/start/upstream.go
+++ b/internal/daemon/start/upstream.go
@@ -24,7 +24,7 @@
 		return side.EngineState{}, err
 	}
 	result := side.EngineState{
-		Epoch: state.Incarnation, Slots: state.Slots, FencingToken: state.FencingToken, Running: state.Running, Waiting: state.Waiting,
+		Incarnation: state.Incarnation, Slots: state.Slots, FencingToken: state.FencingToken, Running: state.Running, Waiting: state.Waiting,
 	}
 	for _, ref := range state.Loaded {
 		result.Loaded = append(result.Loaded, slots.AdapterRef{Adapter: ref.Adapter, Version: ref.Version})
--- a/internal/daemon/syncer/cluster_test.go
+++ b/internal/daemon/syncer/cluster_test.go
@@ -24,7 +24,7 @@
 	mutex     sync.Mutex
 	random    *rand.Rand
 	retention time.Duration
-	records   []Record
+	records   []LogRecord
 	changed   chan struct{}
 }
 
@@ -36,7 +36,7 @@
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
 	offset := uint64(len(log.records))
-	log.records = append(log.records, Record{Offset: offset, Time: time.Now(), Data: data})
+	log.records = append(log.records, LogRecord{Offset: offset, Time: time.Now(), Data: data})
 	close(log.changed)
 	log.changed = make(chan struct{})
 	return offset
@@ -44,10 +44,10 @@
 
 // page returns up to 8 records from an offset on, and a channel that is closed at
 // the next append.
-func (log *fakeLog) page(from uint64) (Page, <-chan struct{}) {
+func (log *fakeLog) page(from uint64) (LogPage, <-chan struct{}) {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
-	page := Page{NextOffset: uint64(len(log.records))}
+	page := LogPage{NextOffset: uint64(len(log.records))}
 	for page.FirstOffset < page.NextOffset && time.Since(log.records[page.FirstOffset].Time) > log.retention {
 		page.FirstOffset++
 	}
@@ -58,7 +58,7 @@
 }
 
 // allRecords returns every record that was ever appended.
-func (log *fakeLog) allRecords() []Record {
+func (log *fakeLog) allRecords() []LogRecord {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
 	return slices.Clone(log.records)
@@ -133,7 +133,7 @@
 	return offset, nil
 }
 
-func (link *link) Read(ctx context.Context, _ string, from uint64, wait time.Duration) (Page, error) {
+func (link *link) Read(ctx context.Context, _ string, from uint64, wait time.Duration) (LogPage, error) {
 	time.Sleep(2 * time.Millisecond)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -142,7 +142,7 @@
 		page, changed := link.log.page(from)
 		select {
 		case <-cut:
-			return Page{}, link.fail(ctx, hangs)
+			return LogPage{}, link.fail(ctx, hangs)
 		default:
 		}
 		if len(page.Records) > 0 {
@@ -154,7 +154,7 @@
 		case <-timer.C:
 			return page, nil
 		case <-ctx.Done():
-			return Page{}, ctx.Err()
+			return LogPage{}, ctx.Err()
 		}
 	}
 }
@@ -264,9 +264,9 @@
 		}
 	}
 	config := Config{
-		Instance: member.name, Address: member.name, Log: member.link, Retention: cluster.log.retention,
-		Peers: func() []string { return peers }, Seed: uint64(len(member.name)),
-		Dial: func(_ context.Context, address string) (PeerConn, error) {
+		Instance: member.name, Address: member.name, Log: member.link, LogRetention: cluster.log.retention,
+		PeerAddresses: func() []string { return peers }, Seed: uint64(len(member.name)),
+		DialPeer: func(_ context.Context, address string) (PeerConn, error) {
 			if server := cluster.network.server(member.name, address); server != nil {
 				return fakeConn{server: server}, nil
 			}
--- a/internal/daemon/syncer/differential_test.go
+++ b/internal/daemon/syncer/differential_test.go
@@ -44,7 +44,7 @@
 	return &reference{config: conf.New(), accepted: map[string]bool{}, states: [][]byte{nil}, times: []time.Time{{}}}
 }
 
-func (reference *reference) replay(t *testing.T, records []Record) {
+func (reference *reference) replay(t *testing.T, records []LogRecord) {
 	for _, record := range records[reference.recordsRead:] {
 		reference.recordsRead++
 		entry, err := codec.DecodeRecord(record.Data)
--- a/internal/daemon/syncer/exchange.go
+++ b/internal/daemon/syncer/exchange.go
@@ -43,7 +43,7 @@
 func (syncer *Syncer) exchange(ctx context.Context, address string, transfer *transfer) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, syncer.config.SyncTimeout)
 	defer cancel()
-	conn, err := syncer.config.Dial(ctx, address)
+	conn, err := syncer.config.DialPeer(ctx, address)
 	if err != nil {
 		return false, Class.Wrap(err)
 	}
--- a/internal/daemon/syncer/gap_test.go
+++ b/internal/daemon/syncer/gap_test.go
@@ -23,13 +23,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	record := func(offset uint64, data []byte, err error) Record {
+	record := func(offset uint64, data []byte, err error) LogRecord {
 		if err != nil {
 			t.Fatal(err)
 		}
-		return Record{Offset: offset, Time: time.Now(), Data: data}
+		return LogRecord{Offset: offset, Time: time.Now(), Data: data}
 	}
-	chunk := func(offset, next uint64) Record {
+	chunk := func(offset, next uint64) LogRecord {
 		data, err := codec.EncodeChunk(replay.Split(3, next, encoded)[0])
 		return record(offset, data, err)
 	}
@@ -37,19 +37,19 @@
 	patched := record(61, next, err)
 	tests := []struct {
 		name     string
-		pages    []Page
+		pages    []LogPage
 		peer     uint64 // offset that a peer's snapshot resumes at, installed after the first page; none if 0
 		version  uint64
 		position uint64
 	}{
-		{name: "snapshot before the gap", version: 0, position: 61, pages: []Page{{FirstOffset: 50, NextOffset: 61, Records: []Record{chunk(60, 49)}}}},
-		{name: "snapshot at the gap", version: 3, position: 50, pages: []Page{{FirstOffset: 50, NextOffset: 61, Records: []Record{chunk(60, 50)}}}},
-		{name: "records after the snapshot are read again", version: 3, position: 55, pages: []Page{
-			{FirstOffset: 50, NextOffset: 62, Records: []Record{chunk(60, 55), patched}},
+		{name: "snapshot before the gap", version: 0, position: 61, pages: []LogPage{{FirstOffset: 50, NextOffset: 61, Records: []LogRecord{chunk(60, 49)}}}},
+		{name: "snapshot at the gap", version: 3, position: 50, pages: []LogPage{{FirstOffset: 50, NextOffset: 61, Records: []LogRecord{chunk(60, 50)}}}},
+		{name: "records after the snapshot are read again", version: 3, position: 55, pages: []LogPage{
+			{FirstOffset: 50, NextOffset: 62, Records: []LogRecord{chunk(60, 55), patched}},
 		}},
-		{name: "page requested before a peer's snapshot", peer: 55, version: 3, position: 55, pages: []Page{
-			{FirstOffset: 50, NextOffset: 61, Records: []Record{record(60, nil, nil)}},
-			{FirstOffset: 50, NextOffset: 62, Records: []Record{patched}},
+		{name: "page requested before a peer's snapshot", peer: 55, version: 3, position: 55, pages: []LogPage{
+			{FirstOffset: 50, NextOffset: 61, Records: []LogRecord{record(60, nil, nil)}},
+			{FirstOffset: 50, NextOffset: 62, Records: []LogRecord{patched}},
 		}},
 	}
 	for _, test := range tests {
--- a/internal/daemon/syncer/peers.go
+++ b/internal/daemon/syncer/peers.go
@@ -145,7 +145,7 @@
 // pollPeers calls one random peer each interval, and further peers on request,
 // until the context ends.
 func (syncer *Syncer) pollPeers(ctx context.Context) error {
-	if syncer.config.Dial == nil {
+	if syncer.config.DialPeer == nil {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -209,7 +209,7 @@
 // callNextPeers calls as many of the next peers as count says, or fewer if fewer
 // are listed.
 func (syncer *Syncer) callNextPeers(call func(address string), count int) {
-	listed := syncer.config.Peers()
+	listed := syncer.config.PeerAddresses()
 	syncer.mutex.Lock()
 	syncer.peers.setListed(listed, time.Now().Add(-syncer.config.IsolationLimit))
 	addresses := make([]string, 0, count)
--- a/internal/daemon/syncer/publish.go
+++ b/internal/daemon/syncer/publish.go
@@ -41,8 +41,8 @@
 	Ops []string
 }
 
-// Report tells an operator the result of a patch.
-type Report struct {
+// PublishReport tells an operator the result of a patch.
+type PublishReport struct {
 	patch.Result
 	// Changes lists the patches that were accepted since the base version of a
 	// conflicting patch.
@@ -53,7 +53,7 @@
 
 // Publish appends a patch to the log, waits until it is read back and reports its
 // result. An error means that the patch was not appended.
-func (syncer *Syncer) Publish(ctx context.Context, record patch.Patch) (Report, error) {
+func (syncer *Syncer) Publish(ctx context.Context, record patch.Patch) (PublishReport, error) {
 	if problem := patch.Validate(record); problem != nil {
 		return syncer.newReport(record, patch.Result{ID: record.ID, Kind: patch.Invalid, Field: problem.Field, Reason: problem.Reason}), nil
 	}
@@ -64,7 +64,7 @@
 		return syncer.newReport(record, known), nil
 	}
 	if age := syncer.ConfirmedAge(); age > maxPublishAge {
-		return Report{}, fault.New(fault.Stale, fault.NotRun,
+		return PublishReport{}, fault.New(fault.Stale, fault.NotRun,
 			"this process has not reached the log for more than %v; publish through another instance or wait for the log", maxPublishAge)
 	}
 	syncer.awaitVersion(ctx, record.BaseVersion)
@@ -75,12 +75,12 @@
 	}
 	data, err := codec.EncodePatch(record)
 	if err != nil {
-		return Report{}, fault.New(fault.Invalid, fault.NotRun, "%v", err)
+		return PublishReport{}, fault.New(fault.Invalid, fault.NotRun, "%v", err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, publishTimeout)
 	defer cancel()
 	if err := syncer.appendPatch(ctx, data); err != nil {
-		return Report{}, err
+		return PublishReport{}, err
 	}
 	return syncer.newReport(record, syncer.awaitResult(ctx, record.ID)), nil
 }
@@ -91,7 +91,7 @@
 	notAppended := true
 	for attempt := range maxAppendAttempts {
 		attemptCtx, cancel := context.WithTimeout(ctx, syncer.config.LogTimeout)
-		_, err := syncer.config.Log.Append(attemptCtx, Stream, data)
+		_, err := syncer.config.Log.Append(attemptCtx, ConfigStream, data)
 		cancel()
 		if err == nil {
 			return nil
@@ -182,8 +182,8 @@
 	return change
 }
 
-func (syncer *Syncer) newReport(record patch.Patch, result patch.Result) Report {
-	report := Report{Result: result}
+func (syncer *Syncer) newReport(record patch.Patch, result patch.Result) PublishReport {
+	report := PublishReport{Result: result}
 	switch result.Kind {
 	case patch.Accepted:
 		report.Advice = fmt.Sprintf("the patch is in force as version %d", result.Version)
--- a/internal/daemon/syncer/readlog.go
+++ b/internal/daemon/syncer/readlog.go
@@ -72,7 +72,7 @@
 	ctx, cancel := context.WithTimeout(ctx, wait+syncer.config.LogTimeout)
 	defer cancel()
 	sent := time.Now()
-	page, err := syncer.config.Log.Read(ctx, Stream, from, wait)
+	page, err := syncer.config.Log.Read(ctx, ConfigStream, from, wait)
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 }
 
 // applyPage applies a page that was read from an offset by a call sent at a time.
-func (syncer *Syncer) applyPage(page Page, from uint64, sent time.Time) error {
+func (syncer *Syncer) applyPage(page LogPage, from uint64, sent time.Time) error {
 	syncer.mutex.Lock()
 	defer syncer.mutex.Unlock()
 	if page.NextOffset < from {
@@ -126,7 +126,7 @@
 
 // applyRecord applies one record. It reports whether a patch got a result or a
 // snapshot was installed. The mutex is held.
-func (syncer *Syncer) applyRecord(record Record) bool {
+func (syncer *Syncer) applyRecord(record LogRecord) bool {
 	entry, err := codec.DecodeRecord(record.Data)
 	switch {
 	case err != nil:
--- a/internal/daemon/syncer/server.go
+++ b/internal/daemon/syncer/server.go
@@ -67,7 +67,7 @@
 // whose address is not on the instance list is not called; random peers are
 // called instead.
 func (syncer *Syncer) syncWithCaller(address string) {
-	if address != "" && slices.Contains(syncer.config.Peers(), address) {
+	if address != "" && slices.Contains(syncer.config.PeerAddresses(), address) {
 		syncer.requestSync(address)
 		return
 	}
--- a/internal/daemon/syncer/snapshot.go
+++ b/internal/daemon/syncer/snapshot.go
@@ -25,7 +25,7 @@
 
 // renewSnapshots renews the snapshot on the log until the context ends.
 func (syncer *Syncer) renewSnapshots(ctx context.Context) error {
-	interval := min(max(syncer.config.Retention/snapshotCheckDivisor, time.Millisecond), snapshotCacheTTL)
+	interval := min(max(syncer.config.LogRetention/snapshotCheckDivisor, time.Millisecond), snapshotCacheTTL)
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -60,14 +60,14 @@
 		// The log may hold a snapshot that this process has not seen.
 		newest = syncer.started
 	}
-	due := newest.Add(syncer.config.Retention / snapshotRenewalDivisor)
+	due := newest.Add(syncer.config.LogRetention / snapshotRenewalDivisor)
 	return due, time.Since(due) >= syncer.snapshotDelay(version)
 }
 
 // snapshotDelay returns how long this instance waits once a snapshot is due. The
 // delays differ between instances, so that usually only one of them writes it.
 func (syncer *Syncer) snapshotDelay(version uint64) time.Duration {
-	spread := uint64(syncer.config.Retention/snapshotSpreadDivisor) + 1
+	spread := uint64(syncer.config.LogRetention/snapshotSpreadDivisor) + 1
 	return time.Duration(xxh3.HashStringSeed(syncer.config.Instance, version) % spread)
 }
 
@@ -112,6 +112,6 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, syncer.config.LogTimeout)
 	defer cancel()
-	_, err = syncer.config.Log.Append(ctx, Stream, record)
+	_, err = syncer.config.Log.Append(ctx, ConfigStream, record)
 	return Class.Wrap(err)
 }
--- a/internal/daemon/syncer/syncer.go
+++ b/internal/daemon/syncer/syncer.go
@@ -20,19 +20,19 @@
 	"jacinthfront.dev/jacinthfront/internal/state/replay"
 )
 
-// Stream is the name of the log stream that holds the configuration.
-const Stream = "config"
+// ConfigStream is the name of the log stream that holds the configuration.
+const ConfigStream = "config"
 
-// Record is one entry of a log stream.
-type Record struct {
+// LogRecord is one entry of a log stream.
+type LogRecord struct {
 	Offset uint64
 	Time   time.Time
 	Data   []byte
 }
 
-// Page holds consecutive records of a log stream.
-type Page struct {
-	Records []Record
+// LogPage holds consecutive records of a log stream.
+type LogPage struct {
+	Records []LogRecord
 	// FirstOffset is the oldest offset that the log still holds.
 	FirstOffset uint64
 	// NextOffset is the offset that the next appended record will get.
@@ -45,7 +45,7 @@
 	Append(ctx context.Context, stream string, record []byte) (offset uint64, err error)
 	// Read returns records from an offset on. It waits for the first one, and
 	// returns a page without records if none is appended within wait.
-	Read(ctx context.Context, stream string, from uint64, wait time.Duration) (Page, error)
+	Read(ctx context.Context, stream string, from uint64, wait time.Duration) (LogPage, error)
 }
 
 // PeerConn is a connection to a peer, used for one call.
@@ -63,12 +63,12 @@
 	// if it serves none.
 	Address string
 	Log     LogClient
-	// Peers returns the addresses of all other instances on the instance list.
+	// PeerAddresses returns the addresses of all other instances on the instance list.
 	// Nil means that there are none.
-	Peers func() []string
-	// Dial connects to a peer. Nil means that no peer is called.
-	Dial   func(ctx context.Context, address string) (PeerConn, error)
-	Logger *zap.Logger
+	PeerAddresses func() []string
+	// DialPeer connects to a peer. Nil means that no peer is called.
+	DialPeer func(ctx context.Context, address string) (PeerConn, error)
+	Logger   *zap.Logger
 	// Seed makes the choice of peers and the jitter repeatable. Zero means a
 	// random seed.
 	Seed uint64
@@ -88,8 +88,8 @@
 	// IsolationLimit is the confirmed age above which a process counts as
 	// isolated if fewer than half of the peers that it called answer.
 	IsolationLimit time.Duration
-	// Retention is how long the log keeps records.
-	Retention time.Duration
+	// LogRetention is how long the log keeps records.
+	LogRetention time.Duration
 	// MaxHistoryBytes bounds the accepted patches that are kept for peers.
 	MaxHistoryBytes int
 	// MaxLogLag is how many records the reading of the log may lag behind the
@@ -108,8 +108,8 @@
 	if config.Log == nil {
 		return config, fault.New(fault.Invalid, fault.NotRun, "the syncer has no log; set the address of the log service")
 	}
-	if config.Peers == nil {
-		config.Peers = func() []string { return nil }
+	if config.PeerAddresses == nil {
+		config.PeerAddresses = func() []string { return nil }
 	}
 	if config.Logger == nil {
 		config.Logger = zap.NewNop()
@@ -124,7 +124,7 @@
 	setDefault(&config.SyncTimeout, time.Second)
 	setDefault(&config.PushFanout, 3)
 	setDefault(&config.IsolationLimit, 30*time.Second)
-	setDefault(&config.Retention, 24*time.Hour)
+	setDefault(&config.LogRetention, 24*time.Hour)
 	setDefault(&config.MaxHistoryBytes, 1<<20)
 	setDefault(&config.MaxLogLag, 1024)
 	return config, nil
--- a/internal/daemon/syncer/syncer_test.go
+++ b/internal/daemon/syncer/syncer_test.go
@@ -24,7 +24,7 @@
 }
 
 // publish publishes a patch and fails the test on an error.
-func (cluster *cluster) publish(member *member, record patch.Patch) Report {
+func (cluster *cluster) publish(member *member, record patch.Patch) PublishReport {
 	cluster.t.Helper()
 	report, err := member.Publish(cluster.t.Context(), record)
 	if err != nil {
@@ -177,7 +177,7 @@
 		// The third process is connected to the log through the second one only.
 		cut := func(index int, peers ...string) {
 			cluster.members[index].stop()
-			cluster.configure = func(config *Config) { config.Peers = func() []string { return peers } }
+			cluster.configure = func(config *Config) { config.PeerAddresses = func() []string { return peers } }
 			cluster.start(cluster.members[index])
 		}
 		cut(2, "instance-1")
--- a/internal/link/engine/engine_test.go
+++ b/internal/link/engine/engine_test.go
@@ -15,14 +15,14 @@
 	"github.com/google/go-cmp/cmp"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/bench/model"
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/engsim"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
 // serve runs a function with a client of a handler in virtual time.
 func serve(t *testing.T, handler http.Handler, run func(client *Client)) {
 	t.Helper()
-	loopback := plat.NewLoopback()
+	loopback := infra.NewPipeNetwork()
 	stop, err := loopback.Serve("upstream:80", handler)
 	if err != nil {
 		t.Fatal(err)
@@ -32,13 +32,13 @@
 }
 
 // serveEngine runs a function with an engine that has adapter a@3 loaded.
-func serveEngine(t *testing.T, change func(config *model.Config), run func(client *Client, engine *model.Engine)) {
+func serveEngine(t *testing.T, change func(config *engsim.Config), run func(client *Client, engine *engsim.Engine)) {
 	t.Helper()
-	config := model.DefaultConfig()
+	config := engsim.DefaultConfig()
 	if change != nil {
 		change(&config)
 	}
-	engine, err := model.New(config)
+	engine, err := engsim.New(config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,9 +63,9 @@
 }
 
 // control sets a fault of an engine.
-func control(t *testing.T, engine *model.Engine, control model.Control) {
+func control(t *testing.T, engine *engsim.Engine, control engsim.ControlRequest) {
 	t.Helper()
-	if err := engine.Control(control); err != nil {
+	if err := engine.ApplyControl(control); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -109,15 +109,15 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				serveEngine(t, nil, func(client *Client, _ *model.Engine) {
+				serveEngine(t, nil, func(client *Client, _ *engsim.Engine) {
 					stream, err := client.Generate(t.Context(), test.request)
 					if err != nil {
 						t.Fatal(err)
 					}
 					defer stream.Close()
 					got, err := read(stream)
-					want := model.Answer("a", 3, test.prompt, test.request.MaxTokens)
-					_, finish := model.AnswerLength("a", 3, test.prompt, test.request.MaxTokens)
+					want := engsim.AnswerText("a", 3, test.prompt, test.request.MaxTokens)
+					_, finish := engsim.AnswerLength("a", 3, test.prompt, test.request.MaxTokens)
 					if diff := cmp.Diff(want, got); diff != "" || !errors.Is(err, io.EOF) || stream.FinishReason() != finish {
 						t.Errorf("error %v, finish %q, answer (-want +got):\n%s", err, stream.FinishReason(), diff)
 					}
@@ -131,19 +131,19 @@
 func TestResume(t *testing.T) {
 	tests := []struct {
 		name    string
-		disrupt func(t *testing.T, engine *model.Engine)
+		disrupt func(t *testing.T, engine *engsim.Engine)
 	}{
-		{"cut after 5 tokens", func(t *testing.T, engine *model.Engine) {
-			control(t, engine, model.Control{Calls: &plat.Fault{Mode: model.ModeCutStream, After: 5, Count: 1}})
+		{"cut after 5 tokens", func(t *testing.T, engine *engsim.Engine) {
+			control(t, engine, engsim.ControlRequest{CompletionFault: &infra.Fault{Mode: engsim.ModeCutStream, AfterTokens: 5, Count: 1}})
 		}},
-		{"all streams broken", func(t *testing.T, engine *model.Engine) {
-			time.AfterFunc(200*time.Millisecond, func() { control(t, engine, model.Control{Break: true}) })
+		{"all streams broken", func(t *testing.T, engine *engsim.Engine) {
+			time.AfterFunc(200*time.Millisecond, func() { control(t, engine, engsim.ControlRequest{BreakStreams: true}) })
 		}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				serveEngine(t, nil, func(client *Client, engine *model.Engine) {
+				serveEngine(t, nil, func(client *Client, engine *engsim.Engine) {
 					test.disrupt(t, engine)
 					stream, err := client.Generate(t.Context(), request())
 					if err != nil {
@@ -167,7 +167,7 @@
 						t.Fatal(err)
 					}
 					rest, err := read(stream)
-					if diff := cmp.Diff(model.Answer("a", 3, again.Prompt, again.MaxTokens), got+rest); diff != "" || !errors.Is(err, io.EOF) {
+					if diff := cmp.Diff(engsim.AnswerText("a", 3, again.Prompt, again.MaxTokens), got+rest); diff != "" || !errors.Is(err, io.EOF) {
 						t.Errorf("error %v after resume from %d, answer (-want +got):\n%s", err, next, diff)
 					}
 					if tokens := engine.Observed().Tokens; tokens != 40 {
@@ -183,19 +183,19 @@
 func TestGenerateFaults(t *testing.T) {
 	tests := []struct {
 		name    string
-		config  func(config *model.Config)
-		control model.Control
+		config  func(config *engsim.Config)
+		control engsim.ControlRequest
 		change  func(request *Request)
 		timeout time.Duration
 		want    outcome
 	}{
 		{name: "not loaded", change: func(request *Request) { request.Version = 4 }, want: outcome{fault.LoadFailed, fault.NotRun}},
-		{name: "engine restarted", control: model.Control{Restart: &model.Restart{}}, want: outcome{fault.LoadFailed, fault.NotRun}},
-		{name: "engine down", control: model.Control{Restart: &model.Restart{DownFor: plat.Duration(time.Second)}}, want: outcome{fault.UpstreamFailed, fault.RunUnknown}},
-		{name: "refusing", control: model.Control{Calls: &plat.Fault{Mode: model.ModeRefusing}}, want: outcome{fault.Overloaded, fault.NotRun}},
-		{name: "cut before", control: model.Control{Calls: &plat.Fault{Mode: model.ModeCutBefore}}, want: outcome{fault.UpstreamFailed, fault.RunUnknown}},
-		{name: "frozen", control: model.Control{Freeze: plat.Duration(time.Minute)}, timeout: time.Second, want: outcome{fault.DeadlineExceeded, fault.RunUnknown}},
-		{name: "queue full", config: func(config *model.Config) { config.WaitLimit = 0 }, want: outcome{fault.Overloaded, fault.NotRun}},
+		{name: "engine restarted", control: engsim.ControlRequest{Restart: &engsim.Restart{}}, want: outcome{fault.LoadFailed, fault.NotRun}},
+		{name: "engine down", control: engsim.ControlRequest{Restart: &engsim.Restart{DownFor: infra.Duration(time.Second)}}, want: outcome{fault.UpstreamFailed, fault.RunUnknown}},
+		{name: "refusing", control: engsim.ControlRequest{CompletionFault: &infra.Fault{Mode: engsim.ModeRefusing}}, want: outcome{fault.Overloaded, fault.NotRun}},
+		{name: "cut before", control: engsim.ControlRequest{CompletionFault: &infra.Fault{Mode: engsim.ModeCutBefore}}, want: outcome{fault.UpstreamFailed, fault.RunUnknown}},
+		{name: "frozen", control: engsim.ControlRequest{Freeze: infra.Duration(time.Minute)}, timeout: time.Second, want: outcome{fault.DeadlineExceeded, fault.RunUnknown}},
+		{name: "queue full", config: func(config *engsim.Config) { config.QueueLimit = 0 }, want: outcome{fault.Overloaded, fault.NotRun}},
 		{name: "nothing to resume", change: func(request *Request) { request.ResumeFrom = 3 }, want: outcome{fault.UnknownRequest, fault.NotRun}},
 		{name: "no limit", change: func(request *Request) { request.MaxTokens = 0 }, want: outcome{fault.BadRequest, fault.NotRun}},
 		{name: "body is no object", change: func(request *Request) { request.Body = []byte(`[1]`) }, want: outcome{fault.BadRequest, fault.NotRun}},
@@ -204,7 +204,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				serveEngine(t, test.config, func(client *Client, engine *model.Engine) {
+				serveEngine(t, test.config, func(client *Client, engine *engsim.Engine) {
 					control(t, engine, test.control)
 					request := request()
 					if test.change != nil {
@@ -216,7 +216,7 @@
 					if diff := cmp.Diff(test.want, outcomeOf(t, err)); diff != "" {
 						t.Errorf("outcome (-want +got):\n%s\n%v", diff, err)
 					}
-					if starts := engine.Observed().Starts; len(starts) != 0 {
+					if starts := engine.Observed().AcceptedRequests; len(starts) != 0 {
 						t.Errorf("the engine accepted %+v", starts)
 					}
 				})
@@ -277,7 +277,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				serveEngine(t, nil, func(client *Client, engine *model.Engine) {
+				serveEngine(t, nil, func(client *Client, engine *engsim.Engine) {
 					opened := 1
 					ctx := httptrace.WithClientTrace(t.Context(), &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 						if !info.Reused {
@@ -298,7 +298,7 @@
 					if opened != test.want {
 						t.Errorf("%d connections, want %d", opened, test.want)
 					}
-					for _, start := range engine.Observed().Starts {
+					for _, start := range engine.Observed().AcceptedRequests {
 						if finished := start.Outcome == "finished"; finished != (test.tokens == 41) {
 							t.Errorf("outcome %q with %d tokens; an early close must cancel", start.Outcome, start.GeneratedTokens)
 						}
@@ -315,40 +315,40 @@
 	failed := outcome{fault.LoadFailed, fault.NotRun}
 	tests := []struct {
 		name   string
-		config func(config *model.Config)
-		order  func(ctx context.Context, client *Client, engine *model.Engine) error
+		config func(config *engsim.Config)
+		order  func(ctx context.Context, client *Client, engine *engsim.Engine) error
 		want   outcome
 		loaded []AdapterRef
 	}{
-		{"load", nil, func(ctx context.Context, client *Client, _ *model.Engine) error {
+		{"load", nil, func(ctx context.Context, client *Client, _ *engsim.Engine) error {
 			return client.Load(ctx, "b", 1)
 		}, outcome{}, []AdapterRef{{"a", 3}, {"b", 1}}},
-		{"no slot", func(config *model.Config) { config.Slots = 1 }, func(ctx context.Context, client *Client, _ *model.Engine) error {
+		{"no slot", func(config *engsim.Config) { config.AdapterSlots = 1 }, func(ctx context.Context, client *Client, _ *engsim.Engine) error {
 			return client.Load(ctx, "b", 1)
 		}, failed, []AdapterRef{{"a", 3}}},
-		{"failing load", nil, func(ctx context.Context, client *Client, engine *model.Engine) error {
-			_ = engine.Control(model.Control{Loads: &plat.Fault{Mode: model.ModeFailing}})
+		{"failing load", nil, func(ctx context.Context, client *Client, engine *engsim.Engine) error {
+			_ = engine.ApplyControl(engsim.ControlRequest{LoadFault: &infra.Fault{Mode: engsim.ModeFailing}})
 			return client.Load(ctx, "b", 1)
 		}, failed, []AdapterRef{{"a", 3}}},
-		{"unload", nil, func(ctx context.Context, client *Client, _ *model.Engine) error {
+		{"unload", nil, func(ctx context.Context, client *Client, _ *engsim.Engine) error {
 			return errors.Join(client.Unload(ctx, "a", 3), client.Unload(ctx, "a", 3))
 		}, outcome{}, []AdapterRef{}},
-		{"unload in use", nil, func(ctx context.Context, client *Client, _ *model.Engine) error {
+		{"unload in use", nil, func(ctx context.Context, client *Client, _ *engsim.Engine) error {
 			if _, err := client.Generate(ctx, request()); err != nil {
 				return err
 			}
 			return client.Unload(ctx, "a", 3)
 		}, failed, []AdapterRef{{"a", 3}}},
-		{"old fencing token", nil, func(ctx context.Context, client *Client, _ *model.Engine) error {
+		{"old fencing token", nil, func(ctx context.Context, client *Client, _ *engsim.Engine) error {
 			client.token = func() uint64 { return 6 }
 			return client.Unload(ctx, "a", 3)
 		}, conflict, []AdapterRef{{"a", 3}}},
-		{"generation with an old fencing token", nil, func(ctx context.Context, client *Client, _ *model.Engine) error {
+		{"generation with an old fencing token", nil, func(ctx context.Context, client *Client, _ *engsim.Engine) error {
 			client.token = func() uint64 { return 6 }
 			_, err := client.Generate(ctx, request())
 			return err
 		}, conflict, []AdapterRef{{"a", 3}}},
-		{"old fencing token ignored", func(config *model.Config) { config.Fencing = model.FencingIgnored }, func(ctx context.Context, client *Client, _ *model.Engine) error {
+		{"old fencing token ignored", func(config *engsim.Config) { config.Fencing = engsim.FencingIgnored }, func(ctx context.Context, client *Client, _ *engsim.Engine) error {
 			client.token = func() uint64 { return 6 }
 			return client.SetRole(ctx, "drain")
 		}, outcome{}, []AdapterRef{{"a", 3}}},
@@ -356,7 +356,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				serveEngine(t, test.config, func(client *Client, engine *model.Engine) {
+				serveEngine(t, test.config, func(client *Client, engine *engsim.Engine) {
 					err := test.order(t.Context(), client, engine)
 					if diff := cmp.Diff(test.want, outcomeOf(t, err)); diff != "" {
 						t.Errorf("outcome (-want +got):\n%s\n%v", diff, err)
--- a/internal/link/engine/plain_test.go
+++ b/internal/link/engine/plain_test.go
@@ -11,8 +11,8 @@
 	"github.com/google/go-cmp/cmp"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 	"jacinthfront.dev/jacinthfront/internal/bench/plain"
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
 )
 
 // TestCall guards against a second run of a call, and against a call that ran
@@ -23,19 +23,19 @@
 		name    string
 		method  string
 		url     string
-		fault   *plat.Fault
+		fault   *infra.Fault
 		timeout time.Duration
 		want    outcome
 		status  int
 		effects int
 	}{
 		{name: "answered", method: "POST", status: 200, effects: 1},
-		{name: "failed before the effect", method: "POST", fault: &plat.Fault{Mode: plain.ModeFailBefore}, status: 503},
-		{name: "failed after the effect", method: "POST", fault: &plat.Fault{Mode: plain.ModeFailAfter}, status: 500, effects: 1},
-		{name: "cut before the effect", method: "POST", fault: &plat.Fault{Mode: plain.ModeCutBefore}, want: outcome{fault.UpstreamFailed, fault.RunUnknown}},
-		{name: "cut after the effect", method: "POST", fault: &plat.Fault{Mode: plain.ModeCutAfter}, want: outcome{fault.UpstreamFailed, fault.RunUnknown}, effects: 1},
-		{name: "GET cut after the effect", method: "GET", fault: &plat.Fault{Mode: plain.ModeCutAfter}, want: outcome{fault.UpstreamFailed, fault.RunUnknown}, effects: 1},
-		{name: "late", method: "POST", fault: &plat.Fault{Mode: plain.ModeDelay, Delay: plat.Duration(time.Minute)}, timeout: time.Second, want: outcome{fault.DeadlineExceeded, fault.RunUnknown}, effects: 1},
+		{name: "failed before the effect", method: "POST", fault: &infra.Fault{Mode: plain.ModeFailBefore}, status: 503},
+		{name: "failed after the effect", method: "POST", fault: &infra.Fault{Mode: plain.ModeFailAfter}, status: 500, effects: 1},
+		{name: "cut before the effect", method: "POST", fault: &infra.Fault{Mode: plain.ModeCutBefore}, want: outcome{fault.UpstreamFailed, fault.RunUnknown}},
+		{name: "cut after the effect", method: "POST", fault: &infra.Fault{Mode: plain.ModeCutAfter}, want: outcome{fault.UpstreamFailed, fault.RunUnknown}, effects: 1},
+		{name: "GET cut after the effect", method: "GET", fault: &infra.Fault{Mode: plain.ModeCutAfter}, want: outcome{fault.UpstreamFailed, fault.RunUnknown}, effects: 1},
+		{name: "late", method: "POST", fault: &infra.Fault{Mode: plain.ModeDelay, Delay: infra.Duration(time.Minute)}, timeout: time.Second, want: outcome{fault.DeadlineExceeded, fault.RunUnknown}, effects: 1},
 		{name: "nobody listens", method: "POST", url: "http://gone:80", want: outcome{fault.UpstreamFailed, fault.NotRun}},
 		{name: "late before the call", method: "POST", timeout: -1, want: outcome{fault.DeadlineExceeded, fault.NotRun}},
 	}
@@ -52,7 +52,7 @@
 					if _, err := client.CallPlain(t.Context(), PlainRequest{RequestID: "r0", Method: "POST", Path: "/first", Headers: headers}); err != nil {
 						t.Fatal(err)
 					}
-					if err := service.Control(plain.Control{Calls: test.fault}); err != nil {
+					if err := service.ApplyControl(plain.ControlRequest{CallFault: test.fault}); err != nil {
 						t.Fatal(err)
 					}
 					ctx, cancel := t.Context(), context.CancelFunc(func() {})
--- a/internal/link/engine/random_test.go
+++ b/internal/link/engine/random_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/bench/model"
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/engsim"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
 // TestRandomDisturbances compares each answer with the expected one while
@@ -22,7 +22,7 @@
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				serveEngine(t, nil, func(client *Client, engine *model.Engine) {
+				serveEngine(t, nil, func(client *Client, engine *engsim.Engine) {
 					random := rand.New(rand.NewPCG(seed, 1))
 					var group sync.WaitGroup
 					for index := range 60 {
@@ -38,12 +38,12 @@
 					}
 					for range 20 {
 						time.Sleep(time.Duration(random.IntN(1000)) * time.Millisecond)
-						control(t, engine, []model.Control{
-							{Break: true},
-							{Freeze: plat.Duration(500 * time.Millisecond)},
-							{Restart: &model.Restart{DownFor: plat.Duration(300 * time.Millisecond)}},
-							{Calls: &plat.Fault{Mode: model.ModeCutStream, After: 3, Count: 2}},
-							{Loads: &plat.Fault{Mode: model.ModeFailing, Count: 2}},
+						control(t, engine, []engsim.ControlRequest{
+							{BreakStreams: true},
+							{Freeze: infra.Duration(500 * time.Millisecond)},
+							{Restart: &engsim.Restart{DownFor: infra.Duration(300 * time.Millisecond)}},
+							{CompletionFault: &infra.Fault{Mode: engsim.ModeCutStream, AfterTokens: 3, Count: 2}},
+							{LoadFault: &infra.Fault{Mode: engsim.ModeFailing, Count: 2}},
 						}[random.IntN(5)])
 					}
 					group.Wait()
@@ -67,7 +67,7 @@
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			if want := model.Answer(request.Adapter, request.Version, request.Prompt, request.MaxTokens); text != want {
+			if want := engsim.AnswerText(request.Adapter, request.Version, request.Prompt, request.MaxTokens); text != want {
 				t.Errorf("request %s: answer %q, want %q", request.RequestID, text, want)
 			}
 			return
--- a/internal/link/logsvc/logsvc_test.go
+++ b/internal/link/logsvc/logsvc_test.go
@@ -12,13 +12,13 @@
 	"github.com/google/go-cmp/cmp"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
 // serve runs a function against a handler in virtual time.
 func serve(t *testing.T, handler http.Handler, run func(client *Client)) {
 	t.Helper()
-	loopback := plat.NewLoopback()
+	loopback := infra.NewPipeNetwork()
 	stop, err := loopback.Serve("log:80", handler)
 	if err != nil {
 		t.Fatal(err)
@@ -28,9 +28,9 @@
 }
 
 // newPlatform returns a platform with the default figures.
-func newPlatform(t *testing.T) *plat.Platform {
+func newPlatform(t *testing.T) *infra.Platform {
 	t.Helper()
-	platform, err := plat.New(plat.DefaultConfig())
+	platform, err := infra.New(infra.DefaultConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 	tests := []struct {
 		name    string
 		url     string
-		fault   *plat.Fault
+		fault   *infra.Fault
 		size    int
 		timeout time.Duration
 		want    outcome
@@ -71,11 +71,11 @@
 	}{
 		{name: "accepted", want: outcome{}, records: 2},
 		{name: "nobody listens", url: "http://gone:80", want: outcome{fault.LogUnavailable, fault.NotRun, false}, records: 1},
-		{name: "reply lost", fault: &plat.Fault{Mode: plat.ModeLostReplies}, want: outcome{fault.LogUnavailable, fault.RunUnknown, false}, records: 2},
-		{name: "cut before the effect", fault: &plat.Fault{Mode: plat.ModeDown}, want: outcome{fault.LogUnavailable, fault.RunUnknown, false}, records: 1},
-		{name: "refused", fault: &plat.Fault{Mode: plat.ModeRefusing}, want: outcome{fault.LogUnavailable, fault.NotRun, true}, records: 1},
+		{name: "reply lost", fault: &infra.Fault{Mode: infra.ModeLostReplies}, want: outcome{fault.LogUnavailable, fault.RunUnknown, false}, records: 2},
+		{name: "cut before the effect", fault: &infra.Fault{Mode: infra.ModeDown}, want: outcome{fault.LogUnavailable, fault.RunUnknown, false}, records: 1},
+		{name: "refused", fault: &infra.Fault{Mode: infra.ModeRefusing}, want: outcome{fault.LogUnavailable, fault.NotRun, true}, records: 1},
 		{name: "record too large", size: MaxRecord + 1, want: outcome{fault.BodyTooLarge, fault.NotRun, false}, records: 1},
-		{name: "deadline", fault: &plat.Fault{Mode: plat.ModeSlow, Delay: plat.Duration(time.Minute)}, timeout: time.Second, want: outcome{fault.DeadlineExceeded, fault.RunUnknown, false}, records: 1},
+		{name: "deadline", fault: &infra.Fault{Mode: infra.ModeSlow, Delay: infra.Duration(time.Minute)}, timeout: time.Second, want: outcome{fault.DeadlineExceeded, fault.RunUnknown, false}, records: 1},
 		{name: "deadline before the call", timeout: -1, want: outcome{fault.DeadlineExceeded, fault.NotRun, false}, records: 1},
 	}
 	for _, test := range tests {
@@ -87,7 +87,7 @@
 					if _, err := client.Append(t.Context(), "config", []byte("first")); err != nil {
 						t.Fatal(err)
 					}
-					if err := platform.Control(plat.Control{Log: test.fault}); err != nil {
+					if err := platform.Control(infra.Control{Log: test.fault}); err != nil {
 						t.Fatal(err)
 					}
 					ctx := t.Context()
@@ -191,7 +191,7 @@
 			handler := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 				calls++
 				if test.answer == "" && calls > 1 {
-					plat.Cut()
+					infra.AbortConnection()
 				}
 				_, _ = fmt.Fprint(writer, test.answer)
 			})
--- a/internal/link/roster/roster_test.go
+++ b/internal/link/roster/roster_test.go
@@ -12,13 +12,13 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
 // serve runs a function with a Roster over a handler in virtual time.
 func serve(t *testing.T, handler http.Handler, run func(roster *Roster)) {
 	t.Helper()
-	loopback := plat.NewLoopback()
+	loopback := infra.NewPipeNetwork()
 	stop, err := loopback.Serve("platform:80", handler)
 	if err != nil {
 		t.Fatal(err)
@@ -28,9 +28,9 @@
 }
 
 // newPlatform returns a platform whose list shows changes after 500 ms.
-func newPlatform(t *testing.T) *plat.Platform {
+func newPlatform(t *testing.T) *infra.Platform {
 	t.Helper()
-	platform, err := plat.New(plat.DefaultConfig())
+	platform, err := infra.New(infra.DefaultConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,8 +38,8 @@
 }
 
 // side returns a live side process at an upstream.
-func side(id, upstream string) plat.Instance {
-	return plat.Instance{ID: id, Role: RoleSide, Upstream: upstream, Address: id + ":80"}
+func side(id, upstream string) infra.Instance {
+	return infra.Instance{ID: id, Role: RoleSide, Upstream: upstream, Address: id + ":80"}
 }
 
 // TestLeavingIsSeen guards against an upstream that leaves and is seen to after
@@ -52,19 +52,19 @@
 			done := make(chan error, 1)
 			go func() { done <- roster.Run(ctx) }()
 			leaving := side("s1", "u1")
-			if err := platform.Announce(leaving); err != nil {
+			if err := platform.PutInstance(leaving); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(1600 * time.Millisecond)
 			if instance, ok := roster.SideProcess("u1"); !ok || instance.Draining {
 				t.Fatalf("side process %+v, %v; want a live one", instance, ok)
 			}
-			leaving.State = plat.StateLeaving
-			if err := platform.Announce(leaving); err != nil {
+			leaving.State = infra.StateDraining
+			if err := platform.PutInstance(leaving); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(1600 * time.Millisecond)
-			if err := platform.Control(plat.Control{List: &plat.Fault{Mode: plat.ModeDown, For: plat.Duration(time.Minute)}}); err != nil {
+			if err := platform.Control(infra.Control{List: &infra.Fault{Mode: infra.ModeDown, For: infra.Duration(time.Minute)}}); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(10 * time.Second)
@@ -85,17 +85,17 @@
 // TestSide guards against work for the former side process of an upstream.
 func TestSide(t *testing.T) {
 	leaving := side("s3", "u1")
-	leaving.State = plat.StateLeaving
+	leaving.State = infra.StateDraining
 	tests := []struct {
 		name      string
-		instances []plat.Instance
+		instances []infra.Instance
 		want      string
 	}{
-		{"none", []plat.Instance{side("s1", "u2")}, ""},
-		{"entry instances do not count", []plat.Instance{{ID: "e", Role: RoleEntry, Upstream: "u1", Address: "e:80"}}, ""},
-		{"the newest", []plat.Instance{side("s2", "u1"), side("s1", "u1")}, "s1"},
-		{"one that stays", []plat.Instance{side("s1", "u1"), leaving}, "s1"},
-		{"leaving only", []plat.Instance{leaving}, "s3"},
+		{"none", []infra.Instance{side("s1", "u2")}, ""},
+		{"entry instances do not count", []infra.Instance{{ID: "e", Role: RoleEntry, Upstream: "u1", Address: "e:80"}}, ""},
+		{"the newest", []infra.Instance{side("s2", "u1"), side("s1", "u1")}, "s1"},
+		{"one that stays", []infra.Instance{side("s1", "u1"), leaving}, "s1"},
+		{"leaving only", []infra.Instance{leaving}, "s3"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -103,7 +103,7 @@
 				platform := newPlatform(t)
 				serve(t, platform, func(roster *Roster) {
 					for _, instance := range test.instances {
-						if err := platform.Announce(instance); err != nil {
+						if err := platform.PutInstance(instance); err != nil {
 							t.Fatal(err)
 						}
 						time.Sleep(time.Second)
@@ -132,16 +132,16 @@
 				instance := side(fmt.Sprintf("s%d", random.IntN(20)), fmt.Sprintf("u%d", random.IntN(10)))
 				switch choice := random.IntN(100); {
 				case choice < 50:
-					instance.State = []string{plat.StateLive, plat.StateLeaving}[random.IntN(2)]
-					if err := platform.Announce(instance); err != nil {
+					instance.State = []string{infra.StateLive, infra.StateDraining}[random.IntN(2)]
+					if err := platform.PutInstance(instance); err != nil {
 						t.Fatal(err)
 					}
 				case choice < 90:
-					platform.Remove(instance.ID)
+					platform.RemoveInstance(instance.ID)
 				default:
-					mode := []string{plat.ModeStale, plat.ModeReturning, "none"}[random.IntN(3)]
-					fault := &plat.Fault{Mode: mode, For: plat.Duration(time.Duration(random.IntN(3000)) * time.Millisecond)}
-					if err := platform.Control(plat.Control{List: fault}); err != nil {
+					mode := []string{infra.ModeStale, infra.ModeShowRemoved, "none"}[random.IntN(3)]
+					fault := &infra.Fault{Mode: mode, For: infra.Duration(time.Duration(random.IntN(3000)) * time.Millisecond)}
+					if err := platform.Control(infra.Control{List: fault}); err != nil {
 						t.Fatal(err)
 					}
 				}
