--- a/internal/link/dgram/dgram.go
+++ b/internal/link/dgram/dgram.go
@@ -1,5 +1,6 @@
-// Package dgram sends and receives the datagrams between entry instances and
-// loaders. A datagram that is lost is replaced by the next one.
+// Package dgram sends and receives the UDP datagrams between entry instances and
+// loaders. Lost datagrams are not resent: the next one of the same kind replaces
+// their content.
 package dgram
 
 import (
@@ -12,15 +13,15 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// maximum is the size of the largest datagram that is read, in bytes.
-const maximum = 64 << 10
+// maxDatagramSize is the size of the receive buffer, in bytes.
+const maxDatagramSize = 64 << 10
 
-// Conn sends and receives datagrams at one address.
+// Conn sends and receives datagrams at one local address.
 type Conn struct {
 	packets net.PacketConn
 }
 
-// Listen opens the address, an IP:port.
+// Listen opens a Conn at a local address, an IP:port.
 func Listen(address string) (*Conn, error) {
 	udp, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -33,39 +34,39 @@
 	return &Conn{packets: packets}, nil
 }
 
-// Address returns the address that was opened.
+// Address returns the local address.
 func (conn *Conn) Address() string { return conn.packets.LocalAddr().String() }
 
-// Send sends a datagram to addresses, each an IP:port. It calls unsent for each
-// one to which it could not be sent.
-func (conn *Conn) Send(datagram *wirepb.Datagram, addresses []string, unsent func(address string, err error)) {
-	text, err := proto.Marshal(datagram)
+// Send sends a datagram to each of the addresses, which are of the form IP:port.
+// It calls onError for each address to which sending failed.
+func (conn *Conn) Send(datagram *wirepb.Datagram, addresses []string, onError func(address string, err error)) {
+	data, err := proto.Marshal(datagram)
 	for _, address := range addresses {
 		if err != nil {
-			unsent(address, err)
+			onError(address, err)
 			continue
 		}
-		if err := conn.write(text, address); err != nil {
-			unsent(address, err)
+		if err := conn.write(data, address); err != nil {
+			onError(address, err)
 		}
 	}
 }
 
-func (conn *Conn) write(text []byte, address string) error {
+func (conn *Conn) write(data []byte, address string) error {
 	target, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return err
 	}
-	_, err = conn.packets.WriteTo(text, net.UDPAddrFromAddrPort(target))
+	_, err = conn.packets.WriteTo(data, net.UDPAddrFromAddrPort(target))
 	return err
 }
 
-// Serve calls handle for each datagram until ctx ends. What cannot be read is
-// passed over.
+// Serve calls handle for each datagram until ctx ends. Datagrams that cannot be
+// decoded are dropped.
 func (conn *Conn) Serve(ctx context.Context, handle func(source string, datagram *wirepb.Datagram)) error {
 	stop := context.AfterFunc(ctx, func() { _ = conn.packets.Close() })
 	defer stop()
-	buffer := make([]byte, maximum)
+	buffer := make([]byte, maxDatagramSize)
 	for {
 		n, source, err := conn.packets.ReadFrom(buffer)
 		if ctx.Err() != nil {
--- a/internal/link/engine/engine_test.go
+++ b/internal/link/engine/engine_test.go
@@ -19,7 +19,7 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/plat"
 )
 
-// serve runs a function with a client of a handler in virtual time.
+// serve calls run with a client of a handler, in virtual time.
 func serve(t *testing.T, handler http.Handler, run func(client *Client)) {
 	t.Helper()
 	loopback := plat.NewLoopback()
@@ -31,7 +31,7 @@
 	run(New(Config{URL: "http://upstream:80", HTTP: loopback.Client(), FencingToken: func() uint64 { return 7 }}))
 }
 
-// serveEngine runs a function with an engine that has adapter a@3 loaded.
+// serveEngine calls run with an engine that has adapter a@3 loaded.
 func serveEngine(t *testing.T, change func(config *model.Config), run func(client *Client, engine *model.Engine)) {
 	t.Helper()
 	config := model.DefaultConfig()
@@ -51,8 +51,8 @@
 	})
 }
 
-// read returns the text of a stream up to its end.
-func read(stream Stream) (text string, err error) {
+// readAll returns the text of a stream and the error that ended it.
+func readAll(stream Stream) (text string, err error) {
 	for {
 		token, err := stream.Next()
 		if err != nil {
@@ -62,39 +62,40 @@
 	}
 }
 
-// control sets a fault of an engine.
-func control(t *testing.T, engine *model.Engine, control model.Control) {
+// setControl injects a fault into an engine.
+func setControl(t *testing.T, engine *model.Engine, control model.Control) {
 	t.Helper()
 	if err := engine.Control(control); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// outcome is the part of a fault on which callers act.
-type outcome struct {
+// faultOutcome holds the fields of a fault that decide whether a caller retries.
+type faultOutcome struct {
 	Kind fault.Kind
 	Ran  fault.Execution
 }
 
-// outcomeOf returns the outcome of a call.
-func outcomeOf(t *testing.T, err error) outcome {
+// outcomeOf returns the outcome that an error describes, zero for nil.
+func outcomeOf(t *testing.T, err error) faultOutcome {
 	t.Helper()
 	if err == nil {
-		return outcome{}
+		return faultOutcome{}
 	}
 	known, ok := fault.As(err)
 	if !ok {
-		t.Fatalf("%v is no fault", err)
+		t.Fatalf("%v is not a fault", err)
 	}
-	return outcome{known.Kind(), known.Ran()}
+	return faultOutcome{known.Kind(), known.Ran()}
 }
 
-// request returns a request for a long answer of a@3.
+// request returns a request for 40 tokens from adapter a@3.
 func request() Request {
 	return Request{RequestID: "r1", Adapter: "a", Version: 3, Prompt: "Which oil suits a beech worktop?", MaxTokens: 40}
 }
 
-// TestGenerate guards against an answer of another adapter, version or prompt.
+// TestGenerate guards against responses generated with another adapter, version
+// or prompt than the request names.
 func TestGenerate(t *testing.T) {
 	chat := `{"messages":[{"role":"user","content":"Which oil?"}],"max_tokens":9999,"temperature":0.2,"model":"other"}`
 	tests := []struct {
@@ -115,11 +116,11 @@
 						t.Fatal(err)
 					}
 					defer stream.Close()
-					got, err := read(stream)
+					got, err := readAll(stream)
 					want := model.Answer("a", 3, test.prompt, test.request.MaxTokens)
 					_, finish := model.AnswerLength("a", 3, test.prompt, test.request.MaxTokens)
 					if diff := cmp.Diff(want, got); diff != "" || !errors.Is(err, io.EOF) || stream.FinishReason() != finish {
-						t.Errorf("error %v, finish %q, answer (-want +got):\n%s", err, stream.FinishReason(), diff)
+						t.Errorf("error %v, finish %q, response (-want +got):\n%s", err, stream.FinishReason(), diff)
 					}
 				})
 			})
@@ -127,24 +128,25 @@
 	}
 }
 
-// TestResume guards against repeated and lost tokens after a stream broke.
+// TestResume guards against repeated or lost tokens when a broken stream is
+// resumed.
 func TestResume(t *testing.T) {
 	tests := []struct {
-		name    string
-		disrupt func(t *testing.T, engine *model.Engine)
+		name        string
+		breakStream func(t *testing.T, engine *model.Engine)
 	}{
 		{"cut after 5 tokens", func(t *testing.T, engine *model.Engine) {
-			control(t, engine, model.Control{Calls: &plat.Fault{Mode: model.ModeCutStream, After: 5, Count: 1}})
+			setControl(t, engine, model.Control{Calls: &plat.Fault{Mode: model.ModeCutStream, After: 5, Count: 1}})
 		}},
 		{"all streams broken", func(t *testing.T, engine *model.Engine) {
-			time.AfterFunc(200*time.Millisecond, func() { control(t, engine, model.Control{Break: true}) })
+			time.AfterFunc(200*time.Millisecond, func() { setControl(t, engine, model.Control{Break: true}) })
 		}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				serveEngine(t, nil, func(client *Client, engine *model.Engine) {
-					test.disrupt(t, engine)
+					test.breakStream(t, engine)
 					stream, err := client.Generate(t.Context(), request())
 					if err != nil {
 						t.Fatal(err)
@@ -153,7 +155,7 @@
 					next := int64(0)
 					for token, err := stream.Next(); ; token, err = stream.Next() {
 						if err != nil {
-							if diff := cmp.Diff(outcome{fault.UpstreamFailed, fault.DidRun}, outcomeOf(t, err)); diff != "" {
+							if diff := cmp.Diff(faultOutcome{fault.UpstreamFailed, fault.DidRun}, outcomeOf(t, err)); diff != "" {
 								t.Fatal(diff)
 							}
 							break
@@ -166,12 +168,12 @@
 					if stream, err = client.Generate(t.Context(), again); err != nil {
 						t.Fatal(err)
 					}
-					rest, err := read(stream)
+					rest, err := readAll(stream)
 					if diff := cmp.Diff(model.Answer("a", 3, again.Prompt, again.MaxTokens), got+rest); diff != "" || !errors.Is(err, io.EOF) {
-						t.Errorf("error %v after resume from %d, answer (-want +got):\n%s", err, next, diff)
+						t.Errorf("error %v after resume from %d, response (-want +got):\n%s", err, next, diff)
 					}
 					if tokens := engine.Observed().Tokens; tokens != 40 {
-						t.Errorf("the engine produced %d tokens for an answer of 40", tokens)
+						t.Errorf("the engine generated %d tokens for a response of 40", tokens)
 					}
 				})
 			})
@@ -179,7 +181,8 @@
 	}
 }
 
-// TestGenerateFaults guards against a wrong statement of whether a request ran.
+// TestGenerateFaults guards against faults that report wrongly whether the
+// request ran.
 func TestGenerateFaults(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -187,25 +190,25 @@
 		control model.Control
 		change  func(request *Request)
 		timeout time.Duration
-		want    outcome
+		want    faultOutcome
 	}{
-		{name: "not loaded", change: func(request *Request) { request.Version = 4 }, want: outcome{fault.LoadFailed, fault.NotRun}},
-		{name: "engine restarted", control: model.Control{Restart: &model.Restart{}}, want: outcome{fault.LoadFailed, fault.NotRun}},
-		{name: "engine down", control: model.Control{Restart: &model.Restart{DownFor: plat.Duration(time.Second)}}, want: outcome{fault.UpstreamFailed, fault.RunUnknown}},
-		{name: "refusing", control: model.Control{Calls: &plat.Fault{Mode: model.ModeRefusing}}, want: outcome{fault.Overloaded, fault.NotRun}},
-		{name: "cut before", control: model.Control{Calls: &plat.Fault{Mode: model.ModeCutBefore}}, want: outcome{fault.UpstreamFailed, fault.RunUnknown}},
-		{name: "frozen", control: model.Control{Freeze: plat.Duration(time.Minute)}, timeout: time.Second, want: outcome{fault.DeadlineExceeded, fault.RunUnknown}},
-		{name: "queue full", config: func(config *model.Config) { config.WaitLimit = 0 }, want: outcome{fault.Overloaded, fault.NotRun}},
-		{name: "nothing to resume", change: func(request *Request) { request.ResumeFrom = 3 }, want: outcome{fault.UnknownRequest, fault.NotRun}},
-		{name: "no limit", change: func(request *Request) { request.MaxTokens = 0 }, want: outcome{fault.BadRequest, fault.NotRun}},
-		{name: "body is no object", change: func(request *Request) { request.Body = []byte(`[1]`) }, want: outcome{fault.BadRequest, fault.NotRun}},
-		{name: "no prompt", change: func(request *Request) { request.Body = []byte(`{}`) }, want: outcome{fault.BadRequest, fault.NotRun}},
+		{name: "not loaded", change: func(request *Request) { request.Version = 4 }, want: faultOutcome{fault.LoadFailed, fault.NotRun}},
+		{name: "engine restarted", control: model.Control{Restart: &model.Restart{}}, want: faultOutcome{fault.LoadFailed, fault.NotRun}},
+		{name: "engine down", control: model.Control{Restart: &model.Restart{DownFor: plat.Duration(time.Second)}}, want: faultOutcome{fault.UpstreamFailed, fault.RunUnknown}},
+		{name: "refusing", control: model.Control{Calls: &plat.Fault{Mode: model.ModeRefusing}}, want: faultOutcome{fault.Overloaded, fault.NotRun}},
+		{name: "cut before", control: model.Control{Calls: &plat.Fault{Mode: model.ModeCutBefore}}, want: faultOutcome{fault.UpstreamFailed, fault.RunUnknown}},
+		{name: "frozen", control: model.Control{Freeze: plat.Duration(time.Minute)}, timeout: time.Second, want: faultOutcome{fault.DeadlineExceeded, fault.RunUnknown}},
+		{name: "queue full", config: func(config *model.Config) { config.WaitLimit = 0 }, want: faultOutcome{fault.Overloaded, fault.NotRun}},
+		{name: "nothing to resume", change: func(request *Request) { request.ResumeFrom = 3 }, want: faultOutcome{fault.UnknownRequest, fault.NotRun}},
+		{name: "no limit", change: func(request *Request) { request.MaxTokens = 0 }, want: faultOutcome{fault.BadRequest, fault.NotRun}},
+		{name: "body is not an object", change: func(request *Request) { request.Body = []byte(`[1]`) }, want: faultOutcome{fault.BadRequest, fault.NotRun}},
+		{name: "no prompt", change: func(request *Request) { request.Body = []byte(`{}`) }, want: faultOutcome{fault.BadRequest, fault.NotRun}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				serveEngine(t, test.config, func(client *Client, engine *model.Engine) {
-					control(t, engine, test.control)
+					setControl(t, engine, test.control)
 					request := request()
 					if test.change != nil {
 						test.change(&request)
@@ -225,11 +228,11 @@
 	}
 }
 
-// TestMalformedStreams guards against an answer that is passed on although it
-// is incomplete, of another request or too large.
+// TestMalformedStreams guards against a stream that counts as complete although
+// it is truncated, belongs to another request or exceeds the size limit.
 func TestMalformedStreams(t *testing.T) {
 	const first = "data: {\"index\":0,\"text\":\"x\",\"model\":\"a@3\"}\n\n"
-	tests := []struct{ name, answer, want string }{
+	tests := []struct{ name, response, wantErr string }{
 		{"no end event", first, "unexpected EOF"},
 		{"token missing", first + "data: {\"index\":2,\"text\":\"x\"}\n\n", "token 1 was due"},
 		{"token repeated", first + first, "token 1 was due"},
@@ -237,12 +240,12 @@
 		{"error event", first + "event: error\ndata: {\"message\":\"out of memory\"}\n\n", "out of memory"},
 		{"unknown event", first + "event: pause\ndata: {}\n\n", "pause"},
 		{"not JSON", first + "data: x\n\n", "event data"},
-		{"long line", first + "data: " + strings.Repeat("x", maxLine), "above"},
+		{"long line", first + "data: " + strings.Repeat("x", maxLineSize), "above"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			handler := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
-				_, _ = io.WriteString(writer, test.answer)
+				_, _ = io.WriteString(writer, test.response)
 			})
 			synctest.Test(t, func(t *testing.T) {
 				serve(t, handler, func(client *Client) {
@@ -250,12 +253,12 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					text, err := read(stream)
-					if text != "x" || outcomeOf(t, err) != (outcome{fault.UpstreamFailed, fault.DidRun}) || !strings.Contains(err.Error(), test.want) {
-						t.Errorf("text %q, error %v; want x and %q", text, err, test.want)
+					text, err := readAll(stream)
+					if text != "x" || outcomeOf(t, err) != (faultOutcome{fault.UpstreamFailed, fault.DidRun}) || !strings.Contains(err.Error(), test.wantErr) {
+						t.Errorf("text %q, error %v; want x and %q", text, err, test.wantErr)
 					}
 					if _, again := stream.Next(); !errors.Is(again, err) {
-						t.Errorf("error %v after the end, want the same", again)
+						t.Errorf("error %v after the end of the stream, want the same again", again)
 					}
 				})
 			})
@@ -263,15 +266,15 @@
 	}
 }
 
-// TestConnectionUse guards against a connection that is used again with unread
-// remains of an answer, and against one that is wasted after a complete answer.
+// TestConnectionUse guards against reusing a connection with unread bytes of an
+// earlier response, and against closing one after a complete response.
 func TestConnectionUse(t *testing.T) {
 	tests := []struct {
 		name   string
 		tokens int
 		want   int
 	}{
-		{"complete answers", 41, 1},
+		{"complete responses", 41, 1},
 		{"closed early", 2, 3},
 	}
 	for _, test := range tests {
@@ -309,20 +312,20 @@
 	}
 }
 
-// TestOrders guards against orders that are reported done and were refused.
+// TestOrders guards against refused orders that are reported as successful.
 func TestOrders(t *testing.T) {
-	conflict := outcome{fault.Conflict, fault.NotRun}
-	failed := outcome{fault.LoadFailed, fault.NotRun}
+	conflict := faultOutcome{fault.Conflict, fault.NotRun}
+	failed := faultOutcome{fault.LoadFailed, fault.NotRun}
 	tests := []struct {
 		name   string
 		config func(config *model.Config)
 		order  func(ctx context.Context, client *Client, engine *model.Engine) error
-		want   outcome
+		want   faultOutcome
 		loaded []AdapterRef
 	}{
 		{"load", nil, func(ctx context.Context, client *Client, _ *model.Engine) error {
 			return client.Load(ctx, "b", 1)
-		}, outcome{}, []AdapterRef{{"a", 3}, {"b", 1}}},
+		}, faultOutcome{}, []AdapterRef{{"a", 3}, {"b", 1}}},
 		{"no slot", func(config *model.Config) { config.Slots = 1 }, func(ctx context.Context, client *Client, _ *model.Engine) error {
 			return client.Load(ctx, "b", 1)
 		}, failed, []AdapterRef{{"a", 3}}},
@@ -332,7 +335,7 @@
 		}, failed, []AdapterRef{{"a", 3}}},
 		{"unload", nil, func(ctx context.Context, client *Client, _ *model.Engine) error {
 			return errors.Join(client.Unload(ctx, "a", 3), client.Unload(ctx, "a", 3))
-		}, outcome{}, []AdapterRef{}},
+		}, faultOutcome{}, []AdapterRef{}},
 		{"unload in use", nil, func(ctx context.Context, client *Client, _ *model.Engine) error {
 			if _, err := client.Generate(ctx, request()); err != nil {
 				return err
@@ -340,18 +343,18 @@
 			return client.Unload(ctx, "a", 3)
 		}, failed, []AdapterRef{{"a", 3}}},
 		{"old fencing token", nil, func(ctx context.Context, client *Client, _ *model.Engine) error {
-			client.token = func() uint64 { return 6 }
+			client.fencingToken = func() uint64 { return 6 }
 			return client.Unload(ctx, "a", 3)
 		}, conflict, []AdapterRef{{"a", 3}}},
 		{"generation with an old fencing token", nil, func(ctx context.Context, client *Client, _ *model.Engine) error {
-			client.token = func() uint64 { return 6 }
+			client.fencingToken = func() uint64 { return 6 }
 			_, err := client.Generate(ctx, request())
 			return err
 		}, conflict, []AdapterRef{{"a", 3}}},
 		{"old fencing token ignored", func(config *model.Config) { config.Fencing = model.FencingIgnored }, func(ctx context.Context, client *Client, _ *model.Engine) error {
-			client.token = func() uint64 { return 6 }
+			client.fencingToken = func() uint64 { return 6 }
 			return client.SetRole(ctx, "drain")
-		}, outcome{}, []AdapterRef{{"a", 3}}},
+		}, faultOutcome{}, []AdapterRef{{"a", 3}}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/link/engine/exchange.go
+++ b/internal/link/engine/exchange.go
@@ -16,30 +16,31 @@
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 )
 
-// maxErrorBody bounds how much of a refusal is read for its message.
+// maxErrorBody bounds how many bytes of an error response are read for its
+// message.
 const maxErrorBody = 4 << 10
 
-// fencingHeader carries the fencing token of an order.
+// fencingHeader carries the fencing token of a request.
 const fencingHeader = "X-Fencing-Token"
 
-// singleUse is a request body without GetBody, which keeps http.Transport from
-// sending a request a second time on its own; it would do so for a GET and for
-// any request with an Idempotency-Key.
+// singleUse is a request body without GetBody. http.Transport would otherwise
+// resend a GET, and any request with an Idempotency-Key, when a reused
+// connection fails.
 type singleUse struct{ *bytes.Reader }
 
 // Close implements io.Closer.
 func (singleUse) Close() error { return nil }
 
-// send sends one request once. The caller closes the answer's body; closing it
+// send sends a request once. The caller closes the response body; closing it
 // before its end closes the connection.
 func (client *Client) send(ctx context.Context, method, path string, headers http.Header, body []byte) (*http.Response, error) {
 	if ctx.Err() != nil {
 		return nil, transportFault(ctx, ctx.Err(), fault.NotRun)
 	}
-	var unsent atomic.Bool
+	var waitingForConn atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GetConn: func(string) { unsent.Store(true) },
-		GotConn: func(httptrace.GotConnInfo) { unsent.Store(false) },
+		GetConn: func(string) { waitingForConn.Store(true) },
+		GotConn: func(httptrace.GotConnInfo) { waitingForConn.Store(false) },
 	})
 	request, err := http.NewRequestWithContext(ctx, method, client.url+path, singleUse{bytes.NewReader(body)})
 	if err != nil {
@@ -49,23 +50,24 @@
 	if headers != nil {
 		request.Header = headers.Clone()
 	}
-	if client.token != nil {
-		request.Header.Set(fencingHeader, strconv.FormatUint(client.token(), 10))
+	if client.fencingToken != nil {
+		request.Header.Set(fencingHeader, strconv.FormatUint(client.fencingToken(), 10))
 	}
 	response, err := client.http.Do(request)
 	if err != nil {
-		return nil, transportFault(ctx, err, effect(&unsent))
+		return nil, transportFault(ctx, err, executionAfterFailure(&waitingForConn))
 	}
 	return response, nil
 }
 
-// order sends a JSON object and returns the 200 answer's body, if it is wanted.
-func (client *Client) order(ctx context.Context, method, path string, message, answer any) error {
+// callJSON sends a JSON object, or no body if request is nil, and decodes the
+// body of a 200 response into result unless result is nil.
+func (client *Client) callJSON(ctx context.Context, method, path string, request, result any) error {
 	var body []byte
 	headers := http.Header{}
-	if message != nil {
+	if request != nil {
 		var err error
-		if body, err = json.Marshal(message); err != nil {
+		if body, err = json.Marshal(request); err != nil {
 			return fault.Wrap(err, fault.NotRun)
 		}
 		headers.Set("Content-Type", "application/json")
@@ -78,20 +80,20 @@
 	if response.StatusCode != http.StatusOK {
 		return statusFault(response)
 	}
-	data, err := readBounded(ctx, response.Body, maxAnswer)
+	data, err := readBounded(ctx, response.Body, maxResponseSize)
 	if err != nil {
 		return err
 	}
-	if answer == nil {
+	if result == nil {
 		return nil
 	}
-	if err := json.Unmarshal(data, answer); err != nil {
+	if err := json.Unmarshal(data, result); err != nil {
 		return fault.New(fault.UpstreamFailed, fault.RunUnknown, "answer of %s is not valid: %v; check that %s is an engine", path, err, client.url)
 	}
 	return nil
 }
 
-// readBounded reads an answer that has begun.
+// readBounded reads the body of a response up to a limit in bytes.
 func readBounded(ctx context.Context, body io.Reader, limit int64) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(body, limit+1))
 	if err != nil {
@@ -103,17 +105,17 @@
 	return data, nil
 }
 
-// effect returns the effect of an exchange that failed. It did not run only if a
-// connection was asked for and never came.
-func effect(unsent *atomic.Bool) fault.Execution {
-	if unsent.Load() {
+// executionAfterFailure returns whether a request whose exchange failed may have
+// run. It certainly did not if no connection could be obtained.
+func executionAfterFailure(waitingForConn *atomic.Bool) fault.Execution {
+	if waitingForConn.Load() {
 		return fault.NotRun
 	}
 	return fault.RunUnknown
 }
 
-// transportFault describes an exchange that ended without a complete answer.
-func transportFault(ctx context.Context, err error, ran fault.Execution) *fault.Fault {
+// transportFault returns the fault for an exchange without a complete response.
+func transportFault(ctx context.Context, err error, execution fault.Execution) *fault.Fault {
 	kind := fault.UpstreamFailed
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
@@ -121,46 +123,48 @@
 	case ctx.Err() != nil, errors.Is(err, context.DeadlineExceeded):
 		kind = fault.DeadlineExceeded
 	}
-	return fault.New(kind, ran, "no complete answer from the upstream: %v; send it again only if it may run twice", err)
+	return fault.New(kind, execution, "no complete answer from the upstream: %v; send it again only if it may run twice", err)
 }
 
-// statusFault describes an answer other than 200 from an engine. By its
-// protocol, an answer below 500 and a 503 mean that the order had no effect.
+// statusFault returns the fault for an engine response other than 200. The
+// engine protocol says that a request answered with a status below 500, or with
+// 503, had no effect.
 func statusFault(response *http.Response) error {
-	kind, ran := fault.UpstreamFailed, fault.RunUnknown
+	kind, execution := fault.UpstreamFailed, fault.RunUnknown
 	switch response.StatusCode {
 	case http.StatusConflict:
-		kind, ran = fault.LoadFailed, fault.NotRun
+		kind, execution = fault.LoadFailed, fault.NotRun
 	case http.StatusPreconditionFailed:
-		kind, ran = fault.Conflict, fault.NotRun
+		kind, execution = fault.Conflict, fault.NotRun
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		kind, ran = fault.Overloaded, fault.NotRun
+		kind, execution = fault.Overloaded, fault.NotRun
 	case http.StatusBadGateway:
-		kind, ran = fault.LoadFailed, fault.NotRun
+		kind, execution = fault.LoadFailed, fault.NotRun
 	case http.StatusGone:
-		kind, ran = fault.UnknownRequest, fault.NotRun
+		kind, execution = fault.UnknownRequest, fault.NotRun
 	case http.StatusRequestEntityTooLarge:
-		kind, ran = fault.BodyTooLarge, fault.NotRun
+		kind, execution = fault.BodyTooLarge, fault.NotRun
 	default:
 		if response.StatusCode >= http.StatusBadRequest && response.StatusCode < http.StatusInternalServerError {
-			kind, ran = fault.BadRequest, fault.NotRun
+			kind, execution = fault.BadRequest, fault.NotRun
 		}
 	}
-	answer := fault.New(kind, ran, "the engine answered %s", describe(response))
+	failure := fault.New(kind, execution, "the engine answered %s", statusText(response))
 	if seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil && seconds > 0 {
-		return answer.WithRetryAfter(time.Duration(seconds * float64(time.Second)))
+		return failure.WithRetryAfter(time.Duration(seconds * float64(time.Second)))
 	}
-	return answer
+	return failure
 }
 
-// describe returns the status and, if there is one, the message of a refusal.
-func describe(response *http.Response) string {
-	var refusal struct {
+// statusText returns the status code of an error response with its message, if
+// it has one.
+func statusText(response *http.Response) string {
+	var errorBody struct {
 		Error struct{ Message string }
 	}
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxErrorBody))
-	if err != nil || json.Unmarshal(data, &refusal) != nil || refusal.Error.Message == "" {
+	if err != nil || json.Unmarshal(data, &errorBody) != nil || errorBody.Error.Message == "" {
 		return strconv.Itoa(response.StatusCode)
 	}
-	return fmt.Sprintf("%d: %s", response.StatusCode, refusal.Error.Message)
+	return fmt.Sprintf("%d: %s", response.StatusCode, errorBody.Error.Message)
 }
--- a/internal/link/engine/generate.go
+++ b/internal/link/engine/generate.go
@@ -9,29 +9,30 @@
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 )
 
-// Request is a generation on one adapter.
+// Request asks an engine to generate tokens with an adapter.
 type Request struct {
 	RequestID string
 	Adapter   string
 	Version   uint32
-	// Path is the endpoint; empty stands for /v1/completions.
+	// Path is the endpoint; empty means /v1/completions.
 	Path string
-	// Body is the caller's JSON object, of which model, max_tokens, stream and
-	// priority are replaced. When it is empty, Prompt is sent.
+	// Body is the caller's JSON object, in which model, max_tokens, stream and
+	// priority are replaced. If it is empty, Prompt is sent.
 	Body   []byte
 	Prompt string
-	// MaxTokens limits the answer and must be above 0.
+	// MaxTokens limits the generated tokens and must be positive.
 	MaxTokens int64
-	// Priority orders the engine's queue; lower goes first.
+	// Priority orders the engine's queue; lower values go first.
 	Priority int
-	// ResumeFrom is the index of the first token wanted of a request that broke.
+	// ResumeFrom is the index of the first token to send when a broken stream
+	// is resumed, 0 for a new request.
 	ResumeFrom int64
-	// Headers accompany the call; never a caller's key.
+	// Headers are sent with the request. They must not hold a caller's API key.
 	Headers http.Header
 }
 
-// body returns the JSON object to send.
-func (request Request) body() ([]byte, error) {
+// encodeBody returns the JSON object to send.
+func (request Request) encodeBody() ([]byte, error) {
 	fields := map[string]json.RawMessage{}
 	if len(request.Body) > 0 {
 		if err := json.Unmarshal(request.Body, &fields); err != nil {
@@ -41,16 +42,16 @@
 			return nil, fault.New(fault.BadRequest, fault.NotRun, "the body is null; send a JSON object")
 		}
 	}
-	set := map[string]any{
+	overrides := map[string]any{
 		"model":      AdapterRef{request.Adapter, request.Version}.String(),
 		"max_tokens": request.MaxTokens,
 		"priority":   request.Priority,
 		"stream":     true,
 	}
 	if len(request.Body) == 0 {
-		set["prompt"] = request.Prompt
+		overrides["prompt"] = request.Prompt
 	}
-	for name, value := range set {
+	for name, value := range overrides {
 		encoded, err := json.Marshal(value)
 		if err != nil {
 			return nil, fault.Wrap(err, fault.NotRun)
@@ -60,15 +61,15 @@
 	return json.Marshal(fields)
 }
 
-// Generate starts or resumes a generation and returns its stream once the
-// engine has accepted it. The kinds of fault are LoadFailed, when the adapter is
-// not loaded, UnknownRequest, when there is nothing to resume, Conflict, when
-// the engine has seen a newer fencing token, and Overloaded.
+// Generate starts or resumes a generation and returns its stream once the engine
+// has accepted the request. The fault is LoadFailed if the adapter is not
+// loaded, UnknownRequest if there is no stream to resume, Conflict if the engine
+// has received a newer fencing token, and Overloaded if the engine is full.
 func (client *Client) Generate(ctx context.Context, request Request) (Stream, error) {
 	if request.MaxTokens <= 0 || request.ResumeFrom < 0 || request.ResumeFrom > request.MaxTokens {
 		return nil, fault.New(fault.BadRequest, fault.NotRun, "max_tokens %d with resume from %d; send a positive limit and resume within it", request.MaxTokens, request.ResumeFrom)
 	}
-	body, err := request.body()
+	body, err := request.encodeBody()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/link/engine/plain.go
+++ b/internal/link/engine/plain.go
@@ -8,25 +8,25 @@
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 )
 
-// PlainRequest is a call of a plain service.
+// PlainRequest is a request to a plain service.
 type PlainRequest struct {
 	RequestID string
 	Method    string
-	// Path is the path with its query, beginning with a slash.
+	// Path is the path with its query and begins with a slash.
 	Path    string
 	Headers http.Header
 	Body    []byte
 }
 
-// PlainResponse is the answer of a plain service, of any status.
+// PlainResponse is the response of a plain service, with any status.
 type PlainResponse struct {
 	Status  int
 	Headers http.Header
 	Body    []byte
 }
 
-// CallPlain sends one call to a plain service. An answer of any status is a response;
-// a fault means that no complete answer came.
+// CallPlain sends a request to a plain service once. A response with any status is
+// returned without an error; a fault means that no complete response was read.
 func (client *Client) CallPlain(ctx context.Context, request PlainRequest) (*PlainResponse, error) {
 	if !strings.HasPrefix(request.Path, "/") {
 		return nil, fault.New(fault.BadRequest, fault.NotRun, "path %q does not begin with a slash; correct the call", request.Path)
--- a/internal/link/engine/plain_test.go
+++ b/internal/link/engine/plain_test.go
@@ -15,9 +15,9 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/plat"
 )
 
-// TestCall guards against a second run of a call, and against a call that ran
-// and is reported as not run. The calls carry an Idempotency-Key and use an open
-// connection again, in which case http.Transport repeats requests by default.
+// TestCall guards against running a request twice, and against reporting a
+// request that ran as not run. The requests carry an Idempotency-Key and reuse a
+// connection, in which case http.Transport resends requests by default.
 func TestCall(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -25,19 +25,19 @@
 		url     string
 		fault   *plat.Fault
 		timeout time.Duration
-		want    outcome
+		want    faultOutcome
 		status  int
 		effects int
 	}{
-		{name: "answered", method: "POST", status: 200, effects: 1},
+		{name: "success", method: "POST", status: 200, effects: 1},
 		{name: "failed before the effect", method: "POST", fault: &plat.Fault{Mode: plain.ModeFailBefore}, status: 503},
 		{name: "failed after the effect", method: "POST", fault: &plat.Fault{Mode: plain.ModeFailAfter}, status: 500, effects: 1},
-		{name: "cut before the effect", method: "POST", fault: &plat.Fault{Mode: plain.ModeCutBefore}, want: outcome{fault.UpstreamFailed, fault.RunUnknown}},
-		{name: "cut after the effect", method: "POST", fault: &plat.Fault{Mode: plain.ModeCutAfter}, want: outcome{fault.UpstreamFailed, fault.RunUnknown}, effects: 1},
-		{name: "GET cut after the effect", method: "GET", fault: &plat.Fault{Mode: plain.ModeCutAfter}, want: outcome{fault.UpstreamFailed, fault.RunUnknown}, effects: 1},
-		{name: "late", method: "POST", fault: &plat.Fault{Mode: plain.ModeDelay, Delay: plat.Duration(time.Minute)}, timeout: time.Second, want: outcome{fault.DeadlineExceeded, fault.RunUnknown}, effects: 1},
-		{name: "nobody listens", method: "POST", url: "http://gone:80", want: outcome{fault.UpstreamFailed, fault.NotRun}},
-		{name: "late before the call", method: "POST", timeout: -1, want: outcome{fault.DeadlineExceeded, fault.NotRun}},
+		{name: "cut before the effect", method: "POST", fault: &plat.Fault{Mode: plain.ModeCutBefore}, want: faultOutcome{fault.UpstreamFailed, fault.RunUnknown}},
+		{name: "cut after the effect", method: "POST", fault: &plat.Fault{Mode: plain.ModeCutAfter}, want: faultOutcome{fault.UpstreamFailed, fault.RunUnknown}, effects: 1},
+		{name: "GET cut after the effect", method: "GET", fault: &plat.Fault{Mode: plain.ModeCutAfter}, want: faultOutcome{fault.UpstreamFailed, fault.RunUnknown}, effects: 1},
+		{name: "late", method: "POST", fault: &plat.Fault{Mode: plain.ModeDelay, Delay: plat.Duration(time.Minute)}, timeout: time.Second, want: faultOutcome{fault.DeadlineExceeded, fault.RunUnknown}, effects: 1},
+		{name: "nobody listens", method: "POST", url: "http://gone:80", want: faultOutcome{fault.UpstreamFailed, fault.NotRun}},
+		{name: "late before the call", method: "POST", timeout: -1, want: faultOutcome{fault.DeadlineExceeded, fault.NotRun}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -72,7 +72,7 @@
 						t.Errorf("status %d, want %d", response.Status, test.status)
 					}
 					if test.status == 200 && !strings.Contains(string(response.Body), plain.Result(call.Method, call.Path, call.Body)) {
-						t.Errorf("answer %s lacks the result of the call", response.Body)
+						t.Errorf("response %s lacks the result of the request", response.Body)
 					}
 					time.Sleep(2 * time.Minute)
 					if effects := service.Observed().Effects["r1"]; effects != test.effects {
@@ -84,7 +84,7 @@
 	}
 }
 
-// TestCallLimit guards against an answer that fills the memory.
+// TestCallLimit guards against a response that exhausts the memory.
 func TestCallLimit(t *testing.T) {
 	handler := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		_, _ = writer.Write(make([]byte, 4<<20))
@@ -92,7 +92,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		serve(t, handler, func(client *Client) {
 			_, err := client.CallPlain(t.Context(), PlainRequest{RequestID: "r1", Method: "GET", Path: "/large"})
-			if diff := cmp.Diff(outcome{fault.UpstreamFailed, fault.DidRun}, outcomeOf(t, err)); diff != "" {
+			if diff := cmp.Diff(faultOutcome{fault.UpstreamFailed, fault.DidRun}, outcomeOf(t, err)); diff != "" {
 				t.Error(diff)
 			}
 		})
--- a/internal/link/engine/random_test.go
+++ b/internal/link/engine/random_test.go
@@ -15,9 +15,9 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/plat"
 )
 
-// TestRandomDisturbances compares each answer with the expected one while
-// streams break and the engine freezes and restarts. It guards against answers
-// that are mixed up, and against tokens that are repeated or lost by a resume.
+// TestRandomDisturbances compares each response with the expected one while
+// streams break and the engine freezes and restarts. It guards against mixed-up
+// responses and against tokens that are repeated or lost when a stream resumes.
 func TestRandomDisturbances(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -33,12 +33,12 @@
 						pause := time.Duration(random.IntN(5000)) * time.Millisecond
 						group.Go(func() {
 							time.Sleep(pause)
-							insist(t, client, request)
+							generateUntilComplete(t, client, request)
 						})
 					}
 					for range 20 {
 						time.Sleep(time.Duration(random.IntN(1000)) * time.Millisecond)
-						control(t, engine, []model.Control{
+						setControl(t, engine, []model.Control{
 							{Break: true},
 							{Freeze: plat.Duration(500 * time.Millisecond)},
 							{Restart: &model.Restart{DownFor: plat.Duration(300 * time.Millisecond)}},
@@ -53,9 +53,9 @@
 	}
 }
 
-// insist sends a request until its answer is complete, and resumes it while the
-// engine allows it.
-func insist(t *testing.T, client *Client, request Request) {
+// generateUntilComplete sends a request until its response is complete. It
+// resumes the stream as long as the engine still knows the request.
+func generateUntilComplete(t *testing.T, client *Client, request Request) {
 	var text string
 	for attempt := 0; attempt < 200; attempt++ {
 		stream, err := client.Generate(t.Context(), request)
@@ -68,7 +68,7 @@
 		}
 		if errors.Is(err, io.EOF) {
 			if want := model.Answer(request.Adapter, request.Version, request.Prompt, request.MaxTokens); text != want {
-				t.Errorf("request %s: answer %q, want %q", request.RequestID, text, want)
+				t.Errorf("request %s: response %q, want %q", request.RequestID, text, want)
 			}
 			return
 		}
@@ -81,5 +81,5 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 	}
-	t.Errorf("request %s: no complete answer in 200 attempts", request.RequestID)
+	t.Errorf("request %s: no complete response in 200 attempts", request.RequestID)
 }
--- a/internal/link/engine/stream.go
+++ b/internal/link/engine/stream.go
@@ -12,11 +12,11 @@
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 )
 
-// maxLine bounds one line of a stream.
-const maxLine = 64 << 10
+// maxLineSize bounds one line of a stream, in bytes.
+const maxLineSize = 64 << 10
 
-// endLimit bounds the wait for the end of the HTTP body after the end event.
-const endLimit = 50 * time.Millisecond
+// endTimeout bounds the wait for the end of the HTTP body after the end event.
+const endTimeout = 50 * time.Millisecond
 
 // Token is one generated token.
 type Token struct {
@@ -24,39 +24,40 @@
 	Text  string
 }
 
-// Stream is the answer to a generation. Close ends it early; the engine then
-// cancels the request.
+// Stream is the response to a generation request. Closing it early makes the
+// engine cancel the request.
 type Stream interface {
-	// Next returns the next token, and io.EOF after the engine's end event. A
+	// Next returns the next token, or io.EOF after the engine's end event. A
 	// stream that ends without an end event is a fault.
 	Next() (Token, error)
-	// FinishReason returns the reason for the end, empty before it.
+	// FinishReason returns why the generation ended, or an empty string before
+	// its end.
 	FinishReason() string
-	// Close frees the connection. It may be called more than once, and while
-	// Next waits.
+	// Close frees the connection. It may be called more than once and
+	// concurrently with Next.
 	Close()
 }
 
-// sseStream reads server-sent events.
+// sseStream is a Stream over server-sent events.
 type sseStream struct {
-	ctx      context.Context
-	body     io.ReadCloser
-	reader   *bufio.Reader
-	model    string
-	next     int64
-	finish   string
-	terminal error
+	ctx          context.Context
+	body         io.ReadCloser
+	reader       *bufio.Reader
+	model        string
+	nextIndex    int64
+	finishReason string
+	endErr       error
 }
 
-// newStream returns a stream over an answer that has begun.
+// newStream returns a stream that reads the body of a 200 response.
 func newStream(ctx context.Context, body io.ReadCloser, request Request) *sseStream {
 	return &sseStream{
-		ctx: ctx, body: body, reader: bufio.NewReaderSize(body, maxLine), next: request.ResumeFrom,
+		ctx: ctx, body: body, reader: bufio.NewReaderSize(body, maxLineSize), nextIndex: request.ResumeFrom,
 		model: AdapterRef{request.Adapter, request.Version}.String(),
 	}
 }
 
-// event is the data of both kinds of event.
+// event is the data of a token, end or error event.
 type event struct {
 	Index        *int64 `json:"index"`
 	Text         string `json:"text"`
@@ -67,61 +68,61 @@
 
 // Next implements Stream.
 func (stream *sseStream) Next() (Token, error) {
-	if stream.terminal != nil {
-		return Token{}, stream.terminal
+	if stream.endErr != nil {
+		return Token{}, stream.endErr
 	}
-	token, err := stream.advance()
+	token, err := stream.readToken()
 	if err != nil {
-		stream.terminal = err
-		stream.end(err)
+		stream.endErr = err
+		stream.release(err)
 	}
 	return token, err
 }
 
 // FinishReason implements Stream.
-func (stream *sseStream) FinishReason() string { return stream.finish }
+func (stream *sseStream) FinishReason() string { return stream.finishReason }
 
 // Close implements Stream.
 func (stream *sseStream) Close() { _ = stream.body.Close() }
 
-// end frees the connection. After an end event the rest of the answer is empty,
-// and reading it to its end lets the connection be used again.
-func (stream *sseStream) end(err error) {
+// release frees the connection. After an end event it reads the body to its end,
+// which is empty, so that the connection can be reused.
+func (stream *sseStream) release(err error) {
 	if errors.Is(err, io.EOF) {
-		timer := time.AfterFunc(endLimit, stream.Close)
+		timer := time.AfterFunc(endTimeout, stream.Close)
 		_, _ = stream.reader.Discard(1)
 		timer.Stop()
 	}
 	stream.Close()
 }
 
-// advance reads one event.
-func (stream *sseStream) advance() (Token, error) {
+// readToken reads one event and returns its token.
+func (stream *sseStream) readToken() (Token, error) {
 	name, data, err := stream.readEvent()
 	if err != nil {
-		return Token{}, stream.broken(err)
+		return Token{}, stream.brokenFault(err)
 	}
 	var event event
 	if err := json.Unmarshal(data, &event); err != nil {
-		return Token{}, stream.malformed("event data %q", data)
+		return Token{}, stream.malformedFault("event data %q", data)
 	}
 	switch name {
 	case "end":
-		stream.finish = event.FinishReason
+		stream.finishReason = event.FinishReason
 		return Token{}, io.EOF
 	case "error":
 		return Token{}, fault.New(fault.UpstreamFailed, fault.DidRun, "the engine ended the answer: %s", event.Message)
 	case "":
 	default:
-		return Token{}, stream.malformed("event %q", name)
+		return Token{}, stream.malformedFault("event %q", name)
 	}
-	if event.Index == nil || *event.Index != stream.next {
-		return Token{}, stream.malformed("event %q where token %d was due", data, stream.next)
+	if event.Index == nil || *event.Index != stream.nextIndex {
+		return Token{}, stream.malformedFault("event %q where token %d was due", data, stream.nextIndex)
 	}
 	if event.Model != "" && event.Model != stream.model {
-		return Token{}, stream.malformed("a token of %q in an answer of %q", event.Model, stream.model)
+		return Token{}, stream.malformedFault("a token of %q in an answer of %q", event.Model, stream.model)
 	}
-	stream.next++
+	stream.nextIndex++
 	return Token{Index: *event.Index, Text: event.Text}, nil
 }
 
@@ -146,18 +147,18 @@
 	}
 }
 
-// broken describes an answer that ended without its end event.
-func (stream *sseStream) broken(err error) error {
+// brokenFault returns the fault for a stream that ended without its end event.
+func (stream *sseStream) brokenFault(err error) error {
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
 	if errors.Is(err, bufio.ErrBufferFull) {
-		return stream.malformed("a line above %d bytes", maxLine)
+		return stream.malformedFault("a line above %d bytes", maxLineSize)
 	}
 	return transportFault(stream.ctx, err, fault.DidRun)
 }
 
-// malformed describes an answer that breaks the protocol.
-func (stream *sseStream) malformed(format string, args ...any) error {
+// malformedFault returns the fault for a stream that violates the protocol.
+func (stream *sseStream) malformedFault(format string, args ...any) error {
 	return fault.New(fault.UpstreamFailed, fault.DidRun, "the engine sent "+format+"; check its version", args...)
 }
--- a/internal/link/http1/body.go
+++ b/internal/link/http1/body.go
@@ -9,20 +9,22 @@
 	"time"
 )
 
-// writeGrace is how long after the end of an answer its request may still be
-// written before the connection is given up.
-const writeGrace = 10 * time.Millisecond
+// writeTimeout is how long after the end of a response the writing of its request
+// may take before the connection is closed instead of reused.
+const writeTimeout = 10 * time.Millisecond
 
-// body is the body of an answer. At its end the connection is kept, or closed
-// if it cannot be used again.
+// body is a response body. At its end the connection becomes idle, or is closed
+// if it cannot be reused.
 type body struct {
 	pool     *Pool
 	address  string
 	conn     *conn
 	response *http.Response
-	stop     func() bool
-	written  chan error
-	once     sync.Once
+	// stop ends the watch of the request's context. It returns false if the
+	// context has already ended.
+	stop        func() bool
+	writeResult chan error
+	once        sync.Once
 }
 
 // Read implements io.Reader.
@@ -30,55 +32,58 @@
 	n, err := body.response.Body.Read(buffer)
 	switch {
 	case err == io.EOF:
-		body.once.Do(body.finish)
+		body.once.Do(body.release)
 	case err != nil:
-		body.once.Do(body.abandon)
+		body.once.Do(body.abort)
 	}
 	return n, err
 }
 
-func (body *body) abandon() {
+func (body *body) abort() {
 	body.stop()
 	body.conn.abort()
 }
 
-// finish keeps the connection if the answer has a clear end, nothing follows
-// it, and the whole request was written.
-func (body *body) finish() {
-	alive := body.stop() && body.sent()
-	idleTime := body.pool.idleTime(body.response)
-	if !alive || idleTime <= 0 || body.conn.reader.Buffered() > 0 {
+// release returns the connection to the pool if the upstream allows its reuse, no
+// bytes follow the response, and the whole request was written. Otherwise it
+// closes the connection.
+func (body *body) release() {
+	reusable := body.stop() && body.requestSent()
+	idleTimeout := body.pool.idleTimeout(body.response)
+	if !reusable || idleTimeout <= 0 || body.conn.reader.Buffered() > 0 {
 		_ = body.conn.Close()
 		return
 	}
-	body.pool.put(body.address, body.conn, idleTime)
+	body.pool.putIdle(body.address, body.conn, idleTimeout)
 }
 
-// sent reports whether the whole request was written. An answer may be read
-// before the writing goroutine says that it is done, so that it has a moment.
-func (body *body) sent() bool {
-	timer := time.NewTimer(writeGrace)
+// requestSent reports whether the whole request was written. The response may be
+// read before the writing goroutine has reported its result, so requestSent
+// waits up to writeTimeout for it.
+func (body *body) requestSent() bool {
+	timer := time.NewTimer(writeTimeout)
 	defer timer.Stop()
 	select {
-	case err := <-body.written:
+	case err := <-body.writeResult:
 		return err == nil
 	case <-timer.C:
 		return false
 	}
 }
 
-// idleTime returns how long the connection may be kept after an answer.
-func (pool *Pool) idleTime(response *http.Response) time.Duration {
+// idleTimeout returns how long the connection may stay idle after a response. It
+// is not positive if the connection must be closed.
+func (pool *Pool) idleTimeout(response *http.Response) time.Duration {
 	if response.Close {
 		return 0
 	}
-	limit := pool.config.IdleTime
+	timeout := pool.config.IdleTimeout
 	for field := range strings.SplitSeq(response.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		seconds, err := strconv.Atoi(value)
 		if name == "timeout" && err == nil {
-			limit = min(limit, time.Duration(seconds)*time.Second-keepAliveMargin)
+			timeout = min(timeout, time.Duration(seconds)*time.Second-keepAliveMargin)
 		}
 	}
-	return limit
+	return timeout
 }
--- a/internal/link/http1/dial.go
+++ b/internal/link/http1/dial.go
@@ -10,49 +10,51 @@
 
 const (
 	// userTimeout is how long sent bytes may stay unacknowledged before the
-	// connection counts as broken. A path that fell silent shows in no other way.
-	userTimeout = 2 * time.Second
-	probeAfter  = 2 * time.Second
-	probeEvery  = time.Second
-	probes      = 2
+	// connection counts as broken. It detects a network path that drops packets
+	// while data is in flight, when keep-alive probes are not sent.
+	userTimeout       = 2 * time.Second
+	keepAliveIdle     = 2 * time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 2
 )
 
-// NewDialer returns a dialer whose connections notice a silent peer.
+// NewDialer returns a dialer whose connections fail soon after their peer stops
+// responding.
 func NewDialer() *net.Dialer {
 	return &net.Dialer{
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probes},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
 		Control: func(_, _ string, raw syscall.RawConn) error {
-			var failure error
+			var optionErr error
 			err := raw.Control(func(fd uintptr) {
-				failure = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+				optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 			})
 			if err != nil {
 				return err
 			}
-			return failure
+			return optionErr
 		},
 	}
 }
 
-// quiet reports whether nothing has arrived on an unused connection: neither
-// bytes nor its end. Connections that cannot be looked at count as quiet.
-func quiet(idle *conn) bool {
-	if idle.reader.Buffered() > 0 {
+// nothingReceived reports whether an idle connection has received neither bytes
+// nor its end. It returns true for connections that are not a syscall.Conn.
+func nothingReceived(conn *conn) bool {
+	if conn.reader.Buffered() > 0 {
 		return false
 	}
-	source, ok := idle.Conn.(syscall.Conn)
+	syscallConn, ok := conn.Conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	raw, err := source.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false
 	}
 	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
-		_, _, failure := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		empty = failure == unix.EAGAIN
+		_, _, errno := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		empty = errno == unix.EAGAIN
 		return true
 	})
 	return err == nil && empty
--- a/internal/link/http1/http1.go
+++ b/internal/link/http1/http1.go
@@ -1,7 +1,7 @@
-// Package http1 sends single HTTP/1.1 requests to upstreams over pooled
-// connections. Unlike a general client it never sends a request twice, says
-// whether any byte of it was sent, and takes a connection out of use as soon as
-// it carries bytes that belong to no request.
+// Package http1 is an HTTP/1.1 client with a connection pool for requests to
+// upstreams. Unlike net/http it never resends a request, reports whether any byte
+// of a request was sent, and closes an idle connection that has received bytes
+// which belong to no request.
 package http1
 
 import (
@@ -22,27 +22,28 @@
 
 // Defaults of Config.
 const (
-	DefaultDialTime = 400 * time.Millisecond
-	DefaultIdleTime = 4 * time.Second
-	DefaultIdle     = 64
-	// keepAliveMargin is how long before the upstream's announced timeout an
-	// idle connection is given up, so that no request crosses its close.
+	DefaultDialTimeout = 400 * time.Millisecond
+	DefaultIdleTimeout = 4 * time.Second
+	DefaultMaxIdle     = 64
+	// keepAliveMargin is how long before the timeout that the upstream announces
+	// in Keep-Alive an idle connection expires, so that no request is sent while
+	// the upstream closes the connection.
 	keepAliveMargin = time.Second
-	readBuffer      = 4096
-	// headBytes is the size of the largest head of an answer, with all
-	// provisional ones before it.
-	headBytes = 64 << 10
+	readBufferSize  = 4096
+	// maxHeadSize bounds the status line and header of a response together with
+	// the interim (1xx) responses before it, in bytes.
+	maxHeadSize = 64 << 10
 )
 
-// errLongHead means that an upstream's head does not end.
-var errLongHead = errors.New("the head of the answer is too large")
+// errHeadTooLarge means that a response head exceeds maxHeadSize.
+var errHeadTooLarge = errors.New("response head too large")
 
 // Error classes of Do.
 var (
 	// NotSent means that no byte of the request was sent.
 	NotSent = errs.Class("not sent")
-	// Broken means that the request was sent, wholly or in part, and that no
-	// answer to it came.
+	// Broken means that the request was sent at least in part and that no
+	// response was received.
 	Broken = errs.Class("connection broken")
 )
 
@@ -54,28 +55,28 @@
 // Config configures a Pool. Zero values mean the defaults.
 type Config struct {
 	Dialer Dialer
-	// DialTime is the longest time for opening a connection.
-	DialTime time.Duration
-	// IdleTime is how long a connection may be unused.
-	IdleTime time.Duration
-	// Idle is the number of unused connections kept for one address.
-	Idle int
+	// DialTimeout bounds the time for opening a connection.
+	DialTimeout time.Duration
+	// IdleTimeout is how long a connection may stay idle.
+	IdleTimeout time.Duration
+	// MaxIdle is the maximum number of idle connections for each address.
+	MaxIdle int
 }
 
-// Request is one request to an upstream.
+// Request is a request to an upstream.
 type Request struct {
 	Method string
-	// Target is the path with its query as the caller wrote it.
+	// Target is the path with its query as the caller wrote them.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// HasBody makes an empty Body a body of length 0.
+	// HasBody makes an empty Body a body with Content-Length 0.
 	HasBody bool
 }
 
-// Response is the answer of an upstream. The caller reads Body to its end or
-// closes it.
+// Response is the response of an upstream. The caller must read Body to its end
+// or close it.
 type Response struct {
 	Status int
 	Header http.Header
@@ -94,34 +95,35 @@
 	reused uint64
 }
 
+// conn is a connection with its read buffer.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// head is the number of bytes that may still be read of a head, or -1 when
-	// none is read.
-	head int
-	// until is when the connection must not be used any more.
-	until time.Time
+	// headRemaining is the number of bytes that may still be read of a response
+	// head, or -1 while no head is read.
+	headRemaining int
+	// expiresAt is when the idle connection must no longer be used.
+	expiresAt time.Time
 }
 
-// Read implements io.Reader. Within a head it fails once that is too large.
+// Read implements io.Reader. It fails once a response head is too large.
 func (conn *conn) Read(buffer []byte) (int, error) {
-	if conn.head < 0 {
+	if conn.headRemaining < 0 {
 		return conn.Conn.Read(buffer)
 	}
-	if conn.head == 0 {
-		return 0, errLongHead
+	if conn.headRemaining == 0 {
+		return 0, errHeadTooLarge
 	}
-	n, err := conn.Conn.Read(buffer[:min(len(buffer), conn.head)])
-	conn.head -= n
+	n, err := conn.Conn.Read(buffer[:min(len(buffer), conn.headRemaining)])
+	conn.headRemaining -= n
 	return n, err
 }
 
-// abort closes a connection with a reset, so that what was written and not yet
-// delivered is dropped. A request that was given up must not arrive later.
+// abort closes a connection with a reset, which drops bytes that were written and
+// not yet delivered: an aborted request must not reach the upstream later.
 func (conn *conn) abort() {
-	if lingering, ok := conn.Conn.(interface{ SetLinger(seconds int) error }); ok {
-		_ = lingering.SetLinger(0)
+	if lingerer, ok := conn.Conn.(interface{ SetLinger(seconds int) error }); ok {
+		_ = lingerer.SetLinger(0)
 	}
 	_ = conn.Close()
 }
@@ -131,72 +133,72 @@
 	if config.Dialer == nil {
 		config.Dialer = NewDialer()
 	}
-	config.DialTime = cmp.Or(config.DialTime, DefaultDialTime)
-	config.IdleTime = cmp.Or(config.IdleTime, DefaultIdleTime)
-	config.Idle = cmp.Or(config.Idle, DefaultIdle)
+	config.DialTimeout = cmp.Or(config.DialTimeout, DefaultDialTimeout)
+	config.IdleTimeout = cmp.Or(config.IdleTimeout, DefaultIdleTimeout)
+	config.MaxIdle = cmp.Or(config.MaxIdle, DefaultMaxIdle)
 	return &Pool{config: config, idle: make(map[string][]*conn)}
 }
 
-// Stats returns how many connections were opened, and how many requests used
-// one again.
+// Stats returns the number of connections opened and the number of requests
+// that reused one.
 func (pool *Pool) Stats() (opened, reused uint64) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	return pool.opened, pool.reused
 }
 
-// Do sends a request and returns the head of its answer. Its error is NotSent
-// or Broken. When ctx ends, the connection is closed, also while the body is
-// read.
+// Do sends a request and reads the head of its response. Its errors are of class
+// NotSent or Broken. If ctx ends before the body is read to its end, the
+// connection is aborted.
 func (pool *Pool) Do(ctx context.Context, address string, request Request) (*Response, error) {
-	used, err := pool.get(ctx, address)
+	conn, err := pool.acquire(ctx, address)
 	if err != nil {
 		return nil, NotSent.Wrap(err)
 	}
-	stop := context.AfterFunc(ctx, used.abort)
-	written := make(chan error, 1)
-	go func() { written <- writeRequest(used, request) }()
-	// The body is closed by the caller of Do.
-	used.head = headBytes
-	response, err := readResponse(used.reader, request.Method) //nolint:bodyclose
-	used.head = -1
+	stop := context.AfterFunc(ctx, conn.abort)
+	writeResult := make(chan error, 1)
+	go func() { writeResult <- writeRequest(conn, request) }()
+	// The caller of Do closes the body.
+	conn.headRemaining = maxHeadSize
+	response, err := readResponse(conn.reader, request.Method) //nolint:bodyclose
+	conn.headRemaining = -1
 	if err != nil {
 		stop()
-		used.abort()
-		return nil, Broken.Wrap(fmt.Errorf("no answer from %s: %w", address, err))
+		conn.abort()
+		return nil, Broken.Wrap(fmt.Errorf("no response from %s: %w", address, err))
 	}
-	body := &body{pool: pool, address: address, conn: used, response: response, stop: stop, written: written}
+	body := &body{pool: pool, address: address, conn: conn, response: response, stop: stop, writeResult: writeResult}
 	return &Response{Status: response.StatusCode, Header: response.Header, ContentLength: response.ContentLength, Body: body}, nil
 }
 
-// Close closes the unused connections.
+// Close closes the idle connections.
 func (pool *Pool) Close() {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	for _, list := range pool.idle {
-		for _, kept := range list {
-			_ = kept.Close()
+		for _, conn := range list {
+			_ = conn.Close()
 		}
 	}
 	clear(pool.idle)
 }
 
 func writeRequest(writer io.Writer, request Request) error {
-	var text bytes.Buffer
-	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: %s\r\n", request.Method, request.Target, request.Host)
-	if err := request.Header.Write(&text); err != nil {
+	var buffer bytes.Buffer
+	fmt.Fprintf(&buffer, "%s %s HTTP/1.1\r\nHost: %s\r\n", request.Method, request.Target, request.Host)
+	if err := request.Header.Write(&buffer); err != nil {
 		return err
 	}
 	if request.HasBody || len(request.Body) > 0 {
-		fmt.Fprintf(&text, "Content-Length: %d\r\n", len(request.Body))
+		fmt.Fprintf(&buffer, "Content-Length: %d\r\n", len(request.Body))
 	}
-	text.WriteString("\r\n")
-	text.Write(request.Body)
-	_, err := writer.Write(text.Bytes())
+	buffer.WriteString("\r\n")
+	buffer.Write(request.Body)
+	_, err := writer.Write(buffer.Bytes())
 	return err
 }
 
-// readResponse reads the head of an answer and passes over provisional ones.
+// readResponse reads the head of the final response and skips interim ones.
 func readResponse(reader *bufio.Reader, method string) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(reader, &http.Request{Method: method})
@@ -204,7 +206,7 @@
 			return nil, err
 		}
 		if response.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errors.New("the upstream switches protocols")
+			return nil, errors.New("unexpected status 101 Switching Protocols")
 		}
 		if response.StatusCode >= http.StatusOK {
 			return response, nil
@@ -212,8 +214,8 @@
 	}
 }
 
-// Close gives up what has not been read.
+// Close aborts the connection unless the body was read to its end.
 func (body *body) Close() error {
-	body.once.Do(body.abandon)
+	body.once.Do(body.abort)
 	return nil
 }
--- a/internal/link/http1/http1_test.go
+++ b/internal/link/http1/http1_test.go
@@ -18,21 +18,22 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// upstream answers each request on a connection with the next text. It ends the
-// connection after the last one.
-func upstream(t *testing.T, answers ...string) (address string, accepted *atomic.Int64) {
+// serveResponses answers the requests on each connection with the given texts, in
+// order. After the last one it waits for the client before it closes the
+// connection.
+func serveResponses(t *testing.T, responses ...string) (address string, accepted *atomic.Int64) {
 	t.Helper()
 	accepted = new(atomic.Int64)
 	address = serveRaw(t, func(conn net.Conn) {
 		accepted.Add(1)
-		answer(conn, answers)
+		writeResponses(conn, responses)
 	})
 	return address, accepted
 }
 
-func answer(conn net.Conn, answers []string) {
+func writeResponses(conn net.Conn, responses []string) {
 	reader := bufio.NewReader(conn)
-	for _, text := range answers {
+	for _, text := range responses {
 		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
@@ -44,11 +45,11 @@
 			return
 		}
 	}
-	// The end of the connection shows after the last answer, not with it.
+	// Keep the end of the connection from arriving together with the last response.
 	_, _ = reader.Peek(1)
 }
 
-func get(pool *Pool, address string) (string, error) {
+func post(pool *Pool, address string) (string, error) {
 	response, err := pool.Do(context.Background(), address, Request{Method: "POST", Target: "/x", Host: "a.example", Header: http.Header{}, Body: []byte("body")})
 	if err != nil {
 		return "", err
@@ -57,56 +58,58 @@
 	return fmt.Sprint(response.Status, " ", string(text)), err
 }
 
-const okay = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
+// TestAnswers guards against passing on the wrong bytes as a response, and against
+// reusing connections too often or too rarely.
 func TestAnswers(t *testing.T) {
 	tests := []struct {
-		name    string
-		guards  string
-		answers []string
-		want    []string
-		// opened is the number of connections.
+		name      string
+		guards    string
+		responses []string
+		want      []string
+		// opened is the expected number of connections.
 		opened int64
 	}{
 		{
-			name: "kept connection", guards: "a connection for each request",
-			answers: []string{okay, okay}, want: []string{"200 ok", "200 ok"}, opened: 1,
+			name: "kept connection", guards: "opening a connection for each request",
+			responses: []string{okResponse, okResponse}, want: []string{"200 ok", "200 ok"}, opened: 1,
 		},
 		{
-			name: "more than the answer", guards: "bytes after an answer taken for the next one",
-			answers: []string{okay + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate", okay}, want: []string{"200 ok", "200 ok"}, opened: 2,
+			name: "bytes after the response", guards: "taking bytes after a response for the next response",
+			responses: []string{okResponse + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate", okResponse}, want: []string{"200 ok", "200 ok"}, opened: 2,
 		},
 		{
-			name: "leaving", guards: "a request on a connection that the upstream closes",
-			answers: []string{"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", okay}, want: []string{"200 ok", "200 ok"}, opened: 2,
+			name: "connection close", guards: "sending a request on a connection that the upstream closes",
+			responses: []string{"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", okResponse}, want: []string{"200 ok", "200 ok"}, opened: 2,
 		},
 		{
-			name: "short idle time", guards: "a request that crosses the upstream's close",
-			answers: []string{"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=1\r\nContent-Length: 2\r\n\r\nok", okay}, want: []string{"200 ok", "200 ok"}, opened: 2,
+			name: "short idle time", guards: "sending a request while the upstream closes the connection",
+			responses: []string{"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=1\r\nContent-Length: 2\r\n\r\nok", okResponse}, want: []string{"200 ok", "200 ok"}, opened: 2,
 		},
 		{
-			name: "provisional", guards: "a provisional answer taken for the final one",
-			answers: []string{"HTTP/1.1 100 Continue\r\n\r\n" + okay, okay}, want: []string{"200 ok", "200 ok"}, opened: 1,
+			name: "interim response", guards: "taking an interim response for the final one",
+			responses: []string{"HTTP/1.1 100 Continue\r\n\r\n" + okResponse, okResponse}, want: []string{"200 ok", "200 ok"}, opened: 1,
 		},
 		{
-			name: "no answer", guards: "bytes that are no answer passed on",
-			answers: []string{"garbage\r\n\r\n"}, want: []string{"broken"}, opened: 1,
+			name: "invalid response", guards: "passing on an invalid response",
+			responses: []string{"garbage\r\n\r\n"}, want: []string{"broken"}, opened: 1,
 		},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			address, accepted := upstream(t, test.answers...)
+			address, accepted := serveResponses(t, test.responses...)
 			pool := New(Config{})
 			defer pool.Close()
 			for _, want := range test.want {
-				got, err := get(pool, address)
+				got, err := post(pool, address)
 				if Broken.Has(err) {
 					got = "broken"
 				}
 				if diff := cmp.Diff(want, got); diff != "" {
-					t.Errorf("%s: answer (-want +got):\n%s", test.guards, diff)
+					t.Errorf("%s: response (-want +got):\n%s", test.guards, diff)
 				}
-				// Bytes that follow an answer need a moment to arrive.
+				// Give bytes that follow a response time to arrive.
 				time.Sleep(10 * time.Millisecond)
 			}
 			if diff := cmp.Diff(test.opened, accepted.Load()); diff != "" {
@@ -116,16 +119,16 @@
 	}
 }
 
-// TestIdle guards against a request sent on a connection that got more bytes, or
-// ended, while it was unused.
+// TestIdle guards against sending a request on a connection that received bytes,
+// or was closed by the upstream, while it was idle.
 func TestIdle(t *testing.T) {
 	const late = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate"
 	tests := []struct {
-		name string
-		then func(conn net.Conn)
+		name       string
+		afterwards func(conn net.Conn)
 	}{
-		{name: "late answer", then: func(conn net.Conn) { _, _ = io.WriteString(conn, late) }},
-		{name: "end", then: func(conn net.Conn) { _ = conn.Close() }},
+		{name: "late response", afterwards: func(conn net.Conn) { _, _ = io.WriteString(conn, late) }},
+		{name: "end", afterwards: func(conn net.Conn) { _ = conn.Close() }},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -134,16 +137,16 @@
 				if request, err := http.ReadRequest(reader); err != nil || request.Body.Close() != nil {
 					return
 				}
-				_, _ = io.WriteString(conn, okay)
+				_, _ = io.WriteString(conn, okResponse)
 				time.Sleep(50 * time.Millisecond)
-				test.then(conn)
+				test.afterwards(conn)
 				_, _ = io.Copy(io.Discard, reader)
 			})
 			pool := New(Config{})
 			defer pool.Close()
 			for range 2 {
-				if got, err := get(pool, address); err != nil || got != "200 ok" {
-					t.Errorf("answer %q, error %v; want 200 ok", got, err)
+				if got, err := post(pool, address); err != nil || got != "200 ok" {
+					t.Errorf("response %q, error %v; want 200 ok", got, err)
 				}
 				time.Sleep(150 * time.Millisecond)
 			}
@@ -151,7 +154,7 @@
 	}
 }
 
-// TestCut guards against an answer that broke off being passed on as whole.
+// TestCut guards against passing on a truncated response as complete.
 func TestCut(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -172,16 +175,16 @@
 	}()
 	for _, head := range heads {
 		pool := New(Config{})
-		if _, err := get(pool, listener.Addr().String()); err == nil {
-			t.Errorf("%q: an answer that broke off has no error", head)
+		if _, err := post(pool, listener.Addr().String()); err == nil {
+			t.Errorf("%q: a truncated response has no error", head)
 		}
 	}
 }
 
-// TestGivenUp guards against a request that reaches its upstream after it was
-// given up, because a link held its bytes back: the connection is reset, which
-// drops them.
-func TestGivenUp(t *testing.T) {
+// TestAbortResets guards against an aborted request that still reaches its
+// upstream because the network delayed its bytes: the connection must be reset,
+// which drops them.
+func TestAbortResets(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -208,14 +211,14 @@
 	defer cancel()
 	_, err = New(Config{}).Do(ctx, listener.Addr().String(), Request{Method: "GET", Target: "/x", Host: "a.example", Header: http.Header{}})
 	if !Broken.Has(err) {
-		t.Errorf("error is %v, want a broken connection", err)
+		t.Errorf("error %v, want class Broken", err)
 	}
 	if err := <-ended; !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("the upstream saw %v, want a reset", err)
 	}
 }
 
-// TestNotSent guards against a request that was never sent counting as one that
+// TestNotSent guards against reporting a request that was never sent as one that
 // may have run.
 func TestNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -224,28 +227,28 @@
 	}
 	address := listener.Addr().String()
 	_ = listener.Close()
-	if _, err := get(New(Config{}), address); !NotSent.Has(err) {
-		t.Errorf("error is %v, want one that says that nothing was sent", err)
+	if _, err := post(New(Config{}), address); !NotSent.Has(err) {
+		t.Errorf("error %v, want class NotSent", err)
 	}
 }
 
-// TestEndlessHead guards against an upstream whose head does not end: it must
-// cost bounded memory and time, and its connection must be closed.
+// TestEndlessHead guards against an upstream whose response head never ends: it
+// must cost bounded memory and time, and its connection must be closed.
 func TestEndlessHead(t *testing.T) {
 	tests := []struct {
 		name  string
 		start string
 		again string
-		// pause makes the upstream slow.
+		// pause is the time between two writes; 0 means writing without pause.
 		pause time.Duration
 	}{
 		{"one line", "HTTP/1.1 200 ", "aaaaaaaaaaaaaaaa", 0},
 		{"header lines", "HTTP/1.1 200 OK\r\n", "X-More: aaaaaaaaaaaaaaaa\r\n", 0},
 		{"one header", "HTTP/1.1 200 OK\r\nX-More: ", "aaaaaaaaaaaaaaaa", 0},
-		{"provisional answers", "", "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n", 0},
-		{"no answer at all", "", "\x00\xff\x00\xff\x00\xff", 0},
+		{"interim responses", "", "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n", 0},
+		{"invalid bytes", "", "\x00\xff\x00\xff\x00\xff", 0},
 		{"empty lines", "", "\r\n", 0},
-		{"drops", "HTTP/1.1 200 OK\r\n", "X", 20 * time.Millisecond},
+		{"slow", "HTTP/1.1 200 OK\r\n", "X", 20 * time.Millisecond},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -276,10 +279,10 @@
 			_, err := New(Config{}).Do(ctx, address, Request{Method: http.MethodGet, Target: "/", Host: "a.example", Header: http.Header{}})
 			runtime.ReadMemStats(&after)
 			if !Broken.Has(err) {
-				t.Errorf("error %v, want the class of a broken connection", err)
+				t.Errorf("error %v, want class Broken", err)
 			}
 			if took := time.Since(began); took > 800*time.Millisecond {
-				t.Errorf("given up after %v", took)
+				t.Errorf("failed only after %v", took)
 			}
 			if grown := after.TotalAlloc - before.TotalAlloc; grown > 8<<20 {
 				t.Errorf("%d bytes were allocated for a head", grown)
@@ -287,13 +290,13 @@
 			select {
 			case <-ended:
 			case <-time.After(2 * time.Second):
-				t.Errorf("the connection is open after %d bytes", written.Load())
+				t.Errorf("the connection is still open after %d bytes", written.Load())
 			}
 		})
 	}
 }
 
-// serveRaw serves each connection with a function and closes it then.
+// serveRaw calls serve for each connection and then closes the connection.
 func serveRaw(t *testing.T, serve func(conn net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/link/http1/pool.go
+++ b/internal/link/http1/pool.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// get returns an unused connection that is still sound, or a new one.
-func (pool *Pool) get(ctx context.Context, address string) (*conn, error) {
+// acquire returns an idle connection that is still usable, or a new one.
+func (pool *Pool) acquire(ctx context.Context, address string) (*conn, error) {
 	for {
-		found := pool.take(address)
-		if found == nil {
+		conn := pool.popIdle(address)
+		if conn == nil {
 			return pool.dial(ctx, address)
 		}
-		if time.Now().Before(found.until) && quiet(found) {
-			return found, nil
+		if time.Now().Before(conn.expiresAt) && nothingReceived(conn) {
+			return conn, nil
 		}
-		_ = found.Close()
+		_ = conn.Close()
 	}
 }
 
-func (pool *Pool) take(address string) *conn {
+func (pool *Pool) popIdle(address string) *conn {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	list := pool.idle[address]
@@ -34,57 +34,58 @@
 }
 
 func (pool *Pool) dial(ctx context.Context, address string) (*conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, pool.config.DialTime)
+	ctx, cancel := context.WithTimeout(ctx, pool.config.DialTimeout)
 	defer cancel()
-	opened, err := pool.config.Dialer.DialContext(ctx, "tcp", address)
+	netConn, err := pool.config.Dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	pool.mutex.Lock()
 	pool.opened++
 	pool.mutex.Unlock()
-	dialled := &conn{Conn: opened, head: -1}
-	dialled.reader = bufio.NewReaderSize(dialled, readBuffer)
-	return dialled, nil
+	opened := &conn{Conn: netConn, headRemaining: -1}
+	opened.reader = bufio.NewReaderSize(opened, readBufferSize)
+	return opened, nil
 }
 
-// put keeps a connection for later, unless too many are kept already.
-func (pool *Pool) put(address string, used *conn, idleTime time.Duration) {
-	used.until = time.Now().Add(idleTime)
+// putIdle keeps a connection for reuse, or closes it if the pool holds enough idle
+// connections for the address.
+func (pool *Pool) putIdle(address string, conn *conn, idleTimeout time.Duration) {
+	conn.expiresAt = time.Now().Add(idleTimeout)
 	pool.mutex.Lock()
 	list := pool.idle[address]
-	kept := len(list) < pool.config.Idle
+	kept := len(list) < pool.config.MaxIdle
 	if kept {
-		pool.idle[address] = append(list, used)
+		pool.idle[address] = append(list, conn)
 	}
 	pool.mutex.Unlock()
 	if !kept {
-		_ = used.Close()
+		_ = conn.Close()
 	}
 }
 
-// CloseExpired closes the connections whose time has passed.
+// CloseExpired closes the idle connections that have expired.
 func (pool *Pool) CloseExpired() {
 	now := time.Now()
-	var old []*conn
+	var expired []*conn
 	pool.mutex.Lock()
 	for address, list := range pool.idle {
-		keep := list[:0]
-		for _, kept := range list {
-			if now.Before(kept.until) {
-				keep = append(keep, kept)
+		kept := list[:0]
+		for _, conn := range list {
+			if now.Before(conn.expiresAt) {
+				kept = append(kept, conn)
 			} else {
-				old = append(old, kept)
+				expired = append(expired, conn)
 			}
 		}
-		if len(keep) == 0 {
+		if len(kept) == 0 {
 			delete(pool.idle, address)
 		} else {
-			pool.idle[address] = keep
+			pool.idle[address] = kept
 		}
 	}
 	pool.mutex.Unlock()
-	for _, closing := range old {
-		_ = closing.Close()
+	for _, conn := range expired {
+		_ = conn.Close()
 	}
 }
--- a/internal/link/logsvc/exchange.go
+++ b/internal/link/logsvc/exchange.go
@@ -16,26 +16,27 @@
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
 )
 
-// maxErrorBody bounds how much of a refusal is read for its message.
+// maxErrorBody bounds how many bytes of an error response are read for its
+// message.
 const maxErrorBody = 4 << 10
 
-// singleUse is a request body without GetBody, which keeps http.Transport from
-// sending a request a second time on its own.
+// singleUse is a request body without GetBody. http.Transport would otherwise
+// resend some requests when a reused connection fails.
 type singleUse struct{ *bytes.Reader }
 
 // Close implements io.Closer.
 func (singleUse) Close() error { return nil }
 
-// exchange sends one request once and returns the body of a 200 answer. A
-// connection whose answer was not read to its end is closed, not reused.
+// exchange sends a request once and returns the body of a 200 response. If the
+// response is not read to its end, the connection is closed instead of reused.
 func (client *Client) exchange(ctx context.Context, method, path string, body []byte, limit int64) ([]byte, error) {
 	if ctx.Err() != nil {
 		return nil, transportFault(ctx, ctx.Err(), fault.NotRun)
 	}
-	var unsent atomic.Bool
+	var waitingForConn atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GetConn: func(string) { unsent.Store(true) },
-		GotConn: func(httptrace.GotConnInfo) { unsent.Store(false) },
+		GetConn: func(string) { waitingForConn.Store(true) },
+		GotConn: func(httptrace.GotConnInfo) { waitingForConn.Store(false) },
 	})
 	request, err := http.NewRequestWithContext(ctx, method, client.url+path, singleUse{bytes.NewReader(body)})
 	if err != nil {
@@ -44,7 +45,7 @@
 	request.ContentLength = int64(len(body))
 	response, err := client.http.Do(request)
 	if err != nil {
-		return nil, transportFault(ctx, err, effect(&unsent))
+		return nil, transportFault(ctx, err, executionAfterFailure(&waitingForConn))
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
@@ -60,17 +61,17 @@
 	return data, nil
 }
 
-// effect returns the effect of an exchange that failed. It did not run only if a
-// connection was asked for and never came.
-func effect(unsent *atomic.Bool) fault.Execution {
-	if unsent.Load() {
+// executionAfterFailure returns whether a request whose exchange failed may have
+// run. It certainly did not if no connection could be obtained.
+func executionAfterFailure(waitingForConn *atomic.Bool) fault.Execution {
+	if waitingForConn.Load() {
 		return fault.NotRun
 	}
 	return fault.RunUnknown
 }
 
-// transportFault describes an exchange that ended without a complete answer.
-func transportFault(ctx context.Context, err error, ran fault.Execution) error {
+// transportFault returns the fault for an exchange without a complete response.
+func transportFault(ctx context.Context, err error, execution fault.Execution) error {
 	kind := fault.LogUnavailable
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
@@ -78,38 +79,40 @@
 	case ctx.Err() != nil, errors.Is(err, context.DeadlineExceeded):
 		kind = fault.DeadlineExceeded
 	}
-	return fault.New(kind, ran, "no answer from the log: %v; read the stream before trying again", err)
+	return fault.New(kind, execution, "no answer from the log: %v; read the stream before trying again", err)
 }
 
-// statusFault describes an answer other than 200. The protocol says that an
-// answer below 500 and a 503 have no effect.
+// statusFault returns the fault for a response other than 200. The log service's
+// protocol says that a request answered with a status below 500, or with 503, had
+// no effect.
 func statusFault(response *http.Response) error {
 	status := response.StatusCode
-	kind, ran := fault.LogUnavailable, fault.NotRun
+	kind, execution := fault.LogUnavailable, fault.NotRun
 	switch {
 	case status == http.StatusRequestEntityTooLarge:
 		kind = fault.BodyTooLarge
 	case status == http.StatusTooManyRequests, status == http.StatusServiceUnavailable:
 	case status >= http.StatusInternalServerError, status < http.StatusBadRequest:
-		ran = fault.RunUnknown
+		execution = fault.RunUnknown
 	default:
 		kind = fault.Invalid
 	}
-	answer := fault.New(kind, ran, "the log answered %s", describe(response))
+	failure := fault.New(kind, execution, "the log answered %s", statusText(response))
 	if seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil && seconds > 0 {
-		return answer.WithRetryAfter(time.Duration(seconds * float64(time.Second)))
+		return failure.WithRetryAfter(time.Duration(seconds * float64(time.Second)))
 	}
-	return answer
+	return failure
 }
 
-// describe returns the status and, if there is one, the message of a refusal.
-func describe(response *http.Response) string {
-	var refusal struct {
+// statusText returns the status code of an error response with its message, if
+// it has one.
+func statusText(response *http.Response) string {
+	var errorBody struct {
 		Error struct{ Message string }
 	}
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxErrorBody))
-	if err != nil || json.Unmarshal(data, &refusal) != nil || refusal.Error.Message == "" {
+	if err != nil || json.Unmarshal(data, &errorBody) != nil || errorBody.Error.Message == "" {
 		return strconv.Itoa(response.StatusCode)
 	}
-	return fmt.Sprintf("%d: %s", response.StatusCode, refusal.Error.Message)
+	return fmt.Sprintf("%d: %s", response.StatusCode, errorBody.Error.Message)
 }
--- a/internal/link/logsvc/logsvc.go
+++ b/internal/link/logsvc/logsvc.go
@@ -1,4 +1,4 @@
-// Package logsvc is the client of the platform's log service.
+// Package logsvc is the HTTP client of the platform's log service.
 package logsvc
 
 import (
@@ -13,38 +13,40 @@
 )
 
 const (
-	// MaxRecord is the largest record that the log accepts.
-	MaxRecord = 1 << 20
-	// maxPage bounds the answer to a read: 4 MiB of data in base64 and its framing.
-	maxPage = 8 << 20
-	// maxAppendAnswer bounds the answer to an append.
-	maxAppendAnswer = 4 << 10
+	// MaxRecordSize is the size of the largest record that the log accepts, in
+	// bytes.
+	MaxRecordSize = 1 << 20
+	// maxPageSize bounds the response to a read, in bytes: 4 MiB of data in base64
+	// with its JSON framing.
+	maxPageSize = 8 << 20
+	// maxAppendResponseSize bounds the response to an append, in bytes.
+	maxAppendResponseSize = 4 << 10
 )
 
 // Config configures a Client.
 type Config struct {
 	// URL is the address of the log service, without a trailing slash.
 	URL string
-	// HTTP sends the requests; nil stands for a client of its own.
+	// HTTP sends the requests; nil means a client of the Client's own.
 	HTTP *http.Client
 }
 
-// Client appends to and reads from the log. It never retries.
+// Client appends records to the log and reads them. It never retries.
 type Client struct {
 	url  string
 	http *http.Client
 }
 
-// Record is one entry of a stream.
+// Record is a record of a stream.
 type Record struct {
 	Offset uint64    `json:"offset"`
 	Time   time.Time `json:"time"`
 	Data   []byte    `json:"data"`
 }
 
-// Page is the answer to a read. First is the oldest offset that the log still
-// holds; a First above the offset asked for means that records have expired.
-// Next is the offset that the next appended record gets.
+// Page is the result of a read. FirstOffset is the oldest offset that the log
+// still holds; if it is above the requested offset, records have expired.
+// NextOffset is the offset that the next appended record gets.
 type Page struct {
 	FirstOffset uint64   `json:"first"`
 	NextOffset  uint64   `json:"next"`
@@ -61,30 +63,30 @@
 	return &Client{url: config.URL, http: &client}
 }
 
-// Append adds a record to a stream and returns its offset. A fault whose effect
-// is unknown means that the record may have been appended.
+// Append appends a record to a stream and returns its offset. After a fault with
+// RunUnknown the record may have been appended.
 func (client *Client) Append(ctx context.Context, stream string, record []byte) (uint64, error) {
-	if len(record) > MaxRecord {
-		return 0, fault.New(fault.BodyTooLarge, fault.NotRun, "record of %d bytes for the log; the limit is %d, split the change", len(record), MaxRecord)
+	if len(record) > MaxRecordSize {
+		return 0, fault.New(fault.BodyTooLarge, fault.NotRun, "record of %d bytes for the log; the limit is %d, split the change", len(record), MaxRecordSize)
 	}
-	data, err := client.exchange(ctx, http.MethodPost, recordsPath(stream), record, maxAppendAnswer)
+	data, err := client.exchange(ctx, http.MethodPost, recordsPath(stream), record, maxAppendResponseSize)
 	if err != nil {
 		return 0, err
 	}
-	var answer struct {
+	var response struct {
 		Offset *uint64 `json:"offset"`
 	}
-	if err := json.Unmarshal(data, &answer); err != nil || answer.Offset == nil {
+	if err := json.Unmarshal(data, &response); err != nil || response.Offset == nil {
 		return 0, fault.New(fault.LogUnavailable, fault.RunUnknown, "the log's answer to an append names no offset; check that %s is the log service", client.url)
 	}
-	return *answer.Offset, nil
+	return *response.Offset, nil
 }
 
-// Read returns records from an offset on. When there are none yet, the log
-// holds the call for up to wait.
+// Read returns the records of a stream from an offset on. If there are none yet,
+// the log service holds the request for up to wait.
 func (client *Client) Read(ctx context.Context, stream string, from uint64, wait time.Duration) (Page, error) {
 	path := fmt.Sprintf("%s?from=%d&wait-ms=%d", recordsPath(stream), from, wait.Milliseconds())
-	data, err := client.exchange(ctx, http.MethodGet, path, nil, maxPage)
+	data, err := client.exchange(ctx, http.MethodGet, path, nil, maxPageSize)
 	if err != nil {
 		return Page{}, err
 	}
@@ -92,11 +94,12 @@
 	if err := json.Unmarshal(data, &page); err != nil {
 		return Page{}, fault.New(fault.LogUnavailable, fault.NotRun, "the log's answer to a read is not valid: %v; check that %s is the log service", err, client.url)
 	}
-	return page, page.check(from)
+	return page, page.checkOffsets(from)
 }
 
-// check refuses a page whose records are out of order, which would corrupt a fold.
-func (page Page) check(from uint64) error {
+// checkOffsets returns an error if the records are not consecutive from an offset
+// on: applying them would corrupt the reader's state.
+func (page Page) checkOffsets(from uint64) error {
 	expected := max(from, page.FirstOffset)
 	for _, record := range page.Records {
 		if record.Offset != expected || record.Offset >= page.NextOffset {
--- a/internal/link/logsvc/logsvc_test.go
+++ b/internal/link/logsvc/logsvc_test.go
@@ -15,7 +15,7 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/plat"
 )
 
-// serve runs a function against a handler in virtual time.
+// serve calls run with a client of a handler, in virtual time.
 func serve(t *testing.T, handler http.Handler, run func(client *Client)) {
 	t.Helper()
 	loopback := plat.NewLoopback()
@@ -27,7 +27,7 @@
 	run(New(Config{URL: "http://log:80", HTTP: loopback.Client()}))
 }
 
-// newPlatform returns a platform with the default figures.
+// newPlatform returns a platform with the default configuration.
 func newPlatform(t *testing.T) *plat.Platform {
 	t.Helper()
 	platform, err := plat.New(plat.DefaultConfig())
@@ -37,28 +37,28 @@
 	return platform
 }
 
-// outcome is the part of a fault on which callers act.
-type outcome struct {
+// faultOutcome holds the fields of a fault that decide whether a caller retries.
+type faultOutcome struct {
 	Kind       fault.Kind
 	Ran        fault.Execution
 	RetryAfter bool
 }
 
-// outcomeOf returns the outcome of a call.
-func outcomeOf(t *testing.T, err error) outcome {
+// outcomeOf returns the outcome that an error describes, zero for nil.
+func outcomeOf(t *testing.T, err error) faultOutcome {
 	t.Helper()
 	if err == nil {
-		return outcome{}
+		return faultOutcome{}
 	}
 	known, ok := fault.As(err)
 	if !ok {
-		t.Fatalf("%v is no fault", err)
+		t.Fatalf("%v is not a fault", err)
 	}
-	return outcome{known.Kind(), known.Ran(), known.RetryAfter() > 0}
+	return faultOutcome{known.Kind(), known.Ran(), known.RetryAfter() > 0}
 }
 
-// TestAppendFaults guards against an append that took effect and is reported as
-// not run, and against a second append by the transport.
+// TestAppendFaults guards against reporting an append that took effect as not
+// run, and against the transport sending an append twice.
 func TestAppendFaults(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -66,24 +66,24 @@
 		fault   *plat.Fault
 		size    int
 		timeout time.Duration
-		want    outcome
+		want    faultOutcome
 		records int
 	}{
-		{name: "accepted", want: outcome{}, records: 2},
-		{name: "nobody listens", url: "http://gone:80", want: outcome{fault.LogUnavailable, fault.NotRun, false}, records: 1},
-		{name: "reply lost", fault: &plat.Fault{Mode: plat.ModeLostReplies}, want: outcome{fault.LogUnavailable, fault.RunUnknown, false}, records: 2},
-		{name: "cut before the effect", fault: &plat.Fault{Mode: plat.ModeDown}, want: outcome{fault.LogUnavailable, fault.RunUnknown, false}, records: 1},
-		{name: "refused", fault: &plat.Fault{Mode: plat.ModeRefusing}, want: outcome{fault.LogUnavailable, fault.NotRun, true}, records: 1},
-		{name: "record too large", size: MaxRecord + 1, want: outcome{fault.BodyTooLarge, fault.NotRun, false}, records: 1},
-		{name: "deadline", fault: &plat.Fault{Mode: plat.ModeSlow, Delay: plat.Duration(time.Minute)}, timeout: time.Second, want: outcome{fault.DeadlineExceeded, fault.RunUnknown, false}, records: 1},
-		{name: "deadline before the call", timeout: -1, want: outcome{fault.DeadlineExceeded, fault.NotRun, false}, records: 1},
+		{name: "accepted", want: faultOutcome{}, records: 2},
+		{name: "nobody listens", url: "http://gone:80", want: faultOutcome{fault.LogUnavailable, fault.NotRun, false}, records: 1},
+		{name: "reply lost", fault: &plat.Fault{Mode: plat.ModeLostReplies}, want: faultOutcome{fault.LogUnavailable, fault.RunUnknown, false}, records: 2},
+		{name: "cut before the effect", fault: &plat.Fault{Mode: plat.ModeDown}, want: faultOutcome{fault.LogUnavailable, fault.RunUnknown, false}, records: 1},
+		{name: "refused", fault: &plat.Fault{Mode: plat.ModeRefusing}, want: faultOutcome{fault.LogUnavailable, fault.NotRun, true}, records: 1},
+		{name: "record too large", size: MaxRecordSize + 1, want: faultOutcome{fault.BodyTooLarge, fault.NotRun, false}, records: 1},
+		{name: "deadline", fault: &plat.Fault{Mode: plat.ModeSlow, Delay: plat.Duration(time.Minute)}, timeout: time.Second, want: faultOutcome{fault.DeadlineExceeded, fault.RunUnknown, false}, records: 1},
+		{name: "deadline before the call", timeout: -1, want: faultOutcome{fault.DeadlineExceeded, fault.NotRun, false}, records: 1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				platform := newPlatform(t)
 				serve(t, platform, func(client *Client) {
-					// The first append leaves a connection that the second uses again.
+					// The first append opens the connection that the second one reuses.
 					if _, err := client.Append(t.Context(), "config", []byte("first")); err != nil {
 						t.Fatal(err)
 					}
@@ -112,7 +112,8 @@
 	}
 }
 
-// TestRateLimit guards against an append above the limit that is not refused.
+// TestRateLimit guards against an append above the rate limit that is not refused
+// as a fault that did not run and has a retry time.
 func TestRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := newPlatform(t)
@@ -121,7 +122,7 @@
 			for range 310 {
 				if _, err := client.Append(t.Context(), "config", nil); err != nil {
 					refused++
-					want := outcome{fault.LogUnavailable, fault.NotRun, true}
+					want := faultOutcome{fault.LogUnavailable, fault.NotRun, true}
 					if diff := cmp.Diff(want, outcomeOf(t, err)); diff != "" {
 						t.Fatal(diff)
 					}
@@ -134,7 +135,8 @@
 	})
 }
 
-// TestLongPoll guards against a read that misses an append or returns early.
+// TestLongPoll guards against a read that misses an append or returns before its
+// wait is over.
 func TestLongPoll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := newPlatform(t)
@@ -157,7 +159,7 @@
 	})
 }
 
-// TestRetention guards against a reader that cannot see that records expired.
+// TestRetention guards against hiding from a reader that records have expired.
 func TestRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := newPlatform(t)
@@ -174,15 +176,15 @@
 	})
 }
 
-// TestReadChecks guards against answers that would corrupt a fold or fill the
-// memory.
+// TestReadChecks guards against responses that would corrupt the reader's state
+// or exhaust the memory.
 func TestReadChecks(t *testing.T) {
-	tests := []struct{ name, answer, want string }{
+	tests := []struct{ name, response, wantErr string }{
 		{"gap", `{"first":0,"next":9,"records":[{"offset":2},{"offset":4}]}`, "offset 4 where 3 was due"},
 		{"too early", `{"first":0,"next":9,"records":[{"offset":1}]}`, "offset 1 where 2 was due"},
 		{"beyond the end", `{"first":0,"next":2,"records":[{"offset":2}]}`, "offset 2"},
 		{"not JSON", `<html>`, "not valid"},
-		{"too large", strings.Repeat(" ", maxPage+1), "more than"},
+		{"too large", strings.Repeat(" ", maxPageSize+1), "more than"},
 		{"cut", "", "no answer"},
 	}
 	for _, test := range tests {
@@ -190,17 +192,17 @@
 			calls := 0
 			handler := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 				calls++
-				if test.answer == "" && calls > 1 {
+				if test.response == "" && calls > 1 {
 					plat.Cut()
 				}
-				_, _ = fmt.Fprint(writer, test.answer)
+				_, _ = fmt.Fprint(writer, test.response)
 			})
 			synctest.Test(t, func(t *testing.T) {
 				serve(t, handler, func(client *Client) {
 					_, _ = client.Read(t.Context(), "config", 2, 0)
 					_, err := client.Read(t.Context(), "config", 2, 0)
-					if err == nil || !strings.Contains(err.Error(), test.want) {
-						t.Errorf("error %v, want one with %q", err, test.want)
+					if err == nil || !strings.Contains(err.Error(), test.wantErr) {
+						t.Errorf("error %v, want one with %q", err, test.wantErr)
 					}
 					if calls != 2 {
 						t.Errorf("%d requests for 2 reads", calls)
--- a/internal/link/roster/roster.go
+++ b/internal/link/roster/roster.go
@@ -14,15 +14,17 @@
 )
 
 const (
-	// maxList bounds the answer: 10,000 instances at about 400 bytes each.
-	maxList = 4 << 20
-	// defaultInterval keeps a leaving upstream visible well within 3 s.
+	// maxResponseSize bounds a response in bytes: 10,000 instances at about 400
+	// bytes each.
+	maxResponseSize = 4 << 20
+	// defaultInterval lets a draining upstream be seen well within 3 s.
 	defaultInterval = time.Second
-	// defaultTimeout bounds one poll, so that a hanging list does not stop polling.
+	// defaultTimeout bounds one poll, so that a response that never ends does
+	// not stop polling.
 	defaultTimeout = 2 * time.Second
 )
 
-// The roles of instances.
+// Roles of instances.
 const (
 	RoleEntry = "entry"
 	RoleSide  = "side"
@@ -32,17 +34,17 @@
 type Config struct {
 	// URL is the address of the platform, without a trailing slash.
 	URL string
-	// HTTP sends the requests; nil stands for a client of its own.
+	// HTTP sends the requests; nil means a client of the Roster's own.
 	HTTP *http.Client
-	// Interval is the time between polls; 0 stands for 1 s.
+	// Interval is the time between polls; 0 means 1 s.
 	Interval time.Duration
-	// Timeout bounds one poll; 0 stands for 2 s.
+	// Timeout bounds one poll; 0 means 2 s.
 	Timeout time.Duration
-	// Logger gets a line when polling starts to fail and when it works again.
+	// Logger receives a message when polling begins to fail and when it recovers.
 	Logger *zap.Logger
 }
 
-// Roster keeps the last instance list that the platform answered with.
+// Roster polls the platform's instance list and keeps the last one received.
 type Roster struct {
 	config Config
 	http   *http.Client
@@ -70,7 +72,7 @@
 	return roster
 }
 
-// Run polls the list until the context ends. When a poll fails, the last list
+// Run polls the list until the context ends. While polls fail, the last list
 // stays in use.
 func (roster *Roster) Run(ctx context.Context) error {
 	ticker := time.NewTicker(roster.config.Interval)
@@ -96,14 +98,14 @@
 	}
 }
 
-// Poll fetches what has changed since the last answer. Run calls it; two calls
-// at once could lose a change.
+// Poll fetches the changes since the last poll. Run calls it; concurrent calls
+// could lose a change.
 func (roster *Roster) Poll(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, roster.config.Timeout)
 	defer cancel()
 	current := roster.view.Load()
-	path := roster.config.URL + "/v1/instances?since=" + url.QueryEscape(current.revision)
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, path, nil)
+	address := roster.config.URL + "/v1/instances?since=" + url.QueryEscape(current.revision)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
 		return fault.New(fault.Invalid, fault.NotRun, "platform address %q: %v; correct the setting", roster.config.URL, err)
 	}
@@ -123,19 +125,19 @@
 	return nil
 }
 
-// Instances returns the list. The caller must not change it.
+// Instances returns the last list. The caller must not modify it.
 func (roster *Roster) Instances() []Instance { return roster.view.Load().instances }
 
-// SideProcess returns the side process of an upstream. Of several, one that stays is
-// preferred, then the one that was added last.
+// SideProcess returns the side process of an upstream. If there are several, one
+// that is not draining is preferred, then the one announced last.
 func (roster *Roster) SideProcess(upstream string) (Instance, bool) {
-	instance, ok := roster.view.Load().sides[upstream]
+	instance, ok := roster.view.Load().sideProcesses[upstream]
 	return instance, ok
 }
 
-// Age returns the time since the list was last fetched, and false before the
-// first time.
+// Age returns the time since the last successful poll, and false before the
+// first one.
 func (roster *Roster) Age() (time.Duration, bool) {
-	fetched := roster.view.Load().time
-	return time.Since(fetched), !fetched.IsZero()
+	fetchedAt := roster.view.Load().fetchedAt
+	return time.Since(fetchedAt), !fetchedAt.IsZero()
 }
--- a/internal/link/roster/roster_test.go
+++ b/internal/link/roster/roster_test.go
@@ -15,7 +15,7 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/plat"
 )
 
-// serve runs a function with a Roster over a handler in virtual time.
+// serve calls run with a Roster that polls a handler, in virtual time.
 func serve(t *testing.T, handler http.Handler, run func(roster *Roster)) {
 	t.Helper()
 	loopback := plat.NewLoopback()
@@ -27,7 +27,7 @@
 	run(New(Config{URL: "http://platform:80", HTTP: loopback.Client()}))
 }
 
-// newPlatform returns a platform whose list shows changes after 500 ms.
+// newPlatform returns a platform whose instance list shows changes after 500 ms.
 func newPlatform(t *testing.T) *plat.Platform {
 	t.Helper()
 	platform, err := plat.New(plat.DefaultConfig())
@@ -37,13 +37,13 @@
 	return platform
 }
 
-// side returns a live side process at an upstream.
+// side returns a side process of an upstream that is not draining.
 func side(id, upstream string) plat.Instance {
 	return plat.Instance{ID: id, Role: RoleSide, Upstream: upstream, Address: id + ":80"}
 }
 
-// TestLeavingIsSeen guards against an upstream that leaves and is seen to after
-// more than 3 s, and against a list that is lost in an outage.
+// TestLeavingIsSeen guards against a draining upstream that is seen only after
+// more than 3 s, and against losing the list in an outage.
 func TestLeavingIsSeen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := newPlatform(t)
@@ -51,16 +51,16 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan error, 1)
 			go func() { done <- roster.Run(ctx) }()
-			leaving := side("s1", "u1")
-			if err := platform.Announce(leaving); err != nil {
+			draining := side("s1", "u1")
+			if err := platform.Announce(draining); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(1600 * time.Millisecond)
 			if instance, ok := roster.SideProcess("u1"); !ok || instance.Draining {
-				t.Fatalf("side process %+v, %v; want a live one", instance, ok)
+				t.Fatalf("side process %+v, %v; want one that is not draining", instance, ok)
 			}
-			leaving.State = plat.StateLeaving
-			if err := platform.Announce(leaving); err != nil {
+			draining.State = plat.StateLeaving
+			if err := platform.Announce(draining); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(1600 * time.Millisecond)
@@ -69,7 +69,7 @@
 			}
 			time.Sleep(10 * time.Second)
 			if instance, ok := roster.SideProcess("u1"); !ok || !instance.Draining {
-				t.Errorf("side process %+v, %v during an outage; want the leaving one", instance, ok)
+				t.Errorf("side process %+v, %v during an outage; want the draining one", instance, ok)
 			}
 			if age, ok := roster.Age(); !ok || age < 9*time.Second {
 				t.Errorf("age %v, %v during an outage of 10 s", age, ok)
@@ -82,10 +82,11 @@
 	})
 }
 
-// TestSide guards against work for the former side process of an upstream.
+// TestSide guards against sending requests to a former side process of an
+// upstream.
 func TestSide(t *testing.T) {
-	leaving := side("s3", "u1")
-	leaving.State = plat.StateLeaving
+	draining := side("s3", "u1")
+	draining.State = plat.StateLeaving
 	tests := []struct {
 		name      string
 		instances []plat.Instance
@@ -94,8 +95,8 @@
 		{"none", []plat.Instance{side("s1", "u2")}, ""},
 		{"entry instances do not count", []plat.Instance{{ID: "e", Role: RoleEntry, Upstream: "u1", Address: "e:80"}}, ""},
 		{"the newest", []plat.Instance{side("s2", "u1"), side("s1", "u1")}, "s1"},
-		{"one that stays", []plat.Instance{side("s1", "u1"), leaving}, "s1"},
-		{"leaving only", []plat.Instance{leaving}, "s3"},
+		{"one that is not draining", []plat.Instance{side("s1", "u1"), draining}, "s1"},
+		{"draining only", []plat.Instance{draining}, "s3"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -120,9 +121,9 @@
 	}
 }
 
-// TestPartialAnswers compares a Roster that gets partial answers with one that
-// gets a complete list each time, while instances come, go and return. It guards
-// against lost and stuck changes.
+// TestPartialAnswers compares a Roster that receives partial lists with one that
+// receives a complete list each time, while instances are added, removed and
+// added again. It guards against lost and stale changes.
 func TestPartialAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := newPlatform(t)
@@ -161,17 +162,17 @@
 	})
 }
 
-// TestPollFaults guards against an answer that empties the list or fills the
+// TestPollFaults guards against a response that empties the list or exhausts the
 // memory.
 func TestPollFaults(t *testing.T) {
 	tests := []struct {
-		name, answer string
-		status       int
-		want         string
+		name, response string
+		status         int
+		want           string
 	}{
 		{"no revision", `{"instances":[]}`, 200, "revision"},
 		{"not JSON", `<html>`, 200, "not valid"},
-		{"too large", strings.Repeat(" ", maxList+1), 200, "more than"},
+		{"too large", strings.Repeat(" ", maxResponseSize+1), 200, "more than"},
 		{"status", `{}`, 503, "answered 503"},
 	}
 	for _, test := range tests {
@@ -182,7 +183,7 @@
 					return
 				}
 				writer.WriteHeader(test.status)
-				_, _ = fmt.Fprint(writer, test.answer)
+				_, _ = fmt.Fprint(writer, test.response)
 			})
 			synctest.Test(t, func(t *testing.T) {
 				serve(t, handler, func(roster *Roster) {
--- a/internal/link/roster/view.go
+++ b/internal/link/roster/view.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// stateLeaving is the state of an instance that gets no new work.
+// stateLeaving is the list's state of an instance that is draining.
 const stateLeaving = "leaving"
 
-// Instance is one entry of the list.
+// Instance is an entry of the instance list.
 type Instance struct {
 	ID            string
 	Role          string
@@ -24,9 +24,9 @@
 	AnnouncedAt time.Time
 }
 
-// update is an answer of the platform. Unless it is complete, it holds what has
-// changed since the revision asked for.
-type update struct {
+// listUpdate is a response of the platform. Unless Complete is set, it holds only
+// the changes since the revision of the request.
+type listUpdate struct {
 	Revision  string   `json:"revision"`
 	Complete  bool     `json:"complete"`
 	Removed   []string `json:"removed"`
@@ -41,40 +41,40 @@
 	} `json:"instances"`
 }
 
-// decode reads an update of bounded size.
-func decode(body io.Reader) (update, error) {
-	var read update
-	data, err := io.ReadAll(io.LimitReader(body, maxList+1))
+// decode reads a response of at most maxResponseSize bytes.
+func decode(body io.Reader) (listUpdate, error) {
+	var decoded listUpdate
+	data, err := io.ReadAll(io.LimitReader(body, maxResponseSize+1))
 	if err != nil {
-		return read, err
+		return decoded, err
 	}
-	if len(data) > maxList {
-		return read, fmt.Errorf("more than %d bytes", maxList)
+	if len(data) > maxResponseSize {
+		return decoded, fmt.Errorf("more than %d bytes", maxResponseSize)
 	}
-	if err := json.Unmarshal(data, &read); err != nil {
-		return read, err
+	if err := json.Unmarshal(data, &decoded); err != nil {
+		return decoded, err
 	}
-	if read.Revision == "" {
-		return read, fmt.Errorf("no field \"revision\"")
+	if decoded.Revision == "" {
+		return decoded, fmt.Errorf("no field \"revision\"")
 	}
-	return read, nil
+	return decoded, nil
 }
 
-// view is the list at one time, immutable once stored. Instances are in the
-// order in which they were announced.
+// view is the list after an update. It is not modified once it is stored.
+// Instances are in the order of their announcement.
 type view struct {
-	time      time.Time
-	revision  string
-	instances []Instance
-	sides     map[string]Instance
+	fetchedAt     time.Time
+	revision      string
+	instances     []Instance
+	sideProcesses map[string]Instance
 }
 
-// apply returns the view after an update.
-func (view *view) apply(now time.Time, update update) *view {
-	next := *view
-	next.time, next.revision = now, update.Revision
+// apply returns a copy of the view with an update applied.
+func (view *view) apply(now time.Time, update listUpdate) *view {
+	updated := *view
+	updated.fetchedAt, updated.revision = now, update.Revision
 	if !update.Complete && len(update.Instances) == 0 && len(update.Removed) == 0 {
-		return &next
+		return &updated
 	}
 	byID := make(map[string]Instance, len(view.instances)+len(update.Instances))
 	if !update.Complete {
@@ -91,11 +91,11 @@
 			FailureDomain: changed.FailureDomain, Draining: changed.State == stateLeaving, AnnouncedAt: changed.Announced,
 		}
 	}
-	next.index(byID)
-	return &next
+	updated.index(byID)
+	return &updated
 }
 
-// index fills the view's instances and sides.
+// index sets the view's instances and side processes.
 func (view *view) index(byID map[string]Instance) {
 	view.instances = make([]Instance, 0, len(byID))
 	for _, instance := range byID {
@@ -104,14 +104,14 @@
 	slices.SortFunc(view.instances, func(a, b Instance) int {
 		return cmp.Or(a.AnnouncedAt.Compare(b.AnnouncedAt), cmp.Compare(a.ID, b.ID))
 	})
-	view.sides = make(map[string]Instance)
+	view.sideProcesses = make(map[string]Instance)
 	for _, instance := range view.instances {
 		if instance.Role != RoleSide {
 			continue
 		}
-		if known, ok := view.sides[instance.Upstream]; ok && instance.Draining && !known.Draining {
+		if known, ok := view.sideProcesses[instance.Upstream]; ok && instance.Draining && !known.Draining {
 			continue
 		}
-		view.sides[instance.Upstream] = instance
+		view.sideProcesses[instance.Upstream] = instance
 	}
 }
