--- a/internal/base/setup/relay.go
+++ b/internal/base/setup/relay.go
@@ -24,9 +24,9 @@
 	// RevocationDelay is how long a withdrawn key may still be accepted. A relay
 	// that has not confirmed its configuration for nearly that long rejects
 	// requests with a key.
-	RevocationDelay Period `toml:"revoke"`
+	RevocationDelay Period `toml:"revoke" json:"Revoke"`
 	// GracePeriod is the longest time that a planned stop may take.
-	GracePeriod Period `toml:"grace"`
+	GracePeriod Period `toml:"grace" json:"Grace"`
 	// RetryRatio and RetryExtra bound the retries of all instances together within
 	// RetryWindow: to RetryRatio times the number of requests, plus RetryExtra.
 	RetryRatio  Number `toml:"retry-ratio"`
