--- a/internal/bench/slope/process.go
+++ b/internal/bench/slope/environment.go
@@ -24,19 +24,19 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 )
 
-// build is the product's binary, built when the first row needs it.
-type build struct {
+// binary is the jacinthfront binary, built when the first row needs it.
+type binary struct {
 	directory string
 }
 
-// product is the build of this run.
-var product build
+// builtBinary is the binary that all rows of this run use.
+var builtBinary binary
 
-// path returns the binary's path.
-func (build *build) path(ctx context.Context) (string, error) {
+// path returns the path of the binary and builds it on the first call.
+func (binary *binary) path(ctx context.Context) (string, error) {
 	const name = "jacinthfront"
-	if build.directory != "" {
-		return filepath.Join(build.directory, name), nil
+	if binary.directory != "" {
+		return filepath.Join(binary.directory, name), nil
 	}
 	directory, err := os.MkdirTemp("", "slopes")
 	if err != nil {
@@ -48,32 +48,36 @@
 		_ = os.RemoveAll(directory)
 		return "", fmt.Errorf("build: %w: %s; run this command in the repository", err, output)
 	}
-	build.directory = directory
+	binary.directory = directory
 	return file, nil
 }
 
 // remove deletes the binary.
-func (build *build) remove() {
-	if build.directory != "" {
-		_ = os.RemoveAll(build.directory)
-		build.directory = ""
+func (binary *binary) remove() {
+	if binary.directory != "" {
+		_ = os.RemoveAll(binary.directory)
+		binary.directory = ""
 	}
 }
 
-// ground is what surrounds processes of the real binary: the platform stand-in
-// and the settings' directory.
-type ground struct {
+// environment runs processes of the real binary against a platform simulator in
+// this process. It holds their settings files and counts the traffic that the
+// simulators serve.
+type environment struct {
 	platform  *infra.Platform
 	url       string
 	directory string
 	counter   *counter
-	stops     []func()
-	running   []*osProcess
-	version   uint64
+	// cleanups are called in reverse order by close.
+	cleanups  []func()
+	processes []*osProcess
+	// version is the version of the configuration on the log.
+	version uint64
 }
 
-// newGround serves a platform whose log holds a configuration.
-func newGround(ctx context.Context, state shape, keys ...conf.KeySpec) (*ground, error) {
+// newEnvironment serves a platform simulator whose log holds a configuration of
+// a size, with additional keys.
+func newEnvironment(ctx context.Context, size configSize, keys ...conf.KeySpec) (*environment, error) {
 	config := infra.DefaultConfig()
 	config.ListLag = 0
 	config.LoadRate, config.LoadBurst = 1000, 1000
@@ -82,37 +86,38 @@
 	if err != nil {
 		return nil, err
 	}
-	ground := &ground{platform: platform, counter: newCounter()}
-	if ground.directory, err = os.MkdirTemp("", "slopes"); err != nil {
+	environment := &environment{platform: platform, counter: newCounter()}
+	if environment.directory, err = os.MkdirTemp("", "slopes"); err != nil {
 		return nil, err
 	}
-	ground.stops = append(ground.stops, func() { _ = os.RemoveAll(ground.directory) })
-	address, err := ground.serve(ctx, platform)
+	environment.cleanups = append(environment.cleanups, func() { _ = os.RemoveAll(environment.directory) })
+	address, err := environment.serve(ctx, platform)
 	if err != nil {
-		ground.close()
+		environment.close()
 		return nil, err
 	}
-	ground.url = "http://" + address
-	if err := ground.publishAll(state, keys); err != nil {
-		ground.close()
+	environment.url = "http://" + address
+	if err := environment.publishConfig(size, keys); err != nil {
+		environment.close()
 		return nil, err
 	}
-	return ground, nil
+	return environment, nil
 }
 
-// serve serves a stand-in and counts its traffic as that of its callers.
-func (ground *ground) serve(ctx context.Context, handler http.Handler) (string, error) {
+// serve serves a simulator on a loopback address and counts its traffic from the
+// point of view of its callers.
+func (environment *environment) serve(ctx context.Context, handler http.Handler) (string, error) {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
-	go func() { _ = server.Serve(countedListener{listener, ground.counter}) }()
-	ground.stops = append(ground.stops, func() { _ = server.Close() })
+	go func() { _ = server.Serve(countedListener{listener, environment.counter}) }()
+	environment.cleanups = append(environment.cleanups, func() { _ = server.Close() })
 	return listener.Addr().String(), nil
 }
 
-// countedListener counts what callers receive from and send to a stand-in.
+// countedListener counts what callers send to a simulator and receive from it.
 type countedListener struct {
 	net.Listener
 	counter *counter
@@ -127,7 +132,7 @@
 	return &acceptedConn{Conn: conn, counter: listener.counter, kind: kindOther}, nil
 }
 
-// acceptedConn counts a connection from the side of its server.
+// acceptedConn counts the traffic of a connection at its server.
 type acceptedConn struct {
 	net.Conn
 	counter *counter
@@ -135,18 +140,18 @@
 	kind    string
 }
 
-// Read implements net.Conn. What the server reads, its caller has sent.
+// Read implements net.Conn. What the server reads counts as sent by the caller.
 func (conn *acceptedConn) Read(data []byte) (int, error) {
 	read, err := conn.Conn.Read(data)
-	added := flow{sent: read}
+	delta := trafficCount{sent: read}
 	conn.mutex.Lock()
 	if kind := kindOf(data[:read]); kind != "" {
 		conn.kind = kind
-		added.calls++
+		delta.calls++
 	}
 	kind := conn.kind
 	conn.mutex.Unlock()
-	conn.counter.add("", kind, added)
+	conn.counter.add("", kind, delta)
 	return read, err
 }
 
@@ -156,16 +161,16 @@
 	conn.mutex.Lock()
 	kind := conn.kind
 	conn.mutex.Unlock()
-	conn.counter.add("", kind, flow{received: written})
+	conn.counter.add("", kind, trafficCount{received: written})
 	return written, err
 }
 
-// patchOps is the number of operations of a patch of the initial configuration.
-const patchOps = 1000
+// opsPerPatch is the number of operations in a patch of the initial configuration.
+const opsPerPatch = 1000
 
-// publishAll puts a configuration on the log as patches.
-func (ground *ground) publishAll(state shape, keys []conf.KeySpec) error {
-	config := state.state().Config
+// publishConfig appends a configuration of a size to the log as patches.
+func (environment *environment) publishConfig(size configSize, keys []conf.KeySpec) error {
+	config := size.state().Config
 	var ops []patch.Op
 	for _, upstream := range config.Upstreams() {
 		ops = append(ops, patch.PutUpstream{Upstream: upstream})
@@ -180,12 +185,12 @@
 	for _, key := range append(config.Keys(), keys...) {
 		ops = append(ops, patch.PutKey{Key: key})
 	}
-	for index := range state.adapters {
-		ops = append(ops, patch.PutAdapter{Adapter: adapterSpec(index, state.organisations)})
+	for index := range size.adapters {
+		ops = append(ops, patch.PutAdapter{Adapter: adapterSpec(index, size.organisations)})
 	}
 	for len(ops) > 0 {
-		count := min(patchOps, len(ops))
-		if err := ground.publish(ops[:count]...); err != nil {
+		count := min(opsPerPatch, len(ops))
+		if err := environment.publishPatch(ops[:count]...); err != nil {
 			return err
 		}
 		ops = ops[count:]
@@ -193,31 +198,31 @@
 	return nil
 }
 
-// publish puts a patch on the log.
-func (ground *ground) publish(ops ...patch.Op) error {
+// publishPatch appends a patch to the log.
+func (environment *environment) publishPatch(ops ...patch.Op) error {
 	data, err := codec.EncodePatch(patch.Patch{
-		ID: fmt.Sprintf("slope-%d", ground.version), BaseVersion: ground.version, Operator: "slope", Ops: ops,
+		ID: fmt.Sprintf("slope-%d", environment.version), BaseVersion: environment.version, Operator: "slope", Ops: ops,
 	})
 	if err != nil {
 		return err
 	}
-	ground.platform.Append("config", data)
-	ground.version++
+	environment.platform.Append("config", data)
+	environment.version++
 	return nil
 }
 
-// close ends all processes and stand-ins.
-func (ground *ground) close() {
-	for _, process := range ground.running {
-		process.end()
+// close ends all processes and simulators.
+func (environment *environment) close() {
+	for _, process := range environment.processes {
+		process.kill()
 	}
-	for index := len(ground.stops) - 1; index >= 0; index-- {
-		ground.stops[index]()
+	for index := len(environment.cleanups) - 1; index >= 0; index-- {
+		environment.cleanups[index]()
 	}
 }
 
-// free returns an unused loopback address.
-func free(ctx context.Context) (string, error) {
+// unusedAddress returns an unused loopback address.
+func unusedAddress(ctx context.Context) (string, error) {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -237,67 +242,67 @@
 	startup time.Duration
 }
 
-// common fills the settings that both roles share.
-func (ground *ground) common(ctx context.Context, process *setup.Process, instance string) error {
+// setCommon fills in the settings that both roles share.
+func (environment *environment) setCommon(ctx context.Context, process *setup.Process, instance string) error {
 	process.Instance, process.FailureDomain = instance, domainName(0)
-	process.Platform = setup.Platform{LogURL: ground.url, InstancesURL: ground.url}
+	process.Platform = setup.Platform{LogURL: environment.url, InstancesURL: environment.url}
 	process.Log.Level = "error"
 	var err error
-	if process.Listen.Peers, err = free(ctx); err != nil {
+	if process.Listen.Peers, err = unusedAddress(ctx); err != nil {
 		return err
 	}
-	process.Listen.Operators, err = free(ctx)
+	process.Listen.Operators, err = unusedAddress(ctx)
 	return err
 }
 
-// startSide starts a side process.
-func (ground *ground) startSide(ctx context.Context, upstream, url string, concurrency int) (*osProcess, error) {
+// startSide starts a side process and announces it on the instance list.
+func (environment *environment) startSide(ctx context.Context, upstream, url string, concurrency int) (*osProcess, error) {
 	settings := setup.DefaultSide()
-	if err := ground.common(ctx, &settings.Process, "side-"+upstream); err != nil {
+	if err := environment.setCommon(ctx, &settings.Process, "side-"+upstream); err != nil {
 		return nil, err
 	}
 	settings.Upstream.ID, settings.Upstream.URL, settings.Upstream.Concurrency = upstream, url, concurrency
 	settings.Queue.Requests, settings.Queue.Tokens = 8192, 8<<20
 	process := &osProcess{operators: settings.Listen.Operators, peers: settings.Listen.Peers}
-	if err := ground.start(ctx, process, "side", settings); err != nil {
+	if err := environment.start(ctx, process, "side", settings); err != nil {
 		return nil, err
 	}
-	return process, ground.platform.PutInstance(infra.Instance{
+	return process, environment.platform.PutInstance(infra.Instance{
 		ID: settings.Instance, Role: "side", Upstream: upstream, Address: process.peers, FailureDomain: settings.FailureDomain,
 	})
 }
 
-// startEntry starts an entry instance.
-func (ground *ground) startEntry(ctx context.Context) (*osProcess, error) {
+// startEntry starts an entry instance and announces it on the instance list.
+func (environment *environment) startEntry(ctx context.Context) (*osProcess, error) {
 	settings := setup.DefaultEntry()
-	if err := ground.common(ctx, &settings.Process, "entry-1"); err != nil {
+	if err := environment.setCommon(ctx, &settings.Process, "entry-1"); err != nil {
 		return nil, err
 	}
 	var err error
-	if settings.Listen.Callers, err = free(ctx); err != nil {
+	if settings.Listen.Callers, err = unusedAddress(ctx); err != nil {
 		return nil, err
 	}
 	process := &osProcess{operators: settings.Listen.Operators, peers: settings.Listen.Peers, callers: settings.Listen.Callers}
-	if err := ground.start(ctx, process, "entry", settings); err != nil {
+	if err := environment.start(ctx, process, "entry", settings); err != nil {
 		return nil, err
 	}
-	return process, ground.platform.PutInstance(infra.Instance{
+	return process, environment.platform.PutInstance(infra.Instance{
 		ID: settings.Instance, Role: "entry", Address: process.peers, FailureDomain: settings.FailureDomain,
 	})
 }
 
 // start runs the binary and waits until the process is ready.
-func (ground *ground) start(ctx context.Context, process *osProcess, role string, settings any) error {
-	path, err := product.path(ctx)
+func (environment *environment) start(ctx context.Context, process *osProcess, role string, settings any) error {
+	path, err := builtBinary.path(ctx)
 	if err != nil {
 		return err
 	}
-	var text bytes.Buffer
-	if err := toml.NewEncoder(&text).Encode(settings); err != nil {
+	var encoded bytes.Buffer
+	if err := toml.NewEncoder(&encoded).Encode(settings); err != nil {
 		return err
 	}
-	file := filepath.Join(ground.directory, fmt.Sprintf("%s-%d.toml", role, len(ground.running)))
-	if err := os.WriteFile(file, text.Bytes(), 0o600); err != nil {
+	file := filepath.Join(environment.directory, fmt.Sprintf("%s-%d.toml", role, len(environment.processes)))
+	if err := os.WriteFile(file, encoded.Bytes(), 0o600); err != nil {
 		return err
 	}
 	process.output = &bytes.Buffer{}
@@ -307,7 +312,7 @@
 	if err := process.command.Start(); err != nil {
 		return err
 	}
-	ground.running = append(ground.running, process)
+	environment.processes = append(environment.processes, process)
 	if err := process.awaitReady(ctx); err != nil {
 		return err
 	}
@@ -315,11 +320,11 @@
 	return nil
 }
 
-// readyLimit bounds the start of a process.
-const readyLimit = 60 * time.Second
+// readyTimeout limits the time from the start of a process to its readiness.
+const readyTimeout = 60 * time.Second
 
 func (process *osProcess) awaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyLimit)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+process.operators+"/readyz", nil)
@@ -334,20 +339,20 @@
 			}
 		}
 		if ctx.Err() != nil {
-			return fmt.Errorf("not ready after %v: %s", readyLimit, process.output)
+			return fmt.Errorf("not ready after %v: %s", readyTimeout, process.output)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// end ends the process, which this program has started.
-func (process *osProcess) end() {
+// kill kills the process and waits for its end.
+func (process *osProcess) kill() {
 	_ = process.command.Process.Kill()
 	_ = process.command.Wait()
 }
 
-// status returns a value in bytes from the process's status file.
-func (process *osProcess) status(field string) (float64, error) {
+// statusBytes returns a field of /proc/PID/status, converted from kB to bytes.
+func (process *osProcess) statusBytes(field string) (float64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", process.command.Process.Pid))
 	if err != nil {
 		return 0, err
@@ -361,16 +366,19 @@
 	return 0, errors.New("no field " + field)
 }
 
-// clockTick is the unit of processor times in /proc, which Linux fixes.
+// clockTick is the unit of the processor times in /proc/PID/stat, which Linux
+// fixes.
 const clockTick = 10 * time.Millisecond
 
-// processor returns the processor time that the process has used.
-func (process *osProcess) processor() (time.Duration, error) {
+// cpuTime returns the processor time that the process has used, in user and
+// system mode.
+func (process *osProcess) cpuTime() (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", process.command.Process.Pid))
 	if err != nil {
 		return 0, err
 	}
-	// The command's name may hold spaces; the fields after it start at the third.
+	// Field 2, the command's name in parentheses, may contain spaces. The fields
+	// are split after it, so that fields[0] is field 3.
 	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
 	if len(fields) < 13 {
 		return 0, errors.New("unknown form of /proc/PID/stat")
--- a/internal/bench/slope/fit.go
+++ b/internal/bench/slope/fit.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Point is one measured size.
+// Point is the cost Y measured at the size X.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
@@ -19,10 +19,11 @@
 	ResidualStdDev float64 `json:"spread"`
 }
 
-// At returns the value of the line.
+// At returns the value of the line at x.
 func (line Line) At(x float64) float64 { return line.Intercept + line.Slope*x }
 
-// Fit returns the least-squares line through points of at least two sizes.
+// Fit returns the least-squares line through points. If all points have the same
+// size, the line is flat at their mean.
 func Fit(points []Point) Line {
 	count := float64(len(points))
 	var meanX, meanY float64
@@ -45,12 +46,12 @@
 		residual := point.Y - line.At(point.X)
 		squares += residual * residual
 	}
-	// Two degrees of freedom went into slope and intercept.
+	// Slope and intercept take two degrees of freedom.
 	line.ResidualStdDev = math.Sqrt(squares / max(1, count-2))
 	return line
 }
 
-// median returns the median; it reorders values.
+// median returns the median of values, which it sorts in place.
 func median(values []float64) float64 {
 	slices.Sort(values)
 	middle := len(values) / 2
--- a/internal/bench/slope/fit_test.go
+++ b/internal/bench/slope/fit_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// TestFit guards against projections from a wrong line.
+// TestFit guards against a wrong fit, which would falsify every extrapolated cost.
 func TestFit(t *testing.T) {
 	tests := []struct {
 		name   string
--- a/internal/bench/slope/fixture.go
+++ b/internal/bench/slope/fixture.go
@@ -11,7 +11,8 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 )
 
-// The sizes in two years, from section 3 of the design page.
+// The expected sizes of the deployment in two years, from section 3 of the
+// design page. Costs are extrapolated to them.
 const (
 	targetEntries   = 420
 	targetUpstreams = 7200
@@ -20,11 +21,11 @@
 	targetDomains   = 23
 )
 
-// serviceName is the one service of the synthetic configurations.
+// serviceName is the only service of the synthetic configurations.
 const serviceName = "advisor"
 
-// shape is the number of entries of a synthetic configuration.
-type shape struct {
+// configSize holds the numbers of entries of a synthetic configuration.
+type configSize struct {
 	organisations int
 	upstreams     int
 	adapters      int
@@ -39,7 +40,7 @@
 	return fmt.Sprintf("region-%d-domain-%02d", index%6, index%targetDomains)
 }
 
-// adapterSpec returns an adapter with two versions, as after one update.
+// adapterSpec returns an adapter with two versions, as it is after one update.
 func adapterSpec(index, organisations int) conf.AdapterSpec {
 	return conf.AdapterSpec{
 		Name: adapterName(index), Organisation: organisationName(index % max(1, organisations)), Service: serviceName,
@@ -47,13 +48,13 @@
 	}
 }
 
-// state returns a configuration of a shape as version 1.
-func (shape shape) state() replay.State {
+// state returns a configuration of this size as version 1.
+func (configSize configSize) state() replay.State {
 	editor := conf.New().Edit()
-	for index := range shape.organisations {
+	for index := range configSize.organisations {
 		var shards []string
-		for shard := range min(8, shape.upstreams) {
-			shards = append(shards, upstreamName((index*8+shard)%shape.upstreams))
+		for shard := range min(8, configSize.upstreams) {
+			shards = append(shards, upstreamName((index*8+shard)%configSize.upstreams))
 		}
 		editor.PutOrganisation(conf.OrganisationSpec{
 			Name: organisationName(index), Rate: 100_000, Burst: 1_000_000, Shards: shards,
@@ -64,20 +65,20 @@
 	editor.PutRoute(conf.RouteSpec{
 		Name: "default", Service: serviceName, MaxWait: 30 * time.Second, Idempotent: true, DefaultMaxTokens: 256,
 	})
-	for index := range shape.upstreams {
+	for index := range configSize.upstreams {
 		editor.PutUpstream(conf.UpstreamSpec{ID: upstreamName(index), Service: serviceName, FailureDomain: domainName(index)})
 	}
-	for index := range shape.adapters {
-		editor.PutAdapter(adapterSpec(index, shape.organisations))
+	for index := range configSize.adapters {
+		editor.PutAdapter(adapterSpec(index, configSize.organisations))
 	}
 	return replay.State{Config: editor.Commit(1), RecentPatches: []string{"initial"}}
 }
 
-// encoded returns the encoding of a configuration, as snapshots hold it.
-func (shape shape) encoded() ([]byte, error) { return codec.EncodeState(shape.state()) }
+// encoded returns a configuration of this size in the encoding of snapshots.
+func (configSize configSize) encoded() ([]byte, error) { return codec.EncodeState(configSize.state()) }
 
-// members returns the upstreams of a router.
-func members(count int) []policy.Member {
+// routerMembers returns upstreams as members of a router.
+func routerMembers(count int) []policy.Member {
 	list := make([]policy.Member, 0, count)
 	for index := range count {
 		list = append(list, policy.Member{ID: upstreamName(index), FailureDomain: domainName(index)})
--- a/internal/bench/slope/rows_config.go
+++ b/internal/bench/slope/rows_config.go
@@ -17,43 +17,43 @@
 	upstreamSizes = []float64{900, 1800, 3600, 5400, 7200}
 )
 
-// decoded returns the bytes that a configuration of a shape keeps alive. It is
-// decoded from a snapshot, as in a fresh process.
-func (shape shape) decoded() (float64, error) {
-	data, err := shape.encoded()
+// decodedHeap returns the bytes that a configuration of this size keeps alive
+// when it is decoded from a snapshot, as in a newly started process.
+func (configSize configSize) decodedHeap() (float64, error) {
+	data, err := configSize.encoded()
 	if err != nil {
 		return 0, err
 	}
-	size, _, err := heapOf(func() (replay.State, error) { return codec.DecodeState(data) })
+	size, _, err := retainedHeap(func() (replay.State, error) { return codec.DecodeState(data) })
 	runtime.KeepAlive(data)
 	return size, err
 }
 
-func configByAdapters(_ context.Context, size float64) (float64, error) {
-	return shape{organisations: 50, upstreams: 10, adapters: int(size)}.decoded()
+func configHeapByAdapters(_ context.Context, size float64) (float64, error) {
+	return configSize{organisations: 50, upstreams: 10, adapters: int(size)}.decodedHeap()
 }
 
-func configByUpstreams(_ context.Context, size float64) (float64, error) {
-	return shape{organisations: 50, upstreams: int(size), adapters: 10}.decoded()
+func configHeapByUpstreams(_ context.Context, size float64) (float64, error) {
+	return configSize{organisations: 50, upstreams: int(size), adapters: 10}.decodedHeap()
 }
 
-func configByOrganisations(_ context.Context, size float64) (float64, error) {
-	return shape{organisations: int(size), upstreams: 100, adapters: 10}.decoded()
+func configHeapByOrganisations(_ context.Context, size float64) (float64, error) {
+	return configSize{organisations: int(size), upstreams: 100, adapters: 10}.decodedHeap()
 }
 
-// foldPatch returns the time in ms that a process needs for a patch with one
-// operation.
-func foldPatch(_ context.Context, size float64) (float64, error) {
-	state := shape{organisations: 50, upstreams: 100, adapters: int(size)}.state()
-	folding := replay.New()
-	if !folding.InstallState(state, 1) {
+// patchTime returns the processor time in ms of applying a patch with one
+// operation, where size is the number of adapters.
+func patchTime(_ context.Context, size float64) (float64, error) {
+	state := configSize{organisations: 50, upstreams: 100, adapters: int(size)}.state()
+	replayer := replay.New()
+	if !replayer.InstallState(state, 1) {
 		return 0, fmt.Errorf("the state was not adopted")
 	}
 	const patches = 12
-	nanoseconds, err := processorPer(patches, func(index int) error {
+	nanoseconds, err := processTimePerCall(patches, func(index int) error {
 		spec := adapterSpec(index, 50)
 		spec.Versions = append(spec.Versions, 3)
-		result, _ := folding.ApplyPatch(uint64(index+1), patch.Patch{
+		result, _ := replayer.ApplyPatch(uint64(index+1), patch.Patch{
 			ID: fmt.Sprintf("patch-%d", index), BaseVersion: uint64(index + 1), Operator: "slope",
 			Ops: []patch.Op{patch.PutAdapter{Adapter: spec}},
 		})
@@ -65,11 +65,11 @@
 	return nanoseconds / 1e6, err
 }
 
-// foldPatchMemory returns what one patch with one operation allocates, in MB: the
-// former version stays alive while readers hold it.
-func foldPatchMemory(_ context.Context, size float64) (float64, error) {
-	state := shape{organisations: 50, upstreams: 100, adapters: int(size)}.state()
-	bytes, _, err := heapOf(func() (*conf.Config, error) {
+// patchMemory returns the memory in MB that a patch with one operation adds while
+// the former version of the configuration is still in use.
+func patchMemory(_ context.Context, size float64) (float64, error) {
+	state := configSize{organisations: 50, upstreams: 100, adapters: int(size)}.state()
+	bytes, _, err := retainedHeap(func() (*conf.Config, error) {
 		editor := state.Config.Edit()
 		editor.PutAdapter(adapterSpec(0, 50))
 		return editor.Commit(2), nil
@@ -78,11 +78,12 @@
 	return bytes / 1e6, err
 }
 
-// snapshot returns size in MB and encode and decode time in ms of a snapshot.
-func snapshot(_ context.Context, sizes []float64) ([]series, error) {
+// snapshotCosts measures the size in MB and the encode and decode time in ms of a
+// snapshot.
+func snapshotCosts(_ context.Context, sizes []float64) ([]series, error) {
 	result := []series{{suffix: "-size", unit: "MB"}, {suffix: "-encode", unit: "ms"}, {suffix: "-decode", unit: "ms"}}
 	for _, size := range sizes {
-		state := shape{organisations: 50, upstreams: 100, adapters: int(size)}.state()
+		state := configSize{organisations: 50, upstreams: 100, adapters: int(size)}.state()
 		var encode, decode []float64
 		var data []byte
 		for range repeats {
@@ -110,17 +111,17 @@
 
 func init() {
 	register(
-		row{name: "memory-config-adapter", what: "live heap of model.Config decoded from a snapshot", unit: "B",
-			size: "adapters", sizes: adapterSizes, quick: []float64{500, 1000, 1500, 2000}, target: targetAdapters, measure: configByAdapters},
-		row{name: "memory-config-upstream", what: "live heap of model.Config decoded from a snapshot", unit: "B",
-			size: "upstreams", sizes: upstreamSizes, target: targetUpstreams, measure: configByUpstreams},
-		row{name: "memory-config-organisation", what: "live heap of model.Config, with 8 shards and one key each", unit: "B",
-			size: "organisations", sizes: []float64{100, 500, 1000, 2000}, measure: configByOrganisations},
-		row{name: "time-config-change", what: "fold of a patch with one operation on an adapter", unit: "ms",
-			size: "adapters", sizes: adapterSizes, quick: []float64{500, 1000, 1500, 2000}, target: targetAdapters, measure: foldPatch},
-		row{name: "memory-config-change", what: "heap of the next version while the former one is in use", unit: "MB",
-			size: "adapters", sizes: adapterSizes, target: targetAdapters, measure: foldPatchMemory},
-		row{name: "snapshot", what: "snapshot of the configuration", size: "adapters", sizes: adapterSizes,
-			quick: []float64{500, 1000, 1500, 2000}, target: targetAdapters, all: snapshot},
+		row{name: "memory-config-adapter", description: "live heap of model.Config decoded from a snapshot", unit: "B",
+			sizeName: "adapters", sizes: adapterSizes, quickSizes: []float64{500, 1000, 1500, 2000}, target: targetAdapters, measure: configHeapByAdapters},
+		row{name: "memory-config-upstream", description: "live heap of model.Config decoded from a snapshot", unit: "B",
+			sizeName: "upstreams", sizes: upstreamSizes, target: targetUpstreams, measure: configHeapByUpstreams},
+		row{name: "memory-config-organisation", description: "live heap of model.Config, with 8 shards and one key each", unit: "B",
+			sizeName: "organisations", sizes: []float64{100, 500, 1000, 2000}, measure: configHeapByOrganisations},
+		row{name: "time-config-change", description: "fold of a patch with one operation on an adapter", unit: "ms",
+			sizeName: "adapters", sizes: adapterSizes, quickSizes: []float64{500, 1000, 1500, 2000}, target: targetAdapters, measure: patchTime},
+		row{name: "memory-config-change", description: "heap of the next version while the former one is in use", unit: "MB",
+			sizeName: "adapters", sizes: adapterSizes, target: targetAdapters, measure: patchMemory},
+		row{name: "snapshot", description: "snapshot of the configuration", sizeName: "adapters", sizes: adapterSizes,
+			quickSizes: []float64{500, 1000, 1500, 2000}, target: targetAdapters, measureAll: snapshotCosts},
 	)
 }
--- a/internal/bench/slope/rows_control.go
+++ b/internal/bench/slope/rows_control.go
@@ -12,62 +12,67 @@
 )
 
 const (
-	// sidesPerEntry is the ratio of 7,200 side processes to 420 entry instances.
+	// sidesPerEntry is the ratio of 7,200 side processes to 420 entry instances,
+	// the sizes in two years.
 	sidesPerEntry = 17
-	// sideRequests is the requests a second of one side process: 6,900 over 7,200.
-	sideRequests = 0.96
-	// controlTime is the time over which traffic is counted, and controlSettle
-	// the time before it in which connections are opened.
-	controlTime   = 15 * time.Second
-	controlSettle = 4 * time.Second
-	// startLimit bounds the start of a fleet.
-	startLimit = time.Minute
+	// requestRatePerSide is the number of requests a second for each side process:
+	// 6,900 for 7,200 side processes.
+	requestRatePerSide = 0.96
+	// controlWindow is the time over which traffic is counted, and controlWarmup
+	// the time before, in which connections are opened.
+	controlWindow = 15 * time.Second
+	controlWarmup = 4 * time.Second
+	// fleetStartTimeout limits the start of a fleet.
+	fleetStartTimeout = time.Minute
 )
 
-// controlRunners is the number of engines among the upstreams.
-const controlRunners = 4
+// controlEngines is the number of engines among the upstreams.
+const controlEngines = 4
 
 // controlDeployment returns a deployment with a number of upstreams and the
-// requests that these have in two years. Most requests go to plain services,
-// which draw tokens and report loads as engines do but need no adapter loads.
+// request rate that they have in two years. Most requests go to plain services:
+// their side processes draw tokens and report load as those of engines do, but
+// need no adapter loads.
 func controlDeployment(upstreams int) demo.Deployment {
 	deployment := demo.Bonsai()
-	deployment.Engines = controlRunners
-	deployment.PlainUpstreams = upstreams - controlRunners
+	deployment.Engines = controlEngines
+	deployment.PlainUpstreams = upstreams - controlEngines
 	deployment.Adapters = 50
-	deployment.RequestRate = sideRequests * float64(upstreams)
+	deployment.RequestRate = requestRatePerSide * float64(upstreams)
 	deployment.Mix = [4]float64{0.01, 0.01, 0.01, 0.97}
 	return deployment
 }
 
-// controlKinds are the kinds that count as control traffic between hosts.
+// controlKinds are the kinds of traffic that make up the control traffic between
+// hosts: among processes and with the platform.
 var controlKinds = []string{kindList, kindLog, kindClaims, kindAppend, kindSync, kindDraw, kindProbe}
 
-// control counts the control traffic of fleets without and with load.
-func control(ctx context.Context, sizes []float64) ([]series, error) {
-	totals := map[string]*series{}
-	var order []string
-	note := func(suffix, unit string, processes, value float64) {
-		if totals[suffix] == nil {
-			totals[suffix] = &series{suffix: suffix, unit: unit}
-			order = append(order, suffix)
+// controlTraffic measures the control traffic of fleets of several sizes, idle
+// and under load. sizes are numbers of side processes.
+func controlTraffic(ctx context.Context, sizes []float64) ([]series, error) {
+	seriesBySuffix := map[string]*series{}
+	var suffixes []string
+	addPoint := func(suffix, unit string, processes, value float64) {
+		if seriesBySuffix[suffix] == nil {
+			seriesBySuffix[suffix] = &series{suffix: suffix, unit: unit}
+			suffixes = append(suffixes, suffix)
 		}
-		totals[suffix].points = append(totals[suffix].points, Point{processes, value})
+		seriesBySuffix[suffix].points = append(seriesBySuffix[suffix].points, Point{processes, value})
 	}
 	for _, size := range sizes {
-		if err := controlOf(ctx, int(size), note); err != nil {
+		if err := measureControl(ctx, int(size), addPoint); err != nil {
 			return nil, err
 		}
 	}
-	slices.Sort(order)
-	result := make([]series, 0, len(order))
-	for _, suffix := range order {
-		result = append(result, *totals[suffix])
+	slices.Sort(suffixes)
+	result := make([]series, 0, len(suffixes))
+	for _, suffix := range suffixes {
+		result = append(result, *seriesBySuffix[suffix])
 	}
 	return result, nil
 }
 
-func controlOf(ctx context.Context, sides int, note func(suffix, unit string, processes, value float64)) error {
+func measureControl(ctx context.Context, sides int, addPoint func(suffix, unit string, processes, value float64)) error {
 	network := demo.NewMemoryNetwork()
 	counter := newCounter()
 	entries := max(1, sides/sidesPerEntry)
@@ -78,18 +83,18 @@
 		return err
 	}
 	defer fleet.Close()
-	starting, cancel := context.WithTimeout(ctx, startLimit)
+	startCtx, cancel := context.WithTimeout(ctx, fleetStartTimeout)
 	defer cancel()
-	if err := fleet.Start(starting); err != nil {
+	if err := fleet.Start(startCtx); err != nil {
 		return fmt.Errorf("the fleet did not become ready: %w", err)
 	}
 	processes := entries + sides
-	window := traffic{processes: processes, seconds: controlTime.Seconds()}
-	sleep(ctx, controlSettle)
-	counter.take()
-	sleep(ctx, controlTime)
-	window.flows = counter.take()
-	window.report("-idle", note)
+	window := traffic{processes: processes, seconds: controlWindow.Seconds()}
+	sleep(ctx, controlWarmup)
+	counter.takeCounts()
+	sleep(ctx, controlWindow)
+	window.counts = counter.takeCounts()
+	window.addPoints("-idle", addPoint)
 
 	generator := reqgen.New(reqgen.Config{
 		EntryURLs: fleet.EntryURLs, Plan: fleet.Plan(), Seed: 1, ExpectedToken: demo.ExpectedToken,
@@ -98,72 +103,74 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		generator.Run(ctx, controlSettle+controlTime)
+		generator.Run(ctx, controlWarmup+controlWindow)
 	}()
-	sleep(ctx, controlSettle)
-	counter.take()
+	sleep(ctx, controlWarmup)
+	counter.takeCounts()
 	before := generator.Report().Total().Completed
-	sleep(ctx, controlTime)
-	window.flows = counter.take()
+	sleep(ctx, controlWindow)
+	window.counts = counter.takeCounts()
 	window.requests = float64(generator.Report().Total().Completed - before)
 	<-done
-	window.report("-loaded", note)
+	window.addPoints("-loaded", addPoint)
 	return ctx.Err()
 }
 
-func sleep(ctx context.Context, length time.Duration) {
+// sleep waits for the duration or until the context ends.
+func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(length):
+	case <-time.After(duration):
 	}
 }
 
-// traffic is what a fleet sent in a time.
+// traffic is the traffic of a fleet over a period. processes, seconds and
+// requests are set only where addPoints uses them.
 type traffic struct {
-	flows     map[flowKey]flow
+	counts    map[trafficKey]trafficCount
 	processes int
 	seconds   float64
 	requests  float64
 }
 
-// report notes bytes a second of the mean process for each kind, counted at
-// both ends of connections between processes, and those of the process that
-// receives the most draws.
-func (traffic traffic) report(load string, note func(suffix, unit string, processes, value float64)) {
+// addPoints adds the bytes a second of the mean process for each kind, and the
+// draw traffic of the process that receives the most of it. Traffic between two
+// processes counts for both.
+func (traffic traffic) addPoints(prefix string, addPoint func(suffix, unit string, processes, value float64)) {
 	processes := float64(traffic.processes)
-	scale := 1 / traffic.seconds / processes
-	sum := 0.0
+	perProcessSecond := 1 / traffic.seconds / processes
+	total := 0.0
 	for _, kind := range controlKinds {
-		value, all := 0.0, traffic.kind(kind)
-		value = float64(all.sent+all.received) * scale
+		rate, count := 0.0, traffic.total(kind)
+		rate = float64(count.sent+count.received) * perProcessSecond
 		if slices.Contains([]string{kindSync, kindDraw, kindProbe}, kind) {
-			value *= 2
+			rate *= 2
 		}
-		sum += value
-		note(load+"-"+kind, "B/s", processes, value)
+		total += rate
+		addPoint(prefix+"-"+kind, "B/s", processes, rate)
 	}
-	note(load+"-total", "B/s", processes, sum)
-	sync := traffic.kind(kindSync)
-	note(load+"-sync-calls", "calls/s", processes, float64(sync.calls)*scale)
-	note(load+"-sync-dials", "dials/s", processes, float64(sync.dials)*scale)
-	state := traffic.kind(kindState)
-	note(load+"-engine-state", "B/s", processes, float64(state.sent+state.received)*scale)
+	addPoint(prefix+"-total", "B/s", processes, total)
+	syncs := traffic.total(kindSync)
+	addPoint(prefix+"-sync-calls", "calls/s", processes, float64(syncs.calls)*perProcessSecond)
+	addPoint(prefix+"-sync-dials", "dials/s", processes, float64(syncs.dials)*perProcessSecond)
+	state := traffic.total(kindState)
+	addPoint(prefix+"-engine-state", "B/s", processes, float64(state.sent+state.received)*perProcessSecond)
 	if traffic.requests > 0 {
-		draws := traffic.kind(kindDraw)
-		note(load+"-draw-calls", "calls/request", processes, float64(draws.calls)/traffic.requests)
-		note(load+"-draw-dials", "dials/request", processes, float64(draws.dials)/traffic.requests)
-		busiest, hosts := traffic.busiest(kindDraw)
-		note(load+"-draw-busiest-host", "B/s", processes, float64(busiest.sent+busiest.received)/traffic.seconds)
-		note(load+"-draw-busiest-calls", "calls/s", processes, float64(busiest.calls)/traffic.seconds)
-		note(load+"-draw-hosts", "hosts", processes, float64(hosts))
-		note(load+"-requests", "requests/s", processes, traffic.requests/traffic.seconds)
+		draws := traffic.total(kindDraw)
+		addPoint(prefix+"-draw-calls", "calls/request", processes, float64(draws.calls)/traffic.requests)
+		addPoint(prefix+"-draw-dials", "dials/request", processes, float64(draws.dials)/traffic.requests)
+		busiest, addresses := traffic.busiestAddress(kindDraw)
+		addPoint(prefix+"-draw-busiest-host", "B/s", processes, float64(busiest.sent+busiest.received)/traffic.seconds)
+		addPoint(prefix+"-draw-busiest-calls", "calls/s", processes, float64(busiest.calls)/traffic.seconds)
+		addPoint(prefix+"-draw-hosts", "hosts", processes, float64(addresses))
+		addPoint(prefix+"-requests", "requests/s", processes, traffic.requests/traffic.seconds)
 	}
 }
 
-// kind returns the sum of a kind over all addresses.
-func (traffic traffic) kind(kind string) flow {
-	var sum flow
-	for key, counted := range traffic.flows {
+// total returns the sum of a kind over all addresses.
+func (traffic traffic) total(kind string) trafficCount {
+	var sum trafficCount
+	for key, counted := range traffic.counts {
 		if key.kind == kind {
 			sum.sent += counted.sent
 			sum.received += counted.received
@@ -174,26 +181,26 @@
 	return sum
 }
 
-// busiest returns the traffic of the address with the most of a kind, and the
-// number of addresses with any.
-func (traffic traffic) busiest(kind string) (flow, int) {
-	var most flow
-	hosts := 0
-	for key, counted := range traffic.flows {
+// busiestAddress returns the traffic of the address that has the most bytes of a
+// kind, and the number of addresses that have any.
+func (traffic traffic) busiestAddress(kind string) (trafficCount, int) {
+	var busiest trafficCount
+	addresses := 0
+	for key, counted := range traffic.counts {
 		if key.kind != kind {
 			continue
 		}
-		hosts++
-		if counted.sent+counted.received > most.sent+most.received {
-			most = counted
+		addresses++
+		if counted.sent+counted.received > busiest.sent+busiest.received {
+			busiest = counted
 		}
 	}
-	return most, hosts
+	return busiest, addresses
 }
 
 func init() {
 	register(row{
-		name: "control", what: "control traffic of the mean process, payload of TCP, without TLS", unit: "B/s", size: "processes",
-		sizes: []float64{34, 85, 170, 272}, all: control,
+		name: "control", description: "control traffic of the mean process, payload of TCP, without TLS", unit: "B/s", sizeName: "processes",
+		sizes: []float64{34, 85, 170, 272}, measureAll: controlTraffic,
 	})
 }
--- a/internal/bench/slope/rows_peer.go
+++ b/internal/bench/slope/rows_peer.go
@@ -20,34 +20,36 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// quietPeer answers calls at once.
-type quietPeer struct {
+// stubPeer answers Sync and Draw calls at once with fixed responses.
+type stubPeer struct {
 	wirepb.DRPCPeerUnimplementedServer
 	wirepb.DRPCSideUnimplementedServer
 }
 
 // Sync implements wirepb.DRPCPeerServer.
-func (*quietPeer) Sync(_ context.Context, request *wirepb.SyncRequest) (*wirepb.SyncResponse, error) {
+func (*stubPeer) Sync(_ context.Context, request *wirepb.SyncRequest) (*wirepb.SyncResponse, error) {
 	return &wirepb.SyncResponse{Version: request.GetVersion(), Offset: request.GetOffset()}, nil
 }
 
 // Draw implements wirepb.DRPCSideServer.
-func (*quietPeer) Draw(context.Context, *wirepb.DrawRequest) (*wirepb.DrawResponse, error) {
+func (*stubPeer) Draw(context.Context, *wirepb.DrawRequest) (*wirepb.DrawResponse, error) {
 	return &wirepb.DrawResponse{GrantId: 1 << 60, Incarnation: 1 << 40, Tokens: 1000, Level: 100_000, LifetimeUs: 500_000}, nil
 }
 
-// servePeer serves a quietPeer on loopback until the returned function is called.
-func servePeer(ctx context.Context) (string, func(), error) {
+// serveStubPeer serves a stubPeer on a loopback address until the returned
+// function is called.
+func serveStubPeer(ctx context.Context) (string, func(), error) {
 	return serveDRPC(ctx, nil, func(mux drpc.Mux) error {
-		if err := wirepb.DRPCRegisterSide(mux, &quietPeer{}); err != nil {
+		if err := wirepb.DRPCRegisterSide(mux, &stubPeer{}); err != nil {
 			return err
 		}
-		return wirepb.DRPCRegisterPeer(mux, &quietPeer{})
+		return wirepb.DRPCRegisterPeer(mux, &stubPeer{})
 	})
 }
 
-// serveDRPC serves on loopback until the returned function is called.
-func serveDRPC(ctx context.Context, secure *tls.Config, add conns.RegisterServices) (string, func(), error) {
+// serveDRPC serves on a loopback address until the returned function is called. A
+// nil tlsConfig serves without TLS.
+func serveDRPC(ctx context.Context, tlsConfig *tls.Config, register conns.RegisterServices) (string, func(), error) {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, err
@@ -56,7 +58,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = conns.Serve(ctx, listener, secure, add)
+		_ = conns.Serve(ctx, listener, tlsConfig, register)
 	}()
 	return listener.Addr().String(), func() {
 		cancel()
@@ -64,22 +66,23 @@
 	}, nil
 }
 
-// connectionMemory returns the heap and stacks of idle connections between
-// processes. Both ends are in this process.
-func connectionMemory(ctx context.Context, size float64) (float64, error) {
-	address, stop, err := servePeer(ctx)
+// connectionHeap returns the bytes of heap and stacks of idle connections
+// between processes. Both ends are in this process.
+func connectionHeap(ctx context.Context, size float64) (float64, error) {
+	address, stop, err := serveStubPeer(ctx)
 	if err != nil {
 		return 0, err
 	}
 	defer stop()
 	pool := conns.New(conns.Config{MaxIdlePerAddress: int(size)})
 	defer func() { _ = pool.Close() }()
-	bytes, _, err := heapOf(func() (struct{}, error) { return struct{}{}, openIdle(ctx, pool, address, int(size)) })
+	bytes, _, err := retainedHeap(func() (struct{}, error) { return struct{}{}, openIdle(ctx, pool, address, int(size)) })
 	runtime.KeepAlive(pool)
 	return bytes, err
 }
 
-// openIdle opens connections, uses each once and gives them all back.
+// openIdle opens connections, makes a call on each and returns them all to the
+// pool.
 func openIdle(ctx context.Context, pool *conns.Pool, address string, count int) error {
 	open := make([]*conns.Conn, 0, count)
 	for range count {
@@ -93,7 +96,7 @@
 	failed := make(chan error, count)
 	for _, conn := range open {
 		calls.Go(func() {
-			// Calls at the same time need a connection each.
+			// All connections are in use at the same time, so that none is shared.
 			if _, err := wirepb.NewDRPCPeerClient(conn).Sync(ctx, &wirepb.SyncRequest{}); err != nil {
 				failed <- err
 			}
@@ -111,18 +114,18 @@
 	}
 }
 
-// calls returns points of processor time in ms against a number of calls on one
-// connection, both ends together.
-func calls(call func(ctx context.Context, conn drpc.Conn) error) func(context.Context, float64) (float64, error) {
+// callTime returns a measurement of the processor time in ms of a number of calls
+// on one connection, both ends together.
+func callTime(call func(ctx context.Context, conn drpc.Conn) error) func(context.Context, float64) (float64, error) {
 	return func(ctx context.Context, size float64) (float64, error) {
-		address, stop, err := servePeer(ctx)
+		address, stop, err := serveStubPeer(ctx)
 		if err != nil {
 			return 0, err
 		}
 		defer stop()
 		pool := conns.New(conns.Config{})
 		defer func() { _ = pool.Close() }()
-		each, err := processorPer(int(size), func(int) error {
+		perCall, err := processTimePerCall(int(size), func(int) error {
 			conn, err := pool.Get(ctx, address)
 			if err != nil {
 				return err
@@ -130,7 +133,7 @@
 			defer conn.Release()
 			return call(ctx, conn)
 		})
-		return each * size / 1e6, err
+		return perCall * size / 1e6, err
 	}
 }
 
@@ -148,8 +151,8 @@
 	return err
 }
 
-// listed returns the instance list of a fleet.
-func listed(count int) []infra.Instance {
+// instanceList returns the instance list of a fleet.
+func instanceList(count int) []infra.Instance {
 	list := make([]infra.Instance, 0, count)
 	for index := range count {
 		instance := infra.Instance{
@@ -164,13 +167,13 @@
 	return list
 }
 
-// pollList measures the instance list: bytes of a complete answer, memory of the
-// view, and processor time of a poll after one change, the platform's part
-// taken off by a poll whose answer is not folded.
-func pollList(ctx context.Context, sizes []float64) ([]series, error) {
+// instanceListCosts measures the instance list: the size of a complete response,
+// the memory that the roster keeps for it, and the processor time of a poll after
+// one change, less the time that the platform simulator used to answer it.
+func instanceListCosts(ctx context.Context, sizes []float64) ([]series, error) {
 	result := []series{{suffix: "-answer", unit: "MB"}, {suffix: "-memory", unit: "MB"}, {suffix: "-change", unit: "ms"}}
 	for _, size := range sizes {
-		values, err := pollListOf(ctx, int(size))
+		values, err := measureInstanceList(ctx, int(size))
 		if err != nil {
 			return nil, err
 		}
@@ -181,72 +184,72 @@
 	return result, nil
 }
 
-func pollListOf(ctx context.Context, size int) ([]float64, error) {
+func measureInstanceList(ctx context.Context, size int) ([]float64, error) {
 	config := infra.DefaultConfig()
 	config.ListLag = 0
 	platform, err := infra.New(config)
 	if err != nil {
 		return nil, err
 	}
-	list := listed(size)
+	list := instanceList(size)
 	for _, instance := range list {
 		if err := platform.PutInstance(instance); err != nil {
 			return nil, err
 		}
 	}
 	recorder := &recordingTransport{handler: platform}
-	watched := roster.New(roster.Config{URL: "http://platform", HTTP: &http.Client{Transport: recorder}})
-	memory, _, err := heapOf(func() (struct{}, error) { return struct{}{}, watched.Poll(ctx) })
+	instances := roster.New(roster.Config{URL: "http://platform", HTTP: &http.Client{Transport: recorder}})
+	memory, _, err := retainedHeap(func() (struct{}, error) { return struct{}{}, instances.Poll(ctx) })
 	complete := float64(recorder.bytes)
 	if err != nil {
 		return nil, err
 	}
-	var costs []float64
+	var times []float64
 	for index := range repeats {
 		list[index].State = infra.StateDraining
 		if err := platform.PutInstance(list[index]); err != nil {
 			return nil, err
 		}
 		time.Sleep(2 * time.Millisecond)
-		before := usage(syscall.RUSAGE_SELF)
-		if err := watched.Poll(ctx); err != nil {
+		before := cpuTime(syscall.RUSAGE_SELF)
+		if err := instances.Poll(ctx); err != nil {
 			return nil, err
 		}
-		costs = append(costs, milliseconds(usage(syscall.RUSAGE_SELF)-before-recorder.spent))
+		times = append(times, milliseconds(cpuTime(syscall.RUSAGE_SELF)-before-recorder.cpuTime))
 	}
 	runtime.KeepAlive(platform)
-	return []float64{complete / 1e6, memory / 1e6, median(costs)}, nil
+	return []float64{complete / 1e6, memory / 1e6, median(times)}, nil
 }
 
-// recordingTransport answers from a handler. It notes the length of the last
-// answer and the processor time that the handler spent on it.
+// recordingTransport passes requests to a handler. It records the length of the
+// last response and the processor time that the handler used for it.
 type recordingTransport struct {
 	handler http.Handler
 	bytes   int
-	spent   time.Duration
+	cpuTime time.Duration
 }
 
 // RoundTrip implements http.RoundTripper.
 func (transport *recordingTransport) RoundTrip(request *http.Request) (*http.Response, error) {
-	before := usage(syscall.RUSAGE_SELF)
+	before := cpuTime(syscall.RUSAGE_SELF)
 	recorder := httptest.NewRecorder()
 	transport.handler.ServeHTTP(recorder, request)
 	transport.bytes = recorder.Body.Len()
-	transport.spent = usage(syscall.RUSAGE_SELF) - before
+	transport.cpuTime = cpuTime(syscall.RUSAGE_SELF) - before
 	return recorder.Result(), nil
 }
 
 func init() {
-	calling := []float64{1000, 2000, 4000, 8000}
+	callCounts := []float64{1000, 2000, 4000, 8000}
 	quick := []float64{100, 200, 300, 400}
 	register(
-		row{name: "memory-connection", what: "idle connection between two processes, both ends, heap and stacks", unit: "B",
-			size: "connections", sizes: []float64{100, 200, 400, 800}, quick: []float64{5, 10, 15, 20}, measure: connectionMemory},
-		row{name: "time-sync-call", what: "Sync call without news on loopback, both ends", unit: "ms",
-			size: "calls", sizes: calling, quick: quick, measure: calls(callSync)},
-		row{name: "time-draw-call", what: "Draw call on loopback, both ends, without the shard's own time", unit: "ms",
-			size: "calls", sizes: calling, quick: quick, measure: calls(callDraw)},
-		row{name: "list", what: "instance list: complete answer, memory of its view, folding one change", size: "instances",
-			sizes: []float64{950, 1900, 3800, 5700, 7620}, quick: []float64{50, 100, 150, 200}, target: targetInstances, all: pollList},
+		row{name: "memory-connection", description: "idle connection between two processes, both ends, heap and stacks", unit: "B",
+			sizeName: "connections", sizes: []float64{100, 200, 400, 800}, quickSizes: []float64{5, 10, 15, 20}, measure: connectionHeap},
+		row{name: "time-sync-call", description: "Sync call without news on loopback, both ends", unit: "ms",
+			sizeName: "calls", sizes: callCounts, quickSizes: quick, measure: callTime(callSync)},
+		row{name: "time-draw-call", description: "Draw call on loopback, both ends, without the shard's own time", unit: "ms",
+			sizeName: "calls", sizes: callCounts, quickSizes: quick, measure: callTime(callDraw)},
+		row{name: "list", description: "instance list: complete answer, memory of its view, folding one change", sizeName: "instances",
+			sizes: []float64{950, 1900, 3800, 5700, 7620}, quickSizes: []float64{50, 100, 150, 200}, target: targetInstances, measureAll: instanceListCosts},
 	)
 }
--- a/internal/bench/slope/rows_process.go
+++ b/internal/bench/slope/rows_process.go
@@ -8,20 +8,22 @@
 )
 
 const (
-	// idleTime is the time over which an idle process is watched.
-	idleTime = 10 * time.Second
-	// settleTime lets a fresh process give back what its start needed.
-	settleTime = 3 * time.Second
-	// changes is the number of patches published while processes are watched,
-	// one each changeGap.
-	changes   = 100
-	changeGap = 50 * time.Millisecond
+	// idleWindow is the time over which the processor time of an idle process is
+	// measured.
+	idleWindow = 10 * time.Second
+	// settleDuration is the time in which a new process returns the memory that its
+	// start needed.
+	settleDuration = 3 * time.Second
+	// patchCount is the number of patches whose processor time is measured, and
+	// patchInterval the time between two of them.
+	patchCount    = 100
+	patchInterval = 50 * time.Millisecond
 )
 
-// table collects the points of several costs.
+// table collects the points of several costs by the suffix of their names.
 type table struct {
-	order  []string
-	series map[string]*series
+	suffixes []string
+	series   map[string]*series
 }
 
 func (table *table) add(suffix, unit string, size, value float64) {
@@ -30,27 +32,28 @@
 	}
 	if table.series[suffix] == nil {
 		table.series[suffix] = &series{suffix: suffix, unit: unit}
-		table.order = append(table.order, suffix)
+		table.suffixes = append(table.suffixes, suffix)
 	}
 	table.series[suffix].points = append(table.series[suffix].points, Point{size, value})
 }
 
 func (table *table) list() []series {
-	list := make([]series, 0, len(table.order))
-	for _, suffix := range table.order {
+	list := make([]series, 0, len(table.suffixes))
+	for _, suffix := range table.suffixes {
 		list = append(list, *table.series[suffix])
 	}
 	return list
 }
 
-// processes measures an entry instance and a side process of the real binary
-// with configurations of several shapes.
-func processes(build func(size float64) (state shape, listed int)) func(context.Context, []float64) ([]series, error) {
+// processCosts measures an entry instance and a side process of the real binary
+// with configurations of several sizes. configOf returns the configuration and
+// the number of listed instances for a size.
+func processCosts(configOf func(size float64) (config configSize, instances int)) func(context.Context, []float64) ([]series, error) {
 	return func(ctx context.Context, sizes []float64) ([]series, error) {
 		var table table
 		for _, size := range sizes {
-			state, listed := build(size)
-			if err := processesOf(ctx, state, listed, size, &table); err != nil {
+			config, instances := configOf(size)
+			if err := measureProcesses(ctx, config, instances, size, &table); err != nil {
 				return nil, err
 			}
 		}
@@ -58,61 +61,61 @@
 	}
 }
 
-func processesOf(ctx context.Context, state shape, instances int, size float64, table *table) error {
-	ground, err := newGround(ctx, state)
+func measureProcesses(ctx context.Context, config configSize, instances int, size float64, table *table) error {
+	environment, err := newEnvironment(ctx, config)
 	if err != nil {
 		return err
 	}
-	defer ground.close()
-	// The other instances are listed at an address that refuses connections.
-	for _, instance := range listed(instances) {
+	defer environment.close()
+	// The other instances don't exist: their address refuses connections.
+	for _, instance := range instanceList(instances) {
 		instance.Address = "127.0.0.1:1"
 		if instance.Upstream == upstreamName(0) {
 			continue
 		}
-		if err := ground.platform.PutInstance(instance); err != nil {
+		if err := environment.platform.PutInstance(instance); err != nil {
 			return err
 		}
 	}
 	roles := []string{"side", "entry"}
 	running := map[string]*osProcess{}
 	for _, role := range roles {
-		ground.counter.take()
+		environment.counter.takeCounts()
 		if role == "side" {
-			running[role], err = ground.startSide(ctx, upstreamName(0), ground.url, 1)
+			running[role], err = environment.startSide(ctx, upstreamName(0), environment.url, 1)
 		} else {
-			running[role], err = ground.startEntry(ctx)
+			running[role], err = environment.startEntry(ctx)
 		}
 		if err != nil {
 			return err
 		}
-		started := traffic{flows: ground.counter.take()}.kind(kindLog)
+		logTraffic := traffic{counts: environment.counter.takeCounts()}.total(kindLog)
 		table.add("-"+role+"-start", "s", size, running[role].startup.Seconds())
-		table.add("-"+role+"-start-log", "MB", size, float64(started.received)/1e6)
+		table.add("-"+role+"-start-log", "MB", size, float64(logTraffic.received)/1e6)
 	}
-	sleep(ctx, settleTime)
+	sleep(ctx, settleDuration)
 	for _, role := range roles {
-		if err := watch(ctx, running[role], "-"+role, size, table); err != nil {
+		if err := measureIdle(ctx, running[role], "-"+role, size, table); err != nil {
 			return err
 		}
 	}
-	return watchChanges(ctx, ground, roles, running, size, table)
+	return measurePatches(ctx, environment, roles, running, size, table)
 }
 
-// watch notes memory and processor time of an idle process.
-func watch(ctx context.Context, process *osProcess, prefix string, size float64, table *table) error {
-	before, err := process.processor()
+// measureIdle measures memory and processor time of an idle process.
+func measureIdle(ctx context.Context, process *osProcess, prefix string, size float64, table *table) error {
+	before, err := process.cpuTime()
 	if err != nil {
 		return err
 	}
-	sleep(ctx, idleTime)
-	after, err := process.processor()
+	sleep(ctx, idleWindow)
+	after, err := process.cpuTime()
 	if err != nil {
 		return err
 	}
-	table.add(prefix+"-idle", "% of a core", size, 100*(after-before).Seconds()/idleTime.Seconds())
+	table.add(prefix+"-idle", "% of a core", size, 100*(after-before).Seconds()/idleWindow.Seconds())
 	for suffix, field := range map[string]string{"-resident": "VmRSS", "-private": "RssAnon", "-peak": "VmHWM"} {
-		value, err := process.status(field)
+		value, err := process.statusBytes(field)
 		if err != nil {
 			return err
 		}
@@ -121,32 +124,33 @@
 	return nil
 }
 
-// watchChanges notes the processor time for each patch. What an idle process
-// uses in the same time is below the spread.
-func watchChanges(ctx context.Context, ground *ground, roles []string, running map[string]*osProcess, size float64, table *table) error {
+// measurePatches measures the processor time for each patch. The idle processor
+// time in the same period is not subtracted, since it is below the standard
+// deviation of the residuals.
+func measurePatches(ctx context.Context, environment *environment, roles []string, running map[string]*osProcess, size float64, table *table) error {
 	before := map[string]time.Duration{}
 	for _, role := range roles {
 		var err error
-		if before[role], err = running[role].processor(); err != nil {
+		if before[role], err = running[role].cpuTime(); err != nil {
 			return err
 		}
 	}
-	for index := range changes {
+	for index := range patchCount {
 		spec := adapterSpec(0, 1)
 		spec.Versions = append(spec.Versions, uint32(index+3))
-		if err := ground.publish(patch.PutAdapter{Adapter: spec}); err != nil {
+		if err := environment.publishPatch(patch.PutAdapter{Adapter: spec}); err != nil {
 			return err
 		}
-		sleep(ctx, changeGap)
+		sleep(ctx, patchInterval)
 	}
 	sleep(ctx, time.Second)
 	for _, role := range roles {
-		after, err := running[role].processor()
+		after, err := running[role].cpuTime()
 		if err != nil {
 			return err
 		}
-		table.add("-"+role+"-change", "ms", size, milliseconds(after-before[role])/changes)
-		peak, err := running[role].status("VmHWM")
+		table.add("-"+role+"-change", "ms", size, milliseconds(after-before[role])/patchCount)
+		peak, err := running[role].statusBytes("VmHWM")
 		if err != nil {
 			return err
 		}
@@ -155,28 +159,28 @@
 	return nil
 }
 
-func byAdapters(size float64) (state shape, instances int) {
-	return shape{organisations: 50, upstreams: 10, adapters: int(size)}, 10
+func byAdapters(size float64) (config configSize, instances int) {
+	return configSize{organisations: 50, upstreams: 10, adapters: int(size)}, 10
 }
 
-func byUpstreams(size float64) (state shape, instances int) {
-	return shape{organisations: 50, upstreams: int(size), adapters: 1000}, int(size) * targetInstances / targetUpstreams
+func byUpstreams(size float64) (config configSize, instances int) {
+	return configSize{organisations: 50, upstreams: int(size), adapters: 1000}, int(size) * targetInstances / targetUpstreams
 }
 
-// byScale returns a part of the configuration in two years, in percent.
-func byScale(size float64) (state shape, instances int) {
-	return shape{
+// byScale returns the configuration in two years, scaled to size percent.
+func byScale(size float64) (config configSize, instances int) {
+	return configSize{
 		organisations: 50, upstreams: int(size) * targetUpstreams / 100, adapters: int(size) * targetAdapters / 100,
 	}, int(size) * targetInstances / 100
 }
 
 func init() {
 	register(
-		row{name: "process-scale", what: "real binary with 50 organisations and parts of 170,000 adapters, 7,200 upstreams and 7,620 instances",
-			unit: "MB", size: "percent of the size in two years", sizes: []float64{25, 50, 75, 100}, target: 100, all: processes(byScale)},
-		row{name: "process-adapters", what: "real binary with 10 upstreams and 50 organisations", unit: "MB",
-			size: "adapters", sizes: append([]float64{1000}, adapterSizes...), target: targetAdapters, all: processes(byAdapters)},
-		row{name: "process-upstreams", what: "real binary with 1,000 adapters, 50 organisations and all instances listed", unit: "MB",
-			size: "upstreams", sizes: []float64{10, 1800, 3600, 5400, 7200}, target: targetUpstreams, all: processes(byUpstreams)},
+		row{name: "process-scale", description: "real binary with 50 organisations and parts of 170,000 adapters, 7,200 upstreams and 7,620 instances",
+			unit: "MB", sizeName: "percent of the size in two years", sizes: []float64{25, 50, 75, 100}, target: 100, measureAll: processCosts(byScale)},
+		row{name: "process-adapters", description: "real binary with 10 upstreams and 50 organisations", unit: "MB",
+			sizeName: "adapters", sizes: append([]float64{1000}, adapterSizes...), target: targetAdapters, measureAll: processCosts(byAdapters)},
+		row{name: "process-upstreams", description: "real binary with 1,000 adapters, 50 organisations and all instances listed", unit: "MB",
+			sizeName: "upstreams", sizes: []float64{10, 1800, 3600, 5400, 7200}, target: targetUpstreams, measureAll: processCosts(byUpstreams)},
 	)
 }
--- a/internal/bench/slope/rows_request.go
+++ b/internal/bench/slope/rows_request.go
@@ -12,24 +12,26 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/bench/engsim"
-	configured "jacinthfront.dev/jacinthfront/internal/state/conf"
+	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/creds"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 )
 
 const (
-	// lanes is the number of requests at a time where they are counted.
-	lanes = 16
-	// requestTokens is the length of answers where requests are counted, and
-	// tokenRequests the number of requests where tokens are.
-	requestTokens = 16
-	tokenRequests = 1500
+	// requestConcurrency is the number of requests in flight at a time in the rows
+	// about processor time.
+	requestConcurrency = 16
+	// responseTokens is the number of tokens in a response where the number of
+	// requests varies, and tokenRowRequests the number of requests for each point
+	// where the number of tokens varies.
+	responseTokens   = 16
+	tokenRowRequests = 1500
 )
 
-// path is an entry instance and a side process of the real binary before an
-// engine stand-in in this process.
-type path struct {
-	*ground
+// requestPath is the path of a request through the real binary: an entry instance
+// and a side process in front of an engine simulator in this process.
+type requestPath struct {
+	*environment
 	engine  *engsim.Engine
 	side    *osProcess
 	entry   *osProcess
@@ -40,50 +42,51 @@
 	tokens  atomic.Int64
 }
 
-// newPath starts both processes and warms the path up.
-func newPath(ctx context.Context, config engsim.Config, concurrency int) (*path, error) {
+// newRequestPath starts both processes and sends some requests to warm them up.
+func newRequestPath(ctx context.Context, config engsim.Config, concurrency int) (*requestPath, error) {
 	key, spec := creds.Issue(organisationName(0))
-	ground, err := newGround(ctx, shape{organisations: 1, upstreams: 1, adapters: 50}, spec)
+	environment, err := newEnvironment(ctx, configSize{organisations: 1, upstreams: 1, adapters: 50}, spec)
 	if err != nil {
 		return nil, err
 	}
-	path := &path{ground: ground, key: key, prompts: longPrompts(adapterName(0))}
-	path.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2048}}
-	if err := path.begin(ctx, config, concurrency); err != nil {
-		ground.close()
+	requestPath := &requestPath{environment: environment, key: key, prompts: longResponsePrompts(adapterName(0))}
+	requestPath.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2048}}
+	if err := requestPath.startProcesses(ctx, config, concurrency); err != nil {
+		environment.close()
 		return nil, err
 	}
-	return path, nil
+	return requestPath, nil
 }
 
-func (path *path) begin(ctx context.Context, config engsim.Config, concurrency int) error {
-	// One large organisation, so that no request waits for its tokens.
-	err := path.publish(patch.PutOrganisation{Organisation: configured.OrganisationSpec{
+func (requestPath *requestPath) startProcesses(ctx context.Context, config engsim.Config, concurrency int) error {
+	// The organisation's rate is so high that no request waits for tokens.
+	err := requestPath.publishPatch(patch.PutOrganisation{Organisation: conf.OrganisationSpec{
 		Name: organisationName(0), Rate: 100_000_000, Burst: 1_000_000_000,
 	}})
 	if err != nil {
 		return err
 	}
-	if path.engine, err = engsim.New(config); err != nil {
+	if requestPath.engine, err = engsim.New(config); err != nil {
 		return err
 	}
-	path.stops = append(path.stops, path.engine.Close)
-	address, err := path.serve(ctx, path.engine)
+	requestPath.cleanups = append(requestPath.cleanups, requestPath.engine.Close)
+	address, err := requestPath.serve(ctx, requestPath.engine)
 	if err != nil {
 		return err
 	}
-	if path.side, err = path.startSide(ctx, upstreamName(0), "http://"+address, concurrency); err != nil {
+	if requestPath.side, err = requestPath.startSide(ctx, upstreamName(0), "http://"+address, concurrency); err != nil {
 		return err
 	}
-	if path.entry, err = path.startEntry(ctx); err != nil {
+	if requestPath.entry, err = requestPath.startEntry(ctx); err != nil {
 		return err
 	}
-	sleep(ctx, settleTime)
-	return path.send(ctx, 100, lanes, requestTokens)
+	sleep(ctx, settleDuration)
+	return requestPath.sendRequests(ctx, 100, requestConcurrency, responseTokens)
 }
 
-// longPrompts returns prompts whose answers are as long as any row asks for.
-func longPrompts(adapter string) []string {
+// longResponsePrompts returns prompts for which the engine simulator generates at
+// least 520 tokens, more than any row asks for.
+func longResponsePrompts(adapter string) []string {
 	var prompts []string
 	for index := 0; len(prompts) < 32; index++ {
 		prompt := fmt.Sprintf("Write letter %06d about a juniper of great age, with care and at length.", index)
@@ -94,16 +97,17 @@
 	return prompts
 }
 
-// send sends requests in lanes and waits for the answers.
-func (path *path) send(ctx context.Context, count, lanes, tokens int) error {
-	var left atomic.Int64
-	left.Store(int64(count))
+// sendRequests sends count requests, concurrency of them at a time, and waits for
+// the responses. tokens is the maximum length of a response.
+func (requestPath *requestPath) sendRequests(ctx context.Context, count, concurrency, tokens int) error {
+	var remaining atomic.Int64
+	remaining.Store(int64(count))
 	var sending sync.WaitGroup
-	failed := make(chan error, lanes)
-	for range lanes {
+	failed := make(chan error, concurrency)
+	for range concurrency {
 		sending.Go(func() {
-			for left.Add(-1) >= 0 {
-				if err := path.exchange(ctx, tokens); err != nil {
+			for remaining.Add(-1) >= 0 {
+				if err := requestPath.sendRequest(ctx, tokens); err != nil {
 					failed <- err
 					return
 				}
@@ -119,34 +123,35 @@
 	}
 }
 
-func (path *path) exchange(ctx context.Context, tokens int) error {
-	number := path.sent.Add(1)
+func (requestPath *requestPath) sendRequest(ctx context.Context, tokens int) error {
+	number := requestPath.sent.Add(1)
 	body, err := json.Marshal(map[string]any{
-		"model": adapterName(0), "prompt": path.prompts[int(number)%len(path.prompts)], "max_tokens": tokens, "stream": true,
+		"model": adapterName(0), "prompt": requestPath.prompts[int(number)%len(requestPath.prompts)], "max_tokens": tokens, "stream": true,
 	})
 	if err != nil {
 		return err
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+path.entry.callers+"/v1/completions", bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+requestPath.entry.callers+"/v1/completions", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	request.Header.Set("Authorization", "Bearer "+path.key)
+	request.Header.Set("Authorization", "Bearer "+requestPath.key)
 	request.Header.Set("Content-Type", "application/json")
-	response, err := path.client.Do(request)
+	response, err := requestPath.client.Do(request)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(response.Body)
-	if err != nil || response.StatusCode != http.StatusOK || !bytes.Contains(answer, []byte("[DONE]")) {
-		return fmt.Errorf("status %d, %w: %.300s", response.StatusCode, err, answer)
+	content, err := io.ReadAll(response.Body)
+	if err != nil || response.StatusCode != http.StatusOK || !bytes.Contains(content, []byte("[DONE]")) {
+		return fmt.Errorf("status %d, %w: %.300s", response.StatusCode, err, content)
 	}
-	path.tokens.Add(int64(bytes.Count(answer, []byte("data:"))))
+	requestPath.tokens.Add(int64(bytes.Count(content, []byte("data:"))))
 	return nil
 }
 
-// fastEngine returns an engine whose steps take little time.
+// fastEngine returns the configuration of an engine simulator whose steps take a
+// fixed time and whose prefill takes none.
 func fastEngine(step time.Duration) engsim.Config {
 	config := engsim.DefaultConfig()
 	config.StepBase, config.StepPerRequest, config.StepPerAdapter = step, 0, 0
@@ -155,37 +160,38 @@
 	return config
 }
 
-// costs runs requests and notes the processor time of both processes.
-func (path *path) costs(ctx context.Context, count, tokens int) (entry, side time.Duration, err error) {
+// measureCPUTime sends requests and returns the processor time that both
+// processes used for them.
+func (requestPath *requestPath) measureCPUTime(ctx context.Context, count, tokens int) (entry, side time.Duration, err error) {
 	var before, after [2]time.Duration
-	both := []*osProcess{path.entry, path.side}
+	both := []*osProcess{requestPath.entry, requestPath.side}
 	for index, process := range both {
-		if before[index], err = process.processor(); err != nil {
+		if before[index], err = process.cpuTime(); err != nil {
 			return 0, 0, err
 		}
 	}
-	if err := path.send(ctx, count, lanes, tokens); err != nil {
+	if err := requestPath.sendRequests(ctx, count, requestConcurrency, tokens); err != nil {
 		return 0, 0, err
 	}
 	for index, process := range both {
-		if after[index], err = process.processor(); err != nil {
+		if after[index], err = process.cpuTime(); err != nil {
 			return 0, 0, err
 		}
 	}
 	return after[0] - before[0], after[1] - before[1], nil
 }
 
-// perRequest measures the processor time of both processes against the number
+// requestCPUTime measures the processor time of both processes against the number
 // of requests.
-func perRequest(ctx context.Context, sizes []float64) ([]series, error) {
-	path, err := newPath(ctx, fastEngine(time.Millisecond), 64)
+func requestCPUTime(ctx context.Context, sizes []float64) ([]series, error) {
+	requestPath, err := newRequestPath(ctx, fastEngine(time.Millisecond), 64)
 	if err != nil {
 		return nil, err
 	}
-	defer path.close()
+	defer requestPath.close()
 	var table table
 	for _, size := range sizes {
-		entry, side, err := path.costs(ctx, int(size), requestTokens)
+		entry, side, err := requestPath.measureCPUTime(ctx, int(size), responseTokens)
 		if err != nil {
 			return nil, err
 		}
@@ -195,58 +201,58 @@
 	return table.list(), nil
 }
 
-// perToken measures the processor time of a request at both processes against
-// the number of tokens in its answer.
-func perToken(ctx context.Context, sizes []float64) ([]series, error) {
-	path, err := newPath(ctx, fastEngine(time.Millisecond), 64)
+// tokenCPUTime measures the processor time of a request at both processes against
+// the number of tokens in its response.
+func tokenCPUTime(ctx context.Context, sizes []float64) ([]series, error) {
+	requestPath, err := newRequestPath(ctx, fastEngine(time.Millisecond), 64)
 	if err != nil {
 		return nil, err
 	}
-	defer path.close()
+	defer requestPath.close()
 	var table table
 	for _, size := range sizes {
-		entry, side, err := path.costs(ctx, tokenRequests, int(size))
+		entry, side, err := requestPath.measureCPUTime(ctx, tokenRowRequests, int(size))
 		if err != nil {
 			return nil, err
 		}
-		table.add("-entry", "us", size, milliseconds(entry)*1000/tokenRequests)
-		table.add("-side", "us", size, milliseconds(side)*1000/tokenRequests)
+		table.add("-entry", "us", size, milliseconds(entry)*1000/tokenRowRequests)
+		table.add("-side", "us", size, milliseconds(side)*1000/tokenRowRequests)
 	}
 	return table.list(), nil
 }
 
-// holdTime is how long requests are held before memory is read.
-const holdTime = 8 * time.Second
+// holdDuration is how long requests are in flight before memory is measured.
+const holdDuration = 8 * time.Second
 
-// inFlight measures resident memory of both processes against the number of
-// running requests.
-func inFlight(ctx context.Context, sizes []float64) ([]series, error) {
+// inFlightMemory measures the resident memory of both processes against the
+// number of requests in flight.
+func inFlightMemory(ctx context.Context, sizes []float64) ([]series, error) {
 	var table table
 	for _, size := range sizes {
-		if err := inFlightOf(ctx, int(size), &table); err != nil {
+		if err := measureInFlight(ctx, int(size), &table); err != nil {
 			return nil, err
 		}
 	}
 	return table.list(), nil
 }
 
-func inFlightOf(ctx context.Context, count int, table *table) error {
-	path, err := newPath(ctx, fastEngine(40*time.Millisecond), 4096)
+func measureInFlight(ctx context.Context, count int, table *table) error {
+	requestPath, err := newRequestPath(ctx, fastEngine(40*time.Millisecond), 4096)
 	if err != nil {
 		return err
 	}
-	defer path.close()
-	held, cancel := context.WithCancel(ctx)
+	defer requestPath.close()
+	heldCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		// 500 steps of 40 ms outlast the hold.
-		_ = path.send(held, count, count, 500)
+		// A response of 500 steps of 40 ms lasts longer than holdDuration.
+		_ = requestPath.sendRequests(heldCtx, count, count, 500)
 	}()
-	sleep(ctx, holdTime)
-	for suffix, process := range map[string]*osProcess{"-entry": path.entry, "-side": path.side} {
-		value, err := process.status("VmRSS")
+	sleep(ctx, holdDuration)
+	for suffix, process := range map[string]*osProcess{"-entry": requestPath.entry, "-side": requestPath.side} {
+		value, err := process.statusBytes("VmRSS")
 		if err != nil {
 			return err
 		}
@@ -259,11 +265,11 @@
 
 func init() {
 	register(
-		row{name: "request", what: "processor time of the real binary, 16 tokens an answer, the engine's apart", unit: "ms",
-			size: "requests", sizes: []float64{1000, 2000, 4000, 8000}, all: perRequest},
-		row{name: "token", what: "processor time of a request at the real binary, the engine's apart", unit: "us",
-			size: "tokens", sizes: []float64{16, 64, 128, 256, 512}, all: perToken},
-		row{name: "in-flight", what: "resident memory of the real binary", unit: "MB",
-			size: "requests in flight", sizes: []float64{50, 200, 400, 800}, all: inFlight},
+		row{name: "request", description: "processor time of the real binary, 16 tokens an answer, the engine's apart", unit: "ms",
+			sizeName: "requests", sizes: []float64{1000, 2000, 4000, 8000}, measureAll: requestCPUTime},
+		row{name: "token", description: "processor time of a request at the real binary, the engine's apart", unit: "us",
+			sizeName: "tokens", sizes: []float64{16, 64, 128, 256, 512}, measureAll: tokenCPUTime},
+		row{name: "in-flight", description: "resident memory of the real binary", unit: "MB",
+			sizeName: "requests in flight", sizes: []float64{50, 200, 400, 800}, measureAll: inFlightMemory},
 	)
 }
--- a/internal/bench/slope/rows_start.go
+++ b/internal/bench/slope/rows_start.go
@@ -20,37 +20,39 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// expiry is the retention of the log in the rows of a start. Records before the
-// snapshot must have expired, since a reader uses a snapshot only then.
-const expiry = 4 * time.Second
+// logRetention is the retention of the log in the rows about process start. A
+// syncer installs a snapshot only if the records before it have expired.
+const logRetention = 4 * time.Second
 
-// lostLog is a log that cannot be reached.
-type lostLog struct{}
+// unreachableLog is a log client whose calls all fail.
+type unreachableLog struct{}
 
-var errLost = errors.New("the log is out")
+var errUnreachable = errors.New("the log is unreachable")
 
 // Append implements syncer.LogClient.
-func (lostLog) Append(context.Context, string, []byte) (uint64, error) { return 0, errLost }
+func (unreachableLog) Append(context.Context, string, []byte) (uint64, error) {
+	return 0, errUnreachable
+}
 
 // Read implements syncer.LogClient.
-func (lostLog) Read(context.Context, string, uint64, time.Duration) (syncer.LogPage, error) {
-	return syncer.LogPage{}, errLost
+func (unreachableLog) Read(context.Context, string, uint64, time.Duration) (syncer.LogPage, error) {
+	return syncer.LogPage{}, errUnreachable
 }
 
-// fresh measures bytes and time until a fresh process has the configuration,
-// from a snapshot on the log and from a peer.
-func fresh(ctx context.Context, sizes []float64) ([]series, error) {
+// startCosts measures the bytes and the time until a new process has the
+// configuration, from a snapshot on the log and from a peer.
+func startCosts(ctx context.Context, sizes []float64) ([]series, error) {
 	var table table
 	for _, size := range sizes {
-		if err := freshOf(ctx, size, &table); err != nil {
+		if err := measureStart(ctx, size, &table); err != nil {
 			return nil, err
 		}
 	}
 	return table.list(), nil
 }
 
-func freshOf(ctx context.Context, size float64, table *table) error {
-	client, stop, err := snapshotLog(ctx, int(size))
+func measureStart(ctx context.Context, size float64, table *table) error {
+	logURL, stop, err := serveSnapshotLog(ctx, int(size))
 	if err != nil {
 		return err
 	}
@@ -63,8 +65,8 @@
 		}
 		return counter.wrap(conn, address), nil
 	}
-	log := start.ConfigLog{Client: logsvc.New(logsvc.Config{URL: client, HTTP: &http.Client{Transport: &http.Transport{DialContext: dial}}})}
-	first, err := timeStart(ctx, syncer.Config{Instance: "first", Log: log}, counter, "-log", size, table)
+	log := start.ConfigLog{Client: logsvc.New(logsvc.Config{URL: logURL, HTTP: &http.Client{Transport: &http.Transport{DialContext: dial}}})}
+	first, err := startSyncer(ctx, syncer.Config{Instance: "first", Log: log}, counter, "-log", size, table)
 	if err != nil {
 		return err
 	}
@@ -76,8 +78,8 @@
 	defer stopPeer()
 	pool := conns.New(conns.Config{Dial: func(ctx context.Context, address string) (net.Conn, error) { return dial(ctx, "tcp", address) }})
 	defer func() { _ = pool.Close() }()
-	second, err := timeStart(ctx, syncer.Config{
-		Instance: "second", Log: lostLog{},
+	second, err := startSyncer(ctx, syncer.Config{
+		Instance: "second", Log: unreachableLog{},
 		PeerAddresses: func() []string { return []string{address} },
 		DialPeer:      func(ctx context.Context, address string) (syncer.PeerConn, error) { return pool.Get(ctx, address) },
 	}, counter, "-peer", size, table)
@@ -88,20 +90,21 @@
 	return nil
 }
 
-// snapshotLog serves a log of which only a snapshot is left.
-func snapshotLog(ctx context.Context, adapters int) (string, func(), error) {
-	encoded, err := shape{organisations: 50, upstreams: 100, adapters: adapters}.encoded()
+// serveSnapshotLog serves a log that holds only a snapshot, since all earlier
+// records have expired. It returns the log's URL and a function that ends it.
+func serveSnapshotLog(ctx context.Context, adapters int) (string, func(), error) {
+	encoded, err := configSize{organisations: 50, upstreams: 100, adapters: adapters}.encoded()
 	if err != nil {
 		return "", nil, err
 	}
 	config := infra.DefaultConfig()
-	config.Retention = expiry
+	config.Retention = logRetention
 	platform, err := infra.New(config)
 	if err != nil {
 		return "", nil, err
 	}
 	platform.Append(syncer.ConfigStream, []byte("expires before it is read"))
-	sleep(ctx, expiry+100*time.Millisecond)
+	sleep(ctx, logRetention+100*time.Millisecond)
 	for _, chunk := range replay.Split(1, 1, encoded) {
 		record, err := codec.EncodeChunk(chunk)
 		if err != nil {
@@ -118,33 +121,34 @@
 	return "http://" + listener.Addr().String(), func() { _ = server.Close() }, nil
 }
 
-// runningSyncer is a syncer with the function that ends it.
+// runningSyncer is a syncer with the function that stops it.
 type runningSyncer struct {
 	syncer *syncer.Syncer
 	stop   func()
 }
 
-// timeStart runs a syncer until it has a configuration.
-func timeStart(ctx context.Context, config syncer.Config, counter *counter, suffix string, size float64, table *table) (runningSyncer, error) {
-	built, err := syncer.New(config)
+// startSyncer starts a syncer, waits until it has a configuration and adds the
+// time and the bytes received to table. suffix is -log or -peer.
+func startSyncer(ctx context.Context, config syncer.Config, counter *counter, suffix string, size float64, table *table) (runningSyncer, error) {
+	started, err := syncer.New(config)
 	if err != nil {
 		return runningSyncer{}, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
-	counter.take()
-	started := time.Now()
+	counter.takeCounts()
+	startedAt := time.Now()
 	go func() {
 		defer close(done)
-		_ = built.Run(ctx)
+		_ = started.Run(ctx)
 	}()
-	running := runningSyncer{built, func() {
+	running := runningSyncer{started, func() {
 		cancel()
 		<-done
 	}}
-	for built.Current().Version() == 0 {
-		changed := built.Changed()
-		if built.Current().Version() > 0 {
+	for started.Current().Version() == 0 {
+		changed := started.Changed()
+		if started.Current().Version() > 0 {
 			break
 		}
 		select {
@@ -154,20 +158,21 @@
 			return runningSyncer{}, fmt.Errorf("no configuration%s after 20 s", suffix)
 		}
 	}
-	table.add(suffix+"-time", "s", size, time.Since(started).Seconds())
-	// The other syncer of a row keeps polling the log meanwhile.
+	table.add(suffix+"-time", "s", size, time.Since(startedAt).Seconds())
+	// Only the kind of traffic of this syncer counts, since the first syncer keeps
+	// polling the log while the second starts.
 	kind := map[string]string{"-log": kindLog, "-peer": kindSync}[suffix]
-	table.add(suffix+"-bytes", "MB", size, float64(traffic{flows: counter.take()}.kind(kind).received)/1e6)
+	table.add(suffix+"-bytes", "MB", size, float64(traffic{counts: counter.takeCounts()}.total(kind).received)/1e6)
 	if kind == kindLog {
-		// Reading resumes where the writer of the snapshot was, so that the
-		// snapshot's own records are read once more.
+		// After the snapshot the syncer reads on from the offset that the writer of
+		// the snapshot had reached, so that it reads the snapshot's records again.
 		sleep(ctx, time.Second)
-		table.add(suffix+"-reread", "MB", size, float64(traffic{flows: counter.take()}.kind(kind).received)/1e6)
+		table.add(suffix+"-reread", "MB", size, float64(traffic{counts: counter.takeCounts()}.total(kind).received)/1e6)
 	}
 	return running, nil
 }
 
-// syncServer serves Sync of a syncer.
+// syncServer serves the Sync calls of a syncer's peers.
 type syncServer struct {
 	wirepb.DRPCPeerUnimplementedServer
 	syncer *syncer.Syncer
@@ -186,7 +191,7 @@
 
 func init() {
 	register(row{
-		name: "start", what: "start of a fresh process without its configuration", size: "adapters",
-		sizes: adapterSizes, target: targetAdapters, all: fresh,
+		name: "start", description: "start of a fresh process without its configuration", sizeName: "adapters",
+		sizes: adapterSizes, target: targetAdapters, measureAll: startCosts,
 	})
 }
--- a/internal/bench/slope/rows_tls.go
+++ b/internal/bench/slope/rows_tls.go
@@ -22,7 +22,7 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// newCerts returns the certificates of a process, under a CA made for this run.
+// newCerts returns the certificate of a process, issued by a CA made for this run.
 func newCerts() (*conns.CertReloader, error) {
 	directory, err := os.MkdirTemp("", "slopes")
 	if err != nil {
@@ -73,28 +73,28 @@
 	return conns.NewCertReloader(files)
 }
 
-// newConnections measures a Sync call each on a new connection: bytes in both
-// directions, and processor time of both ends, with and without TLS.
-func newConnections(ctx context.Context, sizes []float64) ([]series, error) {
+// newConnectionCosts measures Sync calls, each on a new connection: bytes in both
+// directions and processor time of both ends, without and with TLS.
+func newConnectionCosts(ctx context.Context, sizes []float64) ([]series, error) {
 	certs, err := newCerts()
 	if err != nil {
 		return nil, err
 	}
 	var table table
 	for _, size := range sizes {
-		if err := newConnectionsOf(ctx, size, "-plain", nil, nil, &table); err != nil {
+		if err := measureNewConnections(ctx, size, "-plain", nil, nil, &table); err != nil {
 			return nil, err
 		}
-		if err := newConnectionsOf(ctx, size, "-tls", certs.ClientConfig, certs.ServerConfig(), &table); err != nil {
+		if err := measureNewConnections(ctx, size, "-tls", certs.ClientConfig, certs.ServerConfig(), &table); err != nil {
 			return nil, err
 		}
 	}
 	return table.list(), nil
 }
 
-func newConnectionsOf(ctx context.Context, size float64, suffix string, client func() (*tls.Config, error), server *tls.Config, table *table) error {
+func measureNewConnections(ctx context.Context, size float64, suffix string, client func() (*tls.Config, error), server *tls.Config, table *table) error {
 	address, stop, err := serveDRPC(ctx, server, func(mux drpc.Mux) error {
-		return wirepb.DRPCRegisterPeer(mux, &quietPeer{})
+		return wirepb.DRPCRegisterPeer(mux, &stubPeer{})
 	})
 	if err != nil {
 		return err
@@ -108,7 +108,7 @@
 		}
 		return counter.wrap(conn, address), nil
 	}
-	before := usage(syscall.RUSAGE_SELF)
+	before := cpuTime(syscall.RUSAGE_SELF)
 	for range int(size) {
 		pool := conns.New(conns.Config{Dial: dial, TLS: client})
 		conn, err := pool.Get(ctx, address)
@@ -122,18 +122,18 @@
 			return err
 		}
 	}
-	table.add(suffix+"-time", "ms", size, milliseconds(usage(syscall.RUSAGE_SELF)-before))
-	bytes := 0
-	for _, counted := range counter.take() {
-		bytes += counted.sent + counted.received
+	table.add(suffix+"-time", "ms", size, milliseconds(cpuTime(syscall.RUSAGE_SELF)-before))
+	total := 0
+	for _, counted := range counter.takeCounts() {
+		total += counted.sent + counted.received
 	}
-	table.add(suffix+"-bytes", "B", size, float64(bytes))
+	table.add(suffix+"-bytes", "B", size, float64(total))
 	return nil
 }
 
 func init() {
 	register(row{
-		name: "new-connection", what: "Sync call on a new connection, both ends together, payload of TCP", size: "calls",
-		sizes: []float64{100, 200, 400, 800}, quick: []float64{5, 10, 15, 20}, all: newConnections,
+		name: "new-connection", description: "Sync call on a new connection, both ends together, payload of TCP", sizeName: "calls",
+		sizes: []float64{100, 200, 400, 800}, quickSizes: []float64{5, 10, 15, 20}, measureAll: newConnectionCosts,
 	})
 }
--- a/internal/bench/slope/slope.go
+++ b/internal/bench/slope/slope.go
@@ -1,5 +1,6 @@
-// Package slope measures how the cost of jacinthfront grows with one size at a
-// time, and fits a line to each cost.
+// Package slope measures how the costs of jacinthfront (memory, processor time,
+// traffic) grow with one size at a time, fits a line to each cost and extrapolates
+// it to the size expected in two years.
 package slope
 
 import (
@@ -12,67 +13,72 @@
 	"time"
 )
 
-// repeats is the number of measurements of each size; the median counts.
+// repeats is the number of measurements at each size, of which the median is
+// taken.
 const repeats = 5
 
-// row is one cost as a function of one size.
+// row describes a measurement of one cost, or of several costs at once, as a
+// function of one size.
 type row struct {
 	name string
-	// what describes the cost, unit its unit.
-	what string
-	unit string
-	// size names the size that varies.
-	size  string
-	sizes []float64
-	// quick holds the sizes of a smoke test; rows without them are left out of it.
-	quick []float64
-	// target is the size in two years, or 0 where the row is not extrapolated.
+	// description describes the cost, and unit is its unit.
+	description string
+	unit        string
+	// sizeName is the name of the size that varies.
+	sizeName string
+	sizes    []float64
+	// quickSizes holds the sizes for Config.Quick, which skips rows without them.
+	quickSizes []float64
+	// target is the size expected in two years, or 0 if the row isn't extrapolated.
 	target float64
-	// once marks rows whose points take long and are measured one time each.
-	once    bool
+	// measureOnce is set if a point takes so long that it is measured only once.
+	measureOnce bool
+	// measure returns the cost at a size.
 	measure func(ctx context.Context, size float64) (float64, error)
-	// all measures all sizes at once and returns a line's points for each cost;
-	// it takes the place of measure where several costs come from one run.
-	all func(ctx context.Context, sizes []float64) ([]series, error)
+	// measureAll takes the place of measure where one run yields several costs. It
+	// measures all sizes and returns the points of each cost.
+	measureAll func(ctx context.Context, sizes []float64) ([]series, error)
 }
 
-// series is one cost that a row with several of them measured.
+// series holds the points of one cost. suffix is appended to the row's name; an
+// empty unit stands for that of the row.
 type series struct {
 	suffix string
 	unit   string
 	points []Point
 }
 
-// Result is a measured row.
+// Result is one measured cost and the line fitted to it.
 type Result struct {
-	Name     string  `json:"name"`
-	What     string  `json:"what"`
-	Unit     string  `json:"unit"`
-	SizeName string  `json:"size"`
-	Points   []Point `json:"points"`
-	Line     Line    `json:"line"`
-	Target   float64 `json:"target,omitempty"`
-	// AtTarget is the line's value at the target.
+	Name        string  `json:"name"`
+	Description string  `json:"what"`
+	Unit        string  `json:"unit"`
+	SizeName    string  `json:"size"`
+	Points      []Point `json:"points"`
+	Line        Line    `json:"line"`
+	Target      float64 `json:"target,omitempty"`
+	// AtTarget is the line's value at Target.
 	AtTarget float64 `json:"at-target,omitempty"`
-	Took     string  `json:"took"`
+	// Took is how long the row's measurement took.
+	Took string `json:"took"`
 }
 
 // Config selects what Run measures.
 type Config struct {
 	// NamePrefix selects the rows whose names begin with it; empty selects all.
 	NamePrefix string
-	// Quick measures a few rows at small sizes.
+	// Quick measures only the rows that have quick sizes, at these sizes.
 	Quick bool
-	// Progress receives a line for each point; nil means none.
+	// Progress receives a line for each Result; nil means none.
 	Progress io.Writer
 }
 
-// rows holds what the files of this package register.
+// rows holds the rows that the files of this package register.
 var rows []row
 
 func register(added ...row) { rows = append(rows, added...) }
 
-// Names returns the names of the rows.
+// Names returns the sorted names of the rows.
 func Names() []string {
 	names := make([]string, 0, len(rows))
 	for _, row := range rows {
@@ -87,12 +93,12 @@
 	if config.Progress == nil {
 		config.Progress = io.Discard
 	}
-	defer product.remove()
+	defer builtBinary.remove()
 	var results []Result
 	for _, row := range rows {
 		sizes := row.sizes
 		if config.Quick {
-			sizes, row.once = row.quick, true
+			sizes, row.measureOnce = row.quickSizes, true
 		}
 		if !strings.HasPrefix(row.name, config.NamePrefix) || len(sizes) == 0 {
 			continue
@@ -115,18 +121,18 @@
 
 func (row row) run(ctx context.Context, sizes []float64, config Config) ([]Result, error) {
 	started := time.Now()
-	all := row.all
-	if all == nil {
-		all = row.each
+	measureAll := row.measureAll
+	if measureAll == nil {
+		measureAll = row.measureEach
 	}
-	measured, err := all(ctx, sizes)
+	measured, err := measureAll(ctx, sizes)
 	if err != nil {
 		return nil, err
 	}
 	var results []Result
 	for _, series := range measured {
 		result := Result{
-			Name: row.name + series.suffix, What: row.what, Unit: row.unit, SizeName: row.size,
+			Name: row.name + series.suffix, Description: row.description, Unit: row.unit, SizeName: row.sizeName,
 			Points: series.points, Line: Fit(series.points), Target: row.target,
 			Took: time.Since(started).Round(time.Millisecond).String(),
 		}
@@ -143,10 +149,10 @@
 	return results, nil
 }
 
-// each measures one cost at all sizes.
-func (row row) each(ctx context.Context, sizes []float64) ([]series, error) {
+// measureEach calls measure at each size and returns the medians.
+func (row row) measureEach(ctx context.Context, sizes []float64) ([]series, error) {
 	count := repeats
-	if row.once {
+	if row.measureOnce {
 		count = 1
 	}
 	var points []Point
@@ -155,7 +161,7 @@
 		for range count {
 			value, err := row.measure(ctx, size)
 			if err != nil {
-				return nil, fmt.Errorf("%s = %v: %w", row.size, size, err)
+				return nil, fmt.Errorf("%s = %v: %w", row.sizeName, size, err)
 			}
 			values = append(values, value)
 		}
--- a/internal/bench/slope/count.go
+++ b/internal/bench/slope/traffic.go
@@ -9,7 +9,8 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/demo"
 )
 
-// The kinds of traffic.
+// The kinds of traffic, by the purpose of an exchange. kindProbe covers the calls
+// Outcome and Cancel.
 const (
 	kindOther  = "other"
 	kindList   = "instance-list"
@@ -25,8 +26,9 @@
 	kindEngine = "engine"
 )
 
-// marks tells the kind of an exchange by a text in its first write.
-var marks = []struct{ text, kind string }{
+// kindPatterns maps a text in the first write of an exchange, such as a request
+// line or the name of an RPC, to the kind of the exchange. The first match counts.
+var kindPatterns = []struct{ text, kind string }{
 	{"GET /v1/instances", kindList},
 	{"/v1/streams/config", kindLog},
 	{"POST /v1/streams/claims", kindAppend},
@@ -42,62 +44,64 @@
 	{"/wirepb.Side/Cancel", kindProbe},
 }
 
-// kindOf returns the kind of the exchange that a write begins, or an empty text
-// when it begins none. Payloads can imitate the marks of other exchanges; those
-// of the rows do not.
+// kindOf returns the kind of the exchange that a write begins, or an empty string
+// if it begins none. A payload that contains one of the texts would be mistaken
+// for the beginning of an exchange; payloads of the rows contain none.
 func kindOf(data []byte) string {
-	for _, mark := range marks {
-		if bytes.Contains(data, []byte(mark.text)) {
-			return mark.kind
+	for _, pattern := range kindPatterns {
+		if bytes.Contains(data, []byte(pattern.text)) {
+			return pattern.kind
 		}
 	}
 	return ""
 }
 
-// flow is what was counted for one address and kind.
-type flow struct {
-	// sent and received are bytes as the dialing side sees them, without the
-	// headers of TCP and IP.
+// trafficCount is the traffic counted for one address and kind.
+type trafficCount struct {
+	// sent and received are bytes from the dialing side's point of view, without
+	// TCP and IP headers.
 	sent, received int
-	calls, dials   int
+	// calls counts exchanges, and dials the connections on which an exchange of
+	// this kind was the first.
+	calls, dials int
 }
 
-type flowKey struct{ address, kind string }
+type trafficKey struct{ address, kind string }
 
-// counter counts the traffic of connections that were dialed through it. It
-// keeps the kind of the exchange that was begun last on each connection; drpc
-// and HTTP/1.1 run one exchange at a time.
+// counter counts the traffic of connections by address and kind. Traffic on a
+// connection belongs to the exchange begun last on it, since drpc and HTTP/1.1
+// run one exchange at a time.
 type counter struct {
-	mutex sync.Mutex
-	flows map[flowKey]flow
+	mutex  sync.Mutex
+	counts map[trafficKey]trafficCount
 }
 
-func newCounter() *counter { return &counter{flows: map[flowKey]flow{}} }
+func newCounter() *counter { return &counter{counts: map[trafficKey]trafficCount{}} }
 
-func (counter *counter) add(address, kind string, added flow) {
+func (counter *counter) add(address, kind string, delta trafficCount) {
 	counter.mutex.Lock()
 	defer counter.mutex.Unlock()
-	key := flowKey{address, kind}
-	sum := counter.flows[key]
-	sum.sent += added.sent
-	sum.received += added.received
-	sum.calls += added.calls
-	sum.dials += added.dials
-	counter.flows[key] = sum
+	key := trafficKey{address, kind}
+	sum := counter.counts[key]
+	sum.sent += delta.sent
+	sum.received += delta.received
+	sum.calls += delta.calls
+	sum.dials += delta.dials
+	counter.counts[key] = sum
 }
 
-// take returns what was counted since the last take.
-func (counter *counter) take() map[flowKey]flow {
+// takeCounts returns the traffic counted since the last call.
+func (counter *counter) takeCounts() map[trafficKey]trafficCount {
 	counter.mutex.Lock()
 	defer counter.mutex.Unlock()
-	taken := counter.flows
-	counter.flows = map[flowKey]flow{}
-	return taken
+	counts := counter.counts
+	counter.counts = map[trafficKey]trafficCount{}
+	return counts
 }
 
-// wrap counts the traffic of a connection to an address.
+// wrap returns a connection that counts the traffic of conn, dialed to address.
 func (counter *counter) wrap(conn net.Conn, address string) net.Conn {
-	return &countedConn{Conn: conn, counter: counter, address: address, kind: kindOther, fresh: true}
+	return &countedConn{Conn: conn, counter: counter, address: address, kind: kindOther, unused: true}
 }
 
 // countedConn is a connection whose traffic is counted.
@@ -108,26 +112,27 @@
 
 	mutex sync.Mutex
 	kind  string
-	fresh bool
+	// unused is set until the first exchange begins, which counts the dial.
+	unused bool
 }
 
 // Write implements net.Conn.
 func (conn *countedConn) Write(data []byte) (int, error) {
-	added := flow{}
+	delta := trafficCount{}
 	conn.mutex.Lock()
 	if kind := kindOf(data); kind != "" {
 		conn.kind = kind
-		added.calls++
-		if conn.fresh {
-			conn.fresh = false
-			added.dials++
+		delta.calls++
+		if conn.unused {
+			conn.unused = false
+			delta.dials++
 		}
 	}
 	kind := conn.kind
 	conn.mutex.Unlock()
 	written, err := conn.Conn.Write(data)
-	added.sent = written
-	conn.counter.add(conn.address, kind, added)
+	delta.sent = written
+	conn.counter.add(conn.address, kind, delta)
 	return written, err
 }
 
@@ -138,12 +143,12 @@
 		conn.mutex.Lock()
 		kind := conn.kind
 		conn.mutex.Unlock()
-		conn.counter.add(conn.address, kind, flow{received: read})
+		conn.counter.add(conn.address, kind, trafficCount{received: read})
 	}
 	return read, err
 }
 
-// countedNetwork is a demo.Network whose traffic is counted.
+// countedNetwork is a demo.Network that counts the traffic of dialed connections.
 type countedNetwork struct {
 	demo.Network
 	counter *counter
