--- a/internal/bench/certs/certs.go
+++ b/internal/bench/certs/certs.go
@@ -16,8 +16,8 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/conns"
 )
 
-// lifetime is how long certificates are valid before and after their issue.
-const lifetime = 24 * time.Hour
+// validity is how long a certificate is valid before and after it is issued.
+const validity = 24 * time.Hour
 
 // Authority is the certificate authority of one fleet.
 type Authority struct {
@@ -33,7 +33,7 @@
 	}
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "jacinthfront test CA"},
-		NotBefore: time.Now().Add(-lifetime), NotAfter: time.Now().Add(lifetime),
+		NotBefore: time.Now().Add(-validity), NotAfter: time.Now().Add(validity),
 		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
@@ -48,7 +48,7 @@
 }
 
 // Issue writes a certificate for a process of the fleet, its key and the
-// authority's certificate into a directory.
+// authority's certificate into a directory, and returns the paths.
 func (authority *Authority) Issue(directory string, serial int64) (conns.CertFiles, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -56,7 +56,7 @@
 	}
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(serial), DNSNames: []string{conns.CertDNSName},
-		NotBefore: time.Now().Add(-lifetime), NotAfter: time.Now().Add(lifetime),
+		NotBefore: time.Now().Add(-validity), NotAfter: time.Now().Add(validity),
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, authority.cert, &key.PublicKey, authority.key)
--- a/internal/bench/engsim/batch.go
+++ b/internal/bench/engsim/batch.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// The outcomes of requests. An empty outcome means that the request goes on.
+// The outcomes of requests. An empty outcome means that the request is waiting or
+// running.
 const (
 	outcomeFinished  = "finished"
 	outcomeCancelled = "cancelled"
@@ -15,98 +16,107 @@
 	outcomeBroken    = "stream-broken"
 )
 
-// run is one request in the engine.
-type run struct {
-	request  completion
+// job is a generation request in the engine, from its acceptance until it can no
+// longer be resumed.
+type job struct {
+	request completionRequest
+	// sequence is the order of arrival.
 	sequence int
-	// length is the number of tokens of the complete answer.
-	length int64
-	finish string
-	// prefill is the number of prompt tokens still to be processed.
-	prefill int64
-	// produced is the index of the next token.
-	produced int64
-	// stored says that the prompt is in the prefix cache.
-	stored  bool
-	running bool
-	outcome string
-	ended   time.Time
-	// changed holds a value after each change of produced or outcome.
+	// totalTokens is the number of tokens of the complete answer.
+	totalTokens  int64
+	finishReason string
+	// remainingPrompt is the number of prompt tokens that the engine has not
+	// processed yet.
+	remainingPrompt int64
+	// producedTokens is the number of tokens produced so far and the index of the
+	// next one.
+	producedTokens int64
+	// promptCached says that the prompt has been added to the prefix cache.
+	promptCached bool
+	running      bool
+	outcome      string
+	ended        time.Time
+	// changed receives a value after each change of producedTokens or outcome.
 	changed chan struct{}
-	start   *AcceptedRequest
+	record  *AcceptedRequest
 }
 
-// notify wakes the handler of a request.
-func (run *run) notify() {
+// notifyChanged wakes the handler that streams the answer.
+func (job *job) notifyChanged() {
 	select {
-	case run.changed <- struct{}{}:
+	case job.changed <- struct{}{}:
 	default:
 	}
 }
 
-// batch holds the requests of an engine, which run step by step.
+// batch holds the waiting and the running requests. All running requests advance
+// together, one step at a time.
 type batch struct {
-	sequence int
-	waiting  []*run
-	running  []*run
-	stepping bool
+	sequence       int
+	waiting        []*job
+	running        []*job
+	stepInProgress bool
 }
 
-// add queues a request by priority, then by arrival. The caller holds the mutex.
-func (engine *Engine) add(added *run) {
+// enqueue adds a request to the queue, which is ordered by priority and then by
+// arrival. The caller holds the mutex.
+func (engine *Engine) enqueue(added *job) {
 	batch := &engine.batch
 	batch.sequence++
 	added.sequence = batch.sequence
-	at, _ := slices.BinarySearchFunc(batch.waiting, added, func(a, b *run) int {
+	at, _ := slices.BinarySearchFunc(batch.waiting, added, func(a, b *job) int {
 		return cmp.Or(cmp.Compare(a.request.Priority, b.request.Priority), cmp.Compare(a.sequence, b.sequence))
 	})
 	batch.waiting = slices.Insert(batch.waiting, at, added)
-	engine.report()
+	engine.recordLoad()
 	engine.beginStep()
 }
 
-// beginStep starts a step if there is work and none is under way.
+// beginStep fills the batch from the queue and starts a step if the batch is not
+// empty and no step is in progress.
 func (engine *Engine) beginStep() {
 	batch := &engine.batch
-	if batch.stepping {
+	if batch.stepInProgress {
 		return
 	}
 	for len(batch.waiting) > 0 && len(batch.running) < engine.config.BatchLimit {
-		engine.admit(batch.waiting[0])
+		engine.addToBatch(batch.waiting[0])
 		batch.waiting = batch.waiting[1:]
 	}
-	engine.report()
+	engine.recordLoad()
 	if len(batch.running) == 0 {
 		return
 	}
-	batch.stepping = true
-	duration := engine.stepTime()
-	epoch := engine.epoch
-	time.AfterFunc(duration, func() { engine.endStep(epoch, duration) })
+	batch.stepInProgress = true
+	duration := engine.processPrompts()
+	incarnation := engine.incarnation
+	time.AfterFunc(duration, func() { engine.endStep(incarnation, duration) })
 }
 
-// admit moves a request into the batch.
-func (engine *Engine) admit(admitted *run) {
+// addToBatch moves a request into the batch. Prompt tokens that are in the prefix
+// cache need no prefill.
+func (engine *Engine) addToBatch(admitted *job) {
 	admitted.running = true
 	engine.batch.running = append(engine.batch.running, admitted)
-	admitted.start.Started = time.Now()
-	if admitted.stored {
+	admitted.record.Started = time.Now()
+	if admitted.promptCached {
 		return
 	}
-	cached := min(engine.cache.lookup(admitted.request.ref, admitted.request.prompt), admitted.prefill)
-	admitted.prefill -= cached
-	admitted.start.CachedTokens = cached
+	cached := min(engine.cache.lookup(admitted.request.ref, admitted.request.prompt), admitted.remainingPrompt)
+	admitted.remainingPrompt -= cached
+	admitted.record.CachedTokens = cached
 }
 
-// stepTime processes prompt tokens of the step and returns its duration.
-func (engine *Engine) stepTime() time.Duration {
+// processPrompts prefills up to PrefillChunk prompt tokens and returns the
+// duration of the step.
+func (engine *Engine) processPrompts() time.Duration {
 	config := &engine.config
 	chunk := config.PrefillChunk
 	adapters := map[AdapterRef]struct{}{}
-	for _, run := range engine.batch.running {
-		adapters[run.request.ref] = struct{}{}
-		part := min(run.prefill, chunk)
-		run.prefill -= part
+	for _, job := range engine.batch.running {
+		adapters[job.request.ref] = struct{}{}
+		part := min(job.remainingPrompt, chunk)
+		job.remainingPrompt -= part
 		chunk -= part
 	}
 	return config.StepBase +
@@ -115,98 +125,101 @@
 		config.PromptTokenTime*time.Duration(config.PrefillChunk-chunk)
 }
 
-// endStep produces the tokens of a step and begins the next.
-func (engine *Engine) endStep(epoch string, duration time.Duration) {
+// endStep produces one token for each prefilled request and begins the next step.
+// A step that would end during a freeze ends when the freeze does.
+func (engine *Engine) endStep(incarnation string, duration time.Duration) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	if epoch != engine.epoch {
+	if incarnation != engine.incarnation {
 		return
 	}
 	if frozen := time.Until(engine.frozenUntil); frozen > 0 {
-		time.AfterFunc(frozen, func() { engine.endStep(epoch, duration) })
+		time.AfterFunc(frozen, func() { engine.endStep(incarnation, duration) })
 		return
 	}
 	tokens, requests := 0, len(engine.batch.running)
-	for _, run := range slices.Clone(engine.batch.running) {
-		if run.prefill == 0 {
-			engine.produce(run)
+	for _, job := range slices.Clone(engine.batch.running) {
+		if job.remainingPrompt == 0 {
+			engine.produceToken(job)
 			tokens++
 		}
 	}
-	engine.observed.addStep(duration, requests, tokens)
-	engine.batch.stepping = false
+	engine.observer.addStep(duration, requests, tokens)
+	engine.batch.stepInProgress = false
 	engine.beginStep()
 }
 
-// produce adds one token to an answer.
-func (engine *Engine) produce(run *run) {
-	if !run.stored {
-		run.stored = true
-		engine.cache.store(run.request.ref, run.request.prompt)
+// produceToken adds one token to the answer of a request and ends the request
+// after its last token.
+func (engine *Engine) produceToken(job *job) {
+	if !job.promptCached {
+		job.promptCached = true
+		engine.cache.store(job.request.ref, job.request.prompt)
 	}
-	run.produced++
-	run.start.GeneratedTokens++
-	if run.start.FirstToken.IsZero() {
-		run.start.FirstToken = time.Now()
+	job.producedTokens++
+	job.record.GeneratedTokens++
+	if job.record.FirstToken.IsZero() {
+		job.record.FirstToken = time.Now()
 	}
-	if run.produced == run.length {
-		engine.remove(run, outcomeFinished)
+	if job.producedTokens == job.totalTokens {
+		engine.endJob(job, outcomeFinished)
 	}
-	run.notify()
+	job.notifyChanged()
 }
 
-// remove ends a request. The caller holds the mutex.
-func (engine *Engine) remove(removed *run, outcome string) {
+// endJob removes a request from the batch or the queue and records its outcome.
+// The caller holds the mutex.
+func (engine *Engine) endJob(removed *job, outcome string) {
 	if removed.outcome != "" {
 		return
 	}
-	same := func(other *run) bool { return other == removed }
+	same := func(other *job) bool { return other == removed }
 	engine.batch.running = slices.DeleteFunc(engine.batch.running, same)
 	engine.batch.waiting = slices.DeleteFunc(engine.batch.waiting, same)
 	removed.outcome, removed.ended = outcome, time.Now()
-	removed.start.Ended, removed.start.Outcome = removed.ended, outcome
-	removed.notify()
-	engine.report()
+	removed.record.Ended, removed.record.Outcome = removed.ended, outcome
+	removed.notifyChanged()
+	engine.recordLoad()
 }
 
-// abortAll ends all requests. The caller holds the mutex.
+// abortAll ends all requests with the same outcome. The caller holds the mutex.
 func (engine *Engine) abortAll(outcome string) {
-	for _, run := range slices.Concat(engine.batch.running, engine.batch.waiting) {
-		engine.remove(run, outcome)
+	for _, job := range slices.Concat(engine.batch.running, engine.batch.waiting) {
+		engine.endJob(job, outcome)
 	}
 }
 
-// users returns the requests that use an adapter.
-func (engine *Engine) users(ref AdapterRef) []*run {
-	return slices.DeleteFunc(slices.Concat(engine.batch.running, engine.batch.waiting), func(run *run) bool {
-		return run.request.ref != ref
+// jobsUsing returns the running and waiting requests that use an adapter.
+func (engine *Engine) jobsUsing(ref AdapterRef) []*job {
+	return slices.DeleteFunc(slices.Concat(engine.batch.running, engine.batch.waiting), func(job *job) bool {
+		return job.request.ref != ref
 	})
 }
 
-// report is the load at one time.
-type report struct {
+// loadSample is the number of running and waiting requests at one time.
+type loadSample struct {
 	time             time.Time
 	running, waiting int
 }
 
-// reports holds the load figures that may still be reported.
-type reports []report
+// loadHistory holds the latest samples, oldest first.
+type loadHistory []loadSample
 
-// report records the load. The caller holds the mutex.
-func (engine *Engine) report() {
+// recordLoad appends a sample of the current load. The caller holds the mutex.
+func (engine *Engine) recordLoad() {
 	now := time.Now()
-	engine.reports = append(engine.reports, report{now, len(engine.batch.running), len(engine.batch.waiting)})
-	engine.lagged(now)
+	engine.loadHistory = append(engine.loadHistory, loadSample{now, len(engine.batch.running), len(engine.batch.waiting)})
+	engine.laggedLoad(now)
 }
 
-// lagged returns the load of ReportLag ago and forgets what is older.
-func (engine *Engine) lagged(now time.Time) report {
+// laggedLoad returns the load as it was ReportLag ago and drops older samples.
+func (engine *Engine) laggedLoad(now time.Time) loadSample {
 	oldest := now.Add(-engine.config.ReportLag)
-	for len(engine.reports) > 1 && !engine.reports[1].time.After(oldest) {
-		engine.reports = engine.reports[1:]
+	for len(engine.loadHistory) > 1 && !engine.loadHistory[1].time.After(oldest) {
+		engine.loadHistory = engine.loadHistory[1:]
 	}
-	if len(engine.reports) == 0 || engine.reports[0].time.After(oldest) {
-		return report{}
+	if len(engine.loadHistory) == 0 || engine.loadHistory[0].time.After(oldest) {
+		return loadSample{}
 	}
-	return engine.reports[0]
+	return engine.loadHistory[0]
 }
--- a/internal/bench/engsim/cache.go
+++ b/internal/bench/engsim/cache.go
@@ -9,7 +9,7 @@
 const (
 	// blockTokens is the number of tokens in a block of the prefix cache.
 	blockTokens = 16
-	// blockBytes is the size of the text of a block.
+	// blockBytes is the size of a block's text in bytes.
 	blockBytes = blockTokens * bytesPerToken
 )
 
@@ -19,60 +19,62 @@
 	ref  AdapterRef
 }
 
-// prefixCache holds the most recently used blocks of prompts. What is cached for
-// one adapter is of no use to another.
+// prefixCache is an LRU cache of prompt blocks. Blocks of one adapter are not
+// reused for another, as the adapter changes their contents.
 type prefixCache struct {
-	limit  int
-	blocks map[uint64]*list.Element
-	order  *list.List
-	notify func(kind string, block block)
+	maxBlocks int
+	blocks    map[uint64]*list.Element
+	// recency lists the blocks, the most recently used first.
+	recency  *list.List
+	onChange func(kind string, block block)
 }
 
-// newPrefixCache returns an empty cache that reports its changes.
-func newPrefixCache(limit int, notify func(kind string, block block)) *prefixCache {
-	return &prefixCache{limit: limit, blocks: map[uint64]*list.Element{}, order: list.New(), notify: notify}
+// newPrefixCache returns an empty cache that calls onChange for each block that
+// it adds or evicts.
+func newPrefixCache(maxBlocks int, onChange func(kind string, block block)) *prefixCache {
+	return &prefixCache{maxBlocks: maxBlocks, blocks: map[uint64]*list.Element{}, recency: list.New(), onChange: onChange}
 }
 
-// hashes returns the hash of each full block of a prompt, each of which covers
-// all blocks before it.
-func hashes(ref AdapterRef, prompt string) []uint64 {
+// blockHashes returns the hash of each full block of a prompt. A hash covers the
+// block and all blocks before it.
+func blockHashes(ref AdapterRef, prompt string) []uint64 {
 	hash := xxh3.HashString(ref.String())
-	var all []uint64
+	var hashes []uint64
 	for ; len(prompt) >= blockBytes; prompt = prompt[blockBytes:] {
 		hash = xxh3.HashStringSeed(prompt[:blockBytes], hash)
-		all = append(all, hash)
+		hashes = append(hashes, hash)
 	}
-	return all
+	return hashes
 }
 
-// lookup returns the number of a prompt's tokens that are cached.
+// lookup returns the number of tokens in the longest cached prefix of a prompt.
 func (cache *prefixCache) lookup(ref AdapterRef, prompt string) int64 {
 	found := int64(0)
-	for _, hash := range hashes(ref, prompt) {
+	for _, hash := range blockHashes(ref, prompt) {
 		element, ok := cache.blocks[hash]
 		if !ok {
 			break
 		}
-		cache.order.MoveToFront(element)
+		cache.recency.MoveToFront(element)
 		found += blockTokens
 	}
 	return found
 }
 
-// store adds the blocks of a prompt and removes the least recently used ones.
+// store adds the blocks of a prompt and evicts the least recently used blocks.
 func (cache *prefixCache) store(ref AdapterRef, prompt string) {
-	for _, hash := range hashes(ref, prompt) {
+	for _, hash := range blockHashes(ref, prompt) {
 		if element, ok := cache.blocks[hash]; ok {
-			cache.order.MoveToFront(element)
+			cache.recency.MoveToFront(element)
 			continue
 		}
 		added := block{hash, ref}
-		cache.blocks[hash] = cache.order.PushFront(added)
-		cache.notify(eventStored, added)
+		cache.blocks[hash] = cache.recency.PushFront(added)
+		cache.onChange(eventStored, added)
 	}
-	for cache.order.Len() > cache.limit {
-		oldest, _ := cache.order.Remove(cache.order.Back()).(block)
+	for cache.recency.Len() > cache.maxBlocks {
+		oldest, _ := cache.recency.Remove(cache.recency.Back()).(block)
 		delete(cache.blocks, oldest.hash)
-		cache.notify(eventRemoved, oldest)
+		cache.onChange(eventRemoved, oldest)
 	}
 }
--- a/internal/bench/engsim/completion.go
+++ b/internal/bench/engsim/completion.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// maxBody bounds the body of a request.
+	// maxBody is the largest accepted request body in bytes.
 	maxBody = 4 << 20
-	// maxAnswerTokens bounds max_tokens.
+	// maxAnswerTokens is the largest accepted max_tokens.
 	maxAnswerTokens = 1 << 17
-	// maxResumes is the number of remembered requests from which on each new one
-	// causes the expired ones to be dropped.
-	maxResumes = 4096
+	// resumeSweepThreshold is the number of resumable requests from which on each
+	// new request first removes the expired ones.
+	resumeSweepThreshold = 4096
 )
 
-// completion is a valid request.
-type completion struct {
+// completionRequest is a parsed and valid request.
+type completionRequest struct {
 	Model     string    `json:"model"`
 	Prompt    string    `json:"prompt"`
 	Messages  []Message `json:"messages"`
@@ -38,9 +38,10 @@
 	resumeFrom int64
 }
 
-// parse reads a request; its error names what to correct.
-func parse(request *http.Request, body []byte) (completion, error) {
-	var parsed completion
+// parseCompletion parses a request. Its error says which field or header is
+// invalid.
+func parseCompletion(request *http.Request, body []byte) (completionRequest, error) {
+	var parsed completionRequest
 	if err := json.Unmarshal(body, &parsed); err != nil {
 		return parsed, err
 	}
@@ -71,22 +72,23 @@
 	return parsed, nil
 }
 
-// same reports whether two requests have the same answer.
-func (completion completion) same(other completion) bool {
+// sameAnswer reports whether two requests have the same answer.
+func (completion completionRequest) sameAnswer(other completionRequest) bool {
 	return completion.ref == other.ref && completion.prompt == other.prompt && completion.MaxTokens == other.MaxTokens
 }
 
-// refusal is why a request is not accepted.
+// refusal is the status, the cause (the key in Observed.Refused) and the message
+// of a refused request.
 type refusal struct {
 	status  int
 	cause   string
 	message string
 }
 
-// refuse answers with a refusal and counts it.
-func (engine *Engine) refuse(writer http.ResponseWriter, refusal *refusal) {
+// writeRefusal writes a refusal as the response and counts it.
+func (engine *Engine) writeRefusal(writer http.ResponseWriter, refusal *refusal) {
 	engine.mutex.Lock()
-	engine.observed.refused[refusal.cause]++
+	engine.observer.refused[refusal.cause]++
 	engine.mutex.Unlock()
 	if refusal.status == http.StatusServiceUnavailable {
 		writer.Header().Set("Retry-After", "1")
@@ -102,31 +104,32 @@
 		return
 	}
 	engine.requests.Add(request, body)
-	parsed, err := parse(request, body)
+	parsed, err := parseCompletion(request, body)
 	if err != nil {
-		engine.refuse(writer, &refusal{http.StatusBadRequest, "invalid", err.Error()})
+		engine.writeRefusal(writer, &refusal{http.StatusBadRequest, "invalid", err.Error()})
 		return
 	}
-	if _, hit := engine.calls.Inject(ModeCutBefore, parsed.id); hit {
+	if _, hit := engine.completionFaults.Inject(ModeCutBefore, parsed.id); hit {
 		infra.AbortConnection()
 	}
-	if _, hit := engine.calls.Inject(ModeRefusing, parsed.id); hit {
-		engine.refuse(writer, &refusal{http.StatusServiceUnavailable, "refusing", "the engine refuses requests"})
+	if _, hit := engine.completionFaults.Inject(ModeRefusing, parsed.id); hit {
+		engine.writeRefusal(writer, &refusal{http.StatusServiceUnavailable, "refusing", "the engine refuses requests"})
 		return
 	}
-	run, refused := engine.accept(request, parsed)
+	job, refused := engine.accept(request, parsed)
 	if refused != nil {
-		engine.refuse(writer, refused)
+		engine.writeRefusal(writer, refused)
 		return
 	}
-	engine.relay(writer, request, run, parsed.resumeFrom)
+	engine.streamAnswer(writer, request, job, parsed.resumeFrom)
 }
 
-// accept queues or resumes a request unless it has to be refused.
-func (engine *Engine) accept(request *http.Request, parsed completion) (*run, *refusal) {
+// accept checks the fencing token, the adapter and the queue limit, and then
+// enqueues or resumes the request.
+func (engine *Engine) accept(request *http.Request, parsed completionRequest) (*job, *refusal) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	if refused := engine.checkFence(request); refused != nil {
+	if refused := engine.checkFencingToken(request); refused != nil {
 		return nil, refused
 	}
 	if slot, ok := engine.slots[parsed.ref]; !ok || !slot.loaded {
@@ -135,50 +138,52 @@
 	if len(engine.batch.waiting) >= engine.config.QueueLimit {
 		return nil, &refusal{http.StatusServiceUnavailable, "queue-full", fmt.Sprintf("%d requests wait", len(engine.batch.waiting))}
 	}
-	accepted := &run{request: parsed, prefill: PromptTokens(parsed.prompt), changed: make(chan struct{}, 1)}
-	accepted.length, accepted.finish = AnswerLength(parsed.ref.Adapter, parsed.ref.Version, parsed.prompt, parsed.MaxTokens)
+	accepted := &job{request: parsed, remainingPrompt: PromptTokens(parsed.prompt), changed: make(chan struct{}, 1)}
+	accepted.totalTokens, accepted.finishReason = AnswerLength(parsed.ref.Adapter, parsed.ref.Version, parsed.prompt, parsed.MaxTokens)
 	if parsed.resumeFrom > 0 {
-		if refused := engine.resume(accepted); refused != nil {
+		if refused := engine.restoreProgress(accepted); refused != nil {
 			return nil, refused
 		}
 	}
-	accepted.start = engine.observed.addStart(request, parsed)
-	engine.forget()
-	engine.resumes[parsed.id] = accepted
-	if accepted.produced == accepted.length {
-		engine.remove(accepted, outcomeFinished)
+	accepted.record = engine.observer.addAccepted(request, parsed)
+	engine.dropExpired()
+	engine.resumable[parsed.id] = accepted
+	if accepted.producedTokens == accepted.totalTokens {
+		engine.endJob(accepted, outcomeFinished)
 		return accepted, nil
 	}
-	engine.add(accepted)
+	engine.enqueue(accepted)
 	return accepted, nil
 }
 
-// forget drops the requests that can no longer be resumed, once there are many.
-func (engine *Engine) forget() {
-	if len(engine.resumes) < maxResumes {
+// dropExpired removes the requests whose retention has expired, once
+// resumeSweepThreshold requests are held.
+func (engine *Engine) dropExpired() {
+	if len(engine.resumable) < resumeSweepThreshold {
 		return
 	}
-	maps.DeleteFunc(engine.resumes, func(_ string, run *run) bool {
-		return run.outcome != "" && time.Since(run.ended) > engine.config.ResumeRetention
+	maps.DeleteFunc(engine.resumable, func(_ string, job *job) bool {
+		return job.outcome != "" && time.Since(job.ended) > engine.config.ResumeRetention
 	})
 }
 
-// resume takes over the progress of an earlier request of the same id, which is
-// cancelled if its connection has not been seen to close.
-func (engine *Engine) resume(resumed *run) *refusal {
+// restoreProgress copies the progress of an earlier request with the same id. The
+// earlier request is cancelled if it has not ended, because the engine may notice
+// a closed connection late.
+func (engine *Engine) restoreProgress(resumed *job) *refusal {
 	gone := &refusal{http.StatusGone, "not-resumable", fmt.Sprintf("request %s cannot be resumed; send it from the start", resumed.request.id)}
-	earlier, ok := engine.resumes[resumed.request.id]
+	earlier, ok := engine.resumable[resumed.request.id]
 	if !ok || engine.config.ResumeRetention == 0 {
 		return gone
 	}
-	engine.remove(earlier, outcomeCancelled)
+	engine.endJob(earlier, outcomeCancelled)
 	if time.Since(earlier.ended) > engine.config.ResumeRetention {
-		delete(engine.resumes, resumed.request.id)
+		delete(engine.resumable, resumed.request.id)
 		return gone
 	}
-	if !earlier.request.same(resumed.request) || resumed.request.resumeFrom > earlier.produced {
-		return &refusal{http.StatusBadRequest, "invalid", fmt.Sprintf("resume of %s from %d does not fit the request, which produced %d tokens", resumed.request.id, resumed.request.resumeFrom, earlier.produced)}
+	if !earlier.request.sameAnswer(resumed.request) || resumed.request.resumeFrom > earlier.producedTokens {
+		return &refusal{http.StatusBadRequest, "invalid", fmt.Sprintf("resume of %s from %d does not fit the request, which produced %d tokens", resumed.request.id, resumed.request.resumeFrom, earlier.producedTokens)}
 	}
-	resumed.produced, resumed.prefill, resumed.stored = earlier.produced, earlier.prefill, earlier.stored
+	resumed.producedTokens, resumed.remainingPrompt, resumed.promptCached = earlier.producedTokens, earlier.remainingPrompt, earlier.promptCached
 	return nil
 }
--- a/internal/bench/engsim/config.go
+++ b/internal/bench/engsim/config.go
@@ -6,49 +6,55 @@
 	"time"
 )
 
-// WeightStore is where an engine gets adapters from.
+// WeightStore provides the weights of adapters. Fetch returns when the weights
+// have been read.
 type WeightStore interface {
 	Fetch(ctx context.Context, adapter string, version uint32) error
 }
 
-// How an engine treats fencing tokens.
+// Whether an engine checks fencing tokens.
 const (
 	FencingChecked = "checked"
 	FencingIgnored = "ignored"
 )
 
-// What an engine does with an order to unload an adapter in use.
+// How an engine treats an order to unload an adapter that requests are using.
 const (
 	UnloadRefuse  = "refuse"
 	UnloadPerform = "perform"
 )
 
-// Config configures an Engine. DefaultConfig holds the defaults.
+// Config configures an Engine. DefaultConfig returns the defaults.
 type Config struct {
 	Seed uint64
-	// WeightStore is the weight store; nil stands for one that takes 250 ms per load.
+	// WeightStore is the weight store; nil stands for one that takes 250 ms per
+	// load.
 	WeightStore WeightStore
-	// AdapterSlots is the number of adapters that can be loaded.
+	// AdapterSlots is the number of adapters that can be loaded at once.
 	AdapterSlots int
-	// BatchLimit is the most requests that run at once; more wait.
+	// BatchLimit is the largest number of running requests; further ones wait.
 	BatchLimit int
-	// QueueLimit is the most requests that wait; more are refused.
+	// QueueLimit is the largest number of waiting requests; further ones are
+	// refused.
 	QueueLimit int
 
-	// StepBase, StepPerRequest and StepPerAdapter make up the time of a step.
+	// A step takes StepBase, plus StepPerRequest for each request and
+	// StepPerAdapter for each adapter in the batch.
 	StepBase       time.Duration
 	StepPerRequest time.Duration
 	StepPerAdapter time.Duration
-	// PromptTokenTime is the additional time for each prompt token that is not in
-	// the prefix cache; a step processes at most PromptChunk of them.
+	// PromptTokenTime is added to a step for each prompt token that it prefills;
+	// tokens in the prefix cache need no prefill. A step prefills at most
+	// PrefillChunk tokens.
 	PromptTokenTime time.Duration
 	PrefillChunk    int64
-	// CacheBlocks is the size of the prefix cache in blocks of 16 tokens.
+	// CacheBlocks is the capacity of the prefix cache in blocks of 16 tokens.
 	CacheBlocks int
 
-	// ReportLag is the age of the load figures in GET /v1/state.
+	// ReportLag is the age of the running and waiting counts in GET /v1/state.
 	ReportLag time.Duration
-	// CacheEventLag is the delay of cache events, EventLoss the part that is lost.
+	// CacheEventLag is the delay until a cache event is visible. CacheEventLoss
+	// is the fraction of cache events that are lost, from 0 to 1.
 	CacheEventLag  time.Duration
 	CacheEventLoss float64
 
@@ -56,12 +62,12 @@
 	Fencing string
 	// UnloadInUse is UnloadRefuse or UnloadPerform.
 	UnloadInUse string
-	// ResumeRetention is how long a request whose connection closed can be
-	// resumed; 0 means never.
+	// ResumeRetention is how long a request can be resumed after its connection
+	// has closed; 0 disables resuming.
 	ResumeRetention time.Duration
 }
 
-// DefaultConfig returns the figures of a small engine.
+// DefaultConfig returns the configuration of a small engine.
 func DefaultConfig() Config {
 	return Config{
 		Seed: 1, AdapterSlots: 8, BatchLimit: 32, QueueLimit: 1024,
@@ -72,8 +78,8 @@
 	}
 }
 
-// check returns an error that names a value that cannot be used.
-func (config Config) check() error {
+// validate returns an error that names the first invalid value.
+func (config Config) validate() error {
 	switch {
 	case config.AdapterSlots <= 0 || config.BatchLimit <= 0 || config.QueueLimit < 0:
 		return fmt.Errorf("slots %d, batch limit %d, wait limit %d; write numbers above 0", config.AdapterSlots, config.BatchLimit, config.QueueLimit)
--- a/internal/bench/engsim/control.go
+++ b/internal/bench/engsim/control.go
@@ -13,48 +13,55 @@
 const (
 	// ModeFailing makes loads fail.
 	ModeFailing = "failing"
-	// ModeSlow makes loads take longer.
+	// ModeSlow delays the end of loads.
 	ModeSlow = "slow"
 	// ModeRefusing answers completions with 503.
 	ModeRefusing = "refusing"
-	// ModeCutBefore cuts the connection of completions before they are accepted.
+	// ModeCutBefore aborts the connections of completions before they are
+	// accepted.
 	ModeCutBefore = "cut-before"
-	// ModeCutStream cuts the connection after the fault's number of tokens.
+	// ModeCutStream aborts the connection of a stream after the fault's number of
+	// tokens.
 	ModeCutStream = "cut-stream"
 )
 
-// ControlRequest sets faults; nil parts keep theirs.
+// ControlRequest sets faults and is the body of POST /control. Faults whose field
+// is nil stay as they are.
 type ControlRequest struct {
-	// Restart ends all requests, empties the engine and keeps it down for a time.
+	// Restart ends all requests, unloads all adapters and makes the engine
+	// unreachable for DownFor.
 	Restart *Restart `json:"restart,omitempty"`
-	// Freeze stops the engine for a time without closing connections.
+	// Freeze suspends the engine for a time without closing connections.
 	Freeze infra.Duration `json:"freeze,omitempty"`
-	// BreakStreams cuts the connections of all requests, which can be resumed.
+	// BreakStreams aborts the connections of all requests. The requests can be
+	// resumed.
 	BreakStreams bool `json:"break,omitempty"`
-	// LoadFault is a fault of loads.
+	// LoadFault is a fault of adapter loads.
 	LoadFault *infra.Fault `json:"loads,omitempty"`
 	// CompletionFault is a fault of completions.
 	CompletionFault *infra.Fault `json:"calls,omitempty"`
 }
 
-// Restart restarts an engine.
+// Restart is a simulated restart of the engine.
 type Restart struct {
+	// DownFor is how long connections are aborted after the restart.
 	DownFor infra.Duration `json:"down-for"`
 }
 
-// ApplyControl sets faults or, if one cannot be set, none.
+// ApplyControl sets all requested faults. If one of them is invalid, it returns
+// an error and sets none.
 func (engine *Engine) ApplyControl(control ControlRequest) error {
-	if err := engine.loads.Check(control.LoadFault); err != nil {
+	if err := engine.loadFaults.Check(control.LoadFault); err != nil {
 		return fmt.Errorf("loads: %w", err)
 	}
-	if err := engine.calls.Check(control.CompletionFault); err != nil {
+	if err := engine.completionFaults.Check(control.CompletionFault); err != nil {
 		return fmt.Errorf("calls: %w", err)
 	}
 	if control.Freeze < 0 || control.Restart != nil && control.Restart.DownFor < 0 {
 		return errors.New("freeze and down-for must not be negative")
 	}
-	engine.loads.Set(control.LoadFault)
-	engine.calls.Set(control.CompletionFault)
+	engine.loadFaults.Set(control.LoadFault)
+	engine.completionFaults.Set(control.CompletionFault)
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	now := time.Now()
@@ -67,7 +74,7 @@
 	if control.Restart != nil {
 		engine.abortAll(outcomeRestarted)
 		engine.restarts++
-		engine.reset()
+		engine.startIncarnation()
 		engine.downUntil = now.Add(time.Duration(control.Restart.DownFor))
 		engine.frozenUntil = time.Time{}
 	}
--- a/internal/bench/engsim/engsim_test.go
+++ b/internal/bench/engsim/engsim_test.go
@@ -15,7 +15,8 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
-// newEngine returns an engine with the adapters a@1 and b@1 loaded.
+// newEngine returns an engine with the adapters a@1 and b@1 loaded. A step takes
+// 20 ms and a load 250 ms unless change sets other times.
 func newEngine(t *testing.T, change func(config *Config)) *Engine {
 	t.Helper()
 	config := DefaultConfig()
@@ -29,14 +30,15 @@
 	}
 	t.Cleanup(engine.Close)
 	for _, adapter := range []string{"a", "b"} {
-		if answer := post(engine, "/v1/load_lora_adapter", "", fmt.Sprintf(`{"adapter":%q,"version":1}`, adapter)); answer.Code != http.StatusOK {
-			t.Fatalf("load answered %d %s", answer.Code, answer.Body)
+		if response := post(engine, "/v1/load_lora_adapter", "", fmt.Sprintf(`{"adapter":%q,"version":1}`, adapter)); response.Code != http.StatusOK {
+			t.Fatalf("load answered %d %s", response.Code, response.Body)
 		}
 	}
 	return engine
 }
 
-// post sends a request to an engine and waits for its end.
+// post sends a request to an engine and returns its response. An aborted
+// connection ends the response early.
 func post(engine *Engine, path, id, body string) *httptest.ResponseRecorder {
 	recorder := httptest.NewRecorder()
 	request := httptest.NewRequest("POST", path, strings.NewReader(body))
@@ -48,19 +50,20 @@
 	return recorder
 }
 
-// generation is a request of a test.
-type generation struct {
+// testRequest is a completion that a test sends.
+type testRequest struct {
 	adapter, prompt string
 	tokens          int
 	priority        int
 }
 
-// generateAll sends requests at once and returns what the engine saw of them.
-func generateAll(engine *Engine, generations []generation) Observed {
+// sendAll sends requests in order without waiting for answers, then waits for all
+// of them and returns what the engine recorded.
+func sendAll(engine *Engine, requests []testRequest) Observed {
 	var group sync.WaitGroup
-	for index, generation := range generations {
+	for index, request := range requests {
 		body := fmt.Sprintf(`{"model":"%s@1","prompt":%q,"max_tokens":%d,"priority":%d,"stream":true}`,
-			generation.adapter, generation.prompt, generation.tokens, generation.priority)
+			request.adapter, request.prompt, request.tokens, request.priority)
 		group.Go(func() { post(engine, "/v1/completions", fmt.Sprintf("r%d", index), body) })
 		synctest.Wait()
 	}
@@ -68,37 +71,37 @@
 	return engine.Observed()
 }
 
-// TestBatching guards against an engine whose batch efficiency differs from that
-// of continuous batching, on which the comparison of policies rests. All answers
-// have 8 tokens, the shortest length.
+// Guards against an engine whose batch efficiency differs from that of continuous
+// batching, on which the comparison of policies relies. All answers have 8
+// tokens, the shortest length.
 func TestBatching(t *testing.T) {
 	ms := time.Millisecond
 	tests := []struct {
-		name        string
-		config      func(config *Config)
-		generations []generation
-		steps       int
-		tokens      int
+		name     string
+		config   func(config *Config)
+		requests []testRequest
+		steps    int
+		tokens   int
 		// first is the time from the first acceptance to each first token.
 		first []time.Duration
 	}{
-		{"one", nil, []generation{{"a", "x", 8, 0}}, 8, 8, []time.Duration{20 * ms}},
-		{"joins at the next step", nil, []generation{{"a", "x", 8, 0}, {"a", "y", 8, 0}}, 9, 16, []time.Duration{20 * ms, 40 * ms}},
-		{"adapters share a batch", nil, []generation{{"a", "x", 8, 0}, {"b", "y", 8, 0}, {"a", "z", 8, 0}}, 9, 24, []time.Duration{20 * ms, 40 * ms, 40 * ms}},
-		{"batch limit", func(config *Config) { config.BatchLimit = 1 }, []generation{{"a", "x", 8, 0}, {"a", "y", 8, 0}}, 16, 16, []time.Duration{20 * ms, 180 * ms}},
-		{"priority", func(config *Config) { config.BatchLimit = 1 }, []generation{{"a", "x", 8, 0}, {"a", "y", 8, 5}, {"a", "z", 8, 1}}, 24, 24, []time.Duration{20 * ms, 340 * ms, 180 * ms}},
-		{"cost per request and adapter", func(config *Config) { config.StepPerRequest, config.StepPerAdapter = ms, 2*ms }, []generation{{"a", "x", 8, 0}, {"b", "y", 8, 0}}, 9, 16, []time.Duration{23 * ms, 49 * ms}},
-		{"prompt in chunks", func(config *Config) { config.PromptTokenTime, config.PrefillChunk = ms, 10 }, []generation{{"a", strings.Repeat("x", 100), 8, 0}}, 10, 8, []time.Duration{85 * ms}},
-		{"cached prompt", func(config *Config) { config.PromptTokenTime, config.BatchLimit = ms, 1 }, []generation{{"a", strings.Repeat("x", 128), 8, 0}, {"a", strings.Repeat("x", 132), 8, 0}}, 16, 16, []time.Duration{52 * ms, 213 * ms}},
-		{"no cache across adapters", func(config *Config) { config.PromptTokenTime, config.BatchLimit = ms, 1 }, []generation{{"a", strings.Repeat("x", 128), 8, 0}, {"b", strings.Repeat("x", 128), 8, 0}}, 16, 16, []time.Duration{52 * ms, 244 * ms}},
+		{"one", nil, []testRequest{{"a", "x", 8, 0}}, 8, 8, []time.Duration{20 * ms}},
+		{"joins at the next step", nil, []testRequest{{"a", "x", 8, 0}, {"a", "y", 8, 0}}, 9, 16, []time.Duration{20 * ms, 40 * ms}},
+		{"adapters share a batch", nil, []testRequest{{"a", "x", 8, 0}, {"b", "y", 8, 0}, {"a", "z", 8, 0}}, 9, 24, []time.Duration{20 * ms, 40 * ms, 40 * ms}},
+		{"batch limit", func(config *Config) { config.BatchLimit = 1 }, []testRequest{{"a", "x", 8, 0}, {"a", "y", 8, 0}}, 16, 16, []time.Duration{20 * ms, 180 * ms}},
+		{"priority", func(config *Config) { config.BatchLimit = 1 }, []testRequest{{"a", "x", 8, 0}, {"a", "y", 8, 5}, {"a", "z", 8, 1}}, 24, 24, []time.Duration{20 * ms, 340 * ms, 180 * ms}},
+		{"cost per request and adapter", func(config *Config) { config.StepPerRequest, config.StepPerAdapter = ms, 2*ms }, []testRequest{{"a", "x", 8, 0}, {"b", "y", 8, 0}}, 9, 16, []time.Duration{23 * ms, 49 * ms}},
+		{"prompt in chunks", func(config *Config) { config.PromptTokenTime, config.PrefillChunk = ms, 10 }, []testRequest{{"a", strings.Repeat("x", 100), 8, 0}}, 10, 8, []time.Duration{85 * ms}},
+		{"cached prompt", func(config *Config) { config.PromptTokenTime, config.BatchLimit = ms, 1 }, []testRequest{{"a", strings.Repeat("x", 128), 8, 0}, {"a", strings.Repeat("x", 132), 8, 0}}, 16, 16, []time.Duration{52 * ms, 213 * ms}},
+		{"no cache across adapters", func(config *Config) { config.PromptTokenTime, config.BatchLimit = ms, 1 }, []testRequest{{"a", strings.Repeat("x", 128), 8, 0}, {"b", strings.Repeat("x", 128), 8, 0}}, 16, 16, []time.Duration{52 * ms, 244 * ms}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				observed := generateAll(newEngine(t, test.config), test.generations)
+				observed := sendAll(newEngine(t, test.config), test.requests)
 				var first []time.Duration
-				for _, start := range observed.AcceptedRequests {
-					first = append(first, start.FirstToken.Sub(observed.AcceptedRequests[0].Accepted))
+				for _, accepted := range observed.AcceptedRequests {
+					first = append(first, accepted.FirstToken.Sub(observed.AcceptedRequests[0].Accepted))
 				}
 				if diff := cmp.Diff(test.first, first); diff != "" || observed.Steps != test.steps || observed.Tokens != test.tokens {
 					t.Errorf("%d tokens in %d steps, want %d in %d; first tokens (-want +got):\n%s", observed.Tokens, observed.Steps, test.tokens, test.steps, diff)
@@ -108,8 +111,9 @@
 	}
 }
 
-// TestDisturbances guards against requests that survive or vanish wrongly when
-// the engine is disturbed 110 ms after they began, in the middle of a step.
+// Guards against requests that end too early, too late or with the wrong outcome
+// when a fault or an unload order reaches the engine 110 ms after they began, in
+// the middle of a step.
 func TestDisturbances(t *testing.T) {
 	unload := func(engine *Engine) {
 		post(engine, "/v1/unload_lora_adapter", "", `{"adapter":"a","version":1}`)
@@ -133,25 +137,25 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				engine := newEngine(t, test.config)
-				epoch := engine.Observed().Incarnation
+				incarnation := engine.Observed().Incarnation
 				time.AfterFunc(110*time.Millisecond, func() { test.disturb(engine) })
-				observed := generateAll(engine, []generation{{"a", "x", 8, 0}})
-				start := observed.AcceptedRequests[0]
-				if took := start.Ended.Sub(start.Accepted); start.Outcome != test.outcome || took != test.took {
-					t.Errorf("outcome %q after %v, want %q after %v", start.Outcome, took, test.outcome, test.took)
+				observed := sendAll(engine, []testRequest{{"a", "x", 8, 0}})
+				accepted := observed.AcceptedRequests[0]
+				if took := accepted.Ended.Sub(accepted.Accepted); accepted.Outcome != test.outcome || took != test.took {
+					t.Errorf("outcome %q after %v, want %q after %v", accepted.Outcome, took, test.outcome, test.took)
 				}
-				if len(observed.Violations) != test.violations || len(engine.loaded(true)) != test.loaded {
-					t.Errorf("%d violations, loaded %v; want %d, %d", len(observed.Violations), engine.loaded(true), test.violations, test.loaded)
+				if len(observed.Violations) != test.violations || len(engine.listAdapters(true)) != test.loaded {
+					t.Errorf("%d violations, loaded %v; want %d, %d", len(observed.Violations), engine.listAdapters(true), test.violations, test.loaded)
 				}
-				if restarted := observed.Restarts > 0; restarted != (observed.Incarnation != epoch) {
-					t.Errorf("epoch %s after %s, restarted %v", observed.Incarnation, epoch, restarted)
+				if restarted := observed.Restarts > 0; restarted != (observed.Incarnation != incarnation) {
+					t.Errorf("incarnation %s after %s, restarted %v", observed.Incarnation, incarnation, restarted)
 				}
 			})
 		})
 	}
 }
 
-// TestLoads guards against a load that is done twice, goes wrong unseen or
+// Guards against a load that runs twice, whose failure is not reported or that
 // survives a restart.
 func TestLoads(t *testing.T) {
 	tests := []struct {
@@ -181,8 +185,8 @@
 				var group sync.WaitGroup
 				for range test.orders {
 					group.Go(func() {
-						if answer := post(engine, "/v1/load_lora_adapter", "", `{"adapter":"c","version":1}`); answer.Code != test.status {
-							t.Errorf("status %d %s, want %d", answer.Code, answer.Body, test.status)
+						if response := post(engine, "/v1/load_lora_adapter", "", `{"adapter":"c","version":1}`); response.Code != test.status {
+							t.Errorf("status %d %s, want %d", response.Code, response.Body, test.status)
 						}
 					})
 				}
@@ -196,8 +200,8 @@
 	}
 }
 
-// TestReports guards against a load report without lag and against cache events
-// that are early or complete.
+// Guards against load reports without lag and against cache events that are
+// visible too early or without loss.
 func TestReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine := newEngine(t, func(config *Config) { config.CacheEventLoss, config.CacheBlocks = 0.5, 8 })
@@ -206,7 +210,7 @@
 			engine.ServeHTTP(recorder, httptest.NewRequest("GET", path, nil))
 			return recorder.Body.String()
 		}
-		go generateAll(engine, []generation{{"a", strings.Repeat("x", 64*20), 8, 0}})
+		go sendAll(engine, []testRequest{{"a", strings.Repeat("x", 64*20), 8, 0}})
 		steps := []struct {
 			wait            time.Duration
 			running, events bool
--- a/internal/bench/engsim/events.go
+++ b/internal/bench/engsim/events.go
@@ -15,11 +15,11 @@
 	eventRemoved = "removed"
 )
 
-// maxEvents bounds the cache events that an engine holds.
-const maxEvents = 4096
+// maxCacheEvents is the largest number of cache events that an engine holds.
+const maxCacheEvents = 4096
 
-// CacheEvent is a change of the prefix cache. A gap in the sequence means that
-// events were lost.
+// CacheEvent is the addition or eviction of a block of the prefix cache. A gap in
+// the sequence numbers means that events were lost.
 type CacheEvent struct {
 	Sequence uint64    `json:"sequence"`
 	Kind     string    `json:"kind"`
@@ -29,36 +29,37 @@
 	Time     time.Time `json:"time"`
 }
 
-// eventLog holds the latest cache events.
-type eventLog struct {
-	lag    time.Duration
-	loss   float64
-	random *rand.Rand
-	next   uint64
-	events []CacheEvent
+// cacheEventLog holds the latest cache events.
+type cacheEventLog struct {
+	lag          time.Duration
+	lossRate     float64
+	random       *rand.Rand
+	nextSequence uint64
+	events       []CacheEvent
 }
 
-// add records a change or loses it.
-func (events *eventLog) add(kind string, block block) {
-	sequence := events.next
-	events.next++
-	if events.random.Float64() < events.loss {
+// add records a change of the cache, or loses it with probability lossRate.
+func (log *cacheEventLog) add(kind string, block block) {
+	sequence := log.nextSequence
+	log.nextSequence++
+	if log.random.Float64() < log.lossRate {
 		return
 	}
-	if len(events.events) == maxEvents {
-		events.events = events.events[maxEvents/4:]
+	if len(log.events) == maxCacheEvents {
+		log.events = log.events[maxCacheEvents/4:]
 	}
-	events.events = append(events.events, CacheEvent{
+	log.events = append(log.events, CacheEvent{
 		Sequence: sequence, Kind: kind, Adapter: block.ref.Adapter, Version: block.ref.Version,
 		Hash: strconv.FormatUint(block.hash, 16), Time: time.Now(),
 	})
 }
 
-// visible returns the events from a sequence number on that are old enough.
-func (events *eventLog) visible(from uint64) []CacheEvent {
-	latest := time.Now().Add(-events.lag)
+// visible returns the events at or after a sequence number that are at least as
+// old as the lag.
+func (log *cacheEventLog) visible(from uint64) []CacheEvent {
+	latest := time.Now().Add(-log.lag)
 	visible := []CacheEvent{}
-	for _, event := range events.events {
+	for _, event := range log.events {
 		if event.Time.After(latest) {
 			break
 		}
@@ -69,15 +70,15 @@
 	return visible
 }
 
-// serveEvents handles GET /v1/cache-events?from=SEQUENCE.
-func (engine *Engine) serveEvents(writer http.ResponseWriter, request *http.Request) {
+// serveCacheEvents handles GET /v1/cache-events?from=SEQUENCE.
+func (engine *Engine) serveCacheEvents(writer http.ResponseWriter, request *http.Request) {
 	from, err := strconv.ParseUint(request.URL.Query().Get("from"), 10, 64)
 	if err != nil && request.URL.Query().Has("from") {
 		infra.WriteError(writer, http.StatusBadRequest, "from=%q is not a number", request.URL.Query().Get("from"))
 		return
 	}
 	engine.mutex.Lock()
-	epoch, events := engine.epoch, engine.events.visible(from)
+	incarnation, events := engine.incarnation, engine.cacheEvents.visible(from)
 	engine.mutex.Unlock()
-	infra.WriteJSON(writer, map[string]any{"epoch": epoch, "events": events})
+	infra.WriteJSON(writer, map[string]any{"epoch": incarnation, "events": events})
 }
--- a/internal/bench/engsim/observe.go
+++ b/internal/bench/engsim/observe.go
@@ -9,7 +9,7 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
-// AcceptedRequest is one request that the engine accepted.
+// AcceptedRequest records a request that the engine accepted.
 type AcceptedRequest struct {
 	RequestID    string `json:"request-id"`
 	Organisation string `json:"organisation,omitempty"`
@@ -17,10 +17,10 @@
 	Version      uint32 `json:"version"`
 	Priority     int    `json:"priority"`
 	PromptTokens int64  `json:"prompt-tokens"`
-	// CachedTokens is the part of the prompt found in the prefix cache.
+	// CachedTokens is the number of prompt tokens that were in the prefix cache.
 	CachedTokens int64 `json:"cached-tokens"`
 	MaxTokens    int64 `json:"max-tokens"`
-	// GeneratedTokens leaves out what was produced before a resume.
+	// GeneratedTokens does not include tokens that were produced before a resume.
 	GeneratedTokens int64 `json:"generated-tokens"`
 	ResumedFrom     int64 `json:"resumed-from"`
 	// Accepted is when the request arrived, Started when it entered the batch.
@@ -28,21 +28,21 @@
 	Started    time.Time `json:"started"`
 	FirstToken time.Time `json:"first-token"`
 	Ended      time.Time `json:"ended"`
-	// Outcome is empty while the request goes on.
+	// Outcome is empty while the request is waiting or running.
 	Outcome string `json:"outcome"`
 }
 
-// UnloadViolation is an order to unload an adapter in use.
+// UnloadViolation records an order to unload an adapter that requests were using.
 type UnloadViolation struct {
 	Time     time.Time `json:"time"`
 	Adapter  string    `json:"adapter"`
 	Version  uint32    `json:"version"`
 	Requests []string  `json:"requests"`
-	// Performed says that the requests were ended.
+	// Performed says that the adapter was unloaded and the requests were ended.
 	Performed bool `json:"performed"`
 }
 
-// LoadOrder is one load that was begun.
+// LoadOrder records one adapter load.
 type LoadOrder struct {
 	Adapter string    `json:"adapter"`
 	Version uint32    `json:"version"`
@@ -51,20 +51,21 @@
 	Error   string    `json:"error,omitempty"`
 }
 
-// Duration returns how long an ended load took.
+// Duration returns how long a completed load took.
 func (order LoadOrder) Duration() time.Duration { return order.Ended.Sub(order.Ordered) }
 
-// Observed is what the engine has seen.
+// Observed is what the engine has recorded, the response to GET /observed.
 type Observed struct {
 	Incarnation      string            `json:"epoch"`
 	Restarts         int               `json:"restarts"`
 	AcceptedRequests []AcceptedRequest `json:"starts"`
 	Violations       []UnloadViolation `json:"violations"`
 	Loads            []LoadOrder       `json:"loads"`
-	// Refused counts refusals by cause.
+	// Refused counts refused requests by cause.
 	Refused map[string]int `json:"refused"`
-	// Steps, Tokens and Batch count the engine's steps, the tokens they produced
-	// and the requests in them.
+	// Steps and Tokens count the engine's steps and the tokens produced in them.
+	// BatchedRequests is the sum of the batch sizes of all steps, BusyTime the
+	// sum of their durations.
 	Steps           int            `json:"steps"`
 	Tokens          int            `json:"tokens"`
 	BatchedRequests int            `json:"batch"`
@@ -72,7 +73,7 @@
 	infra.RequestSummary
 }
 
-// TokensPerStep returns the batch efficiency.
+// TokensPerStep returns the mean number of tokens that a step produced.
 func (observed Observed) TokensPerStep() float64 {
 	if observed.Steps == 0 {
 		return 0
@@ -80,67 +81,67 @@
 	return float64(observed.Tokens) / float64(observed.Steps)
 }
 
-// observer collects what the engine has seen. The engine's mutex protects it.
+// observer collects the records of an engine, whose mutex protects it.
 type observer struct {
-	starts               []*AcceptedRequest
-	violations           []UnloadViolation
-	loads                []*LoadOrder
-	refused              map[string]int
-	steps, tokens, batch int
-	busy                 time.Duration
+	accepted                       []*AcceptedRequest
+	violations                     []UnloadViolation
+	loads                          []*LoadOrder
+	refused                        map[string]int
+	steps, tokens, batchedRequests int
+	busyTime                       time.Duration
 }
 
-// addStart records an accepted request.
-func (observer *observer) addStart(request *http.Request, parsed completion) *AcceptedRequest {
-	start := &AcceptedRequest{
+// addAccepted records an accepted request.
+func (observer *observer) addAccepted(request *http.Request, parsed completionRequest) *AcceptedRequest {
+	record := &AcceptedRequest{
 		RequestID: parsed.id, Organisation: request.Header.Get("X-Organisation"),
 		Adapter: parsed.ref.Adapter, Version: parsed.ref.Version, Priority: parsed.Priority,
 		PromptTokens: PromptTokens(parsed.prompt), MaxTokens: parsed.MaxTokens,
 		ResumedFrom: parsed.resumeFrom, Accepted: time.Now(),
 	}
-	observer.starts = append(observer.starts, start)
-	return start
+	observer.accepted = append(observer.accepted, record)
+	return record
 }
 
 // addViolation records an order to unload an adapter in use.
-func (observer *observer) addViolation(ref AdapterRef, users []*run, performed bool) {
+func (observer *observer) addViolation(ref AdapterRef, users []*job, performed bool) {
 	violation := UnloadViolation{Time: time.Now(), Adapter: ref.Adapter, Version: ref.Version, Performed: performed}
-	for _, run := range users {
-		violation.Requests = append(violation.Requests, run.request.id)
+	for _, job := range users {
+		violation.Requests = append(violation.Requests, job.request.id)
 	}
 	observer.violations = append(observer.violations, violation)
 }
 
-// addLoad records a load that begins.
+// addLoad records the beginning of an adapter load.
 func (observer *observer) addLoad(ref AdapterRef) *LoadOrder {
 	order := &LoadOrder{Adapter: ref.Adapter, Version: ref.Version, Ordered: time.Now()}
 	observer.loads = append(observer.loads, order)
 	return order
 }
 
-// addStep records a step.
+// addStep records the end of a step.
 func (observer *observer) addStep(duration time.Duration, requests, tokens int) {
 	observer.steps++
 	observer.tokens += tokens
-	observer.batch += requests
-	observer.busy += duration
+	observer.batchedRequests += requests
+	observer.busyTime += duration
 }
 
-// Observed returns what the engine has seen so far.
+// Observed returns a copy of what the engine has recorded so far.
 func (engine *Engine) Observed() Observed {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	seen := &engine.observed
+	observer := &engine.observer
 	observed := Observed{
-		Incarnation: engine.epoch, Restarts: engine.restarts,
-		Violations: slices.Clone(seen.violations), Refused: maps.Clone(seen.refused),
-		Steps: seen.steps, Tokens: seen.tokens, BatchedRequests: seen.batch, BusyTime: infra.Duration(seen.busy),
+		Incarnation: engine.incarnation, Restarts: engine.restarts,
+		Violations: slices.Clone(observer.violations), Refused: maps.Clone(observer.refused),
+		Steps: observer.steps, Tokens: observer.tokens, BatchedRequests: observer.batchedRequests, BusyTime: infra.Duration(observer.busyTime),
 		RequestSummary: engine.requests.Summary(),
 	}
-	for _, start := range seen.starts {
-		observed.AcceptedRequests = append(observed.AcceptedRequests, *start)
+	for _, record := range observer.accepted {
+		observed.AcceptedRequests = append(observed.AcceptedRequests, *record)
 	}
-	for _, order := range seen.loads {
+	for _, order := range observer.loads {
 		observed.Loads = append(observed.Loads, *order)
 	}
 	return observed
--- a/internal/bench/engsim/orders.go
+++ b/internal/bench/engsim/orders.go
@@ -12,20 +12,21 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
-// fencingHeader carries the fencing token of an order.
+// fencingHeader carries the fencing token of a request.
 const fencingHeader = "X-Fencing-Token"
 
 // roles are the roles that an engine can have.
 var roles = []string{"serve", "prefill", "decode", "drain"}
 
-// cmpRef orders adapters by name, then by version.
-func cmpRef(a, b AdapterRef) int {
+// compareRefs orders adapters by name, then by version.
+func compareRefs(a, b AdapterRef) int {
 	return cmp.Or(cmp.Compare(a.Adapter, b.Adapter), cmp.Compare(a.Version, b.Version))
 }
 
-// checkFence refuses a token older than the newest one, if tokens are checked; a
-// missing token counts as 0. The caller holds the mutex.
-func (engine *Engine) checkFence(request *http.Request) *refusal {
+// checkFencingToken refuses a request whose token is lower than the highest one
+// seen, unless tokens are ignored. A missing token counts as 0. The caller holds
+// the mutex.
+func (engine *Engine) checkFencingToken(request *http.Request) *refusal {
 	if engine.config.Fencing == FencingIgnored {
 		return nil
 	}
@@ -34,15 +35,16 @@
 	if err != nil {
 		return &refusal{http.StatusBadRequest, "invalid", fmt.Sprintf("%s %q is not a number", fencingHeader, text)}
 	}
-	if token < engine.fence {
-		return &refusal{http.StatusPreconditionFailed, "fenced", fmt.Sprintf("fencing token %d is older than %d", token, engine.fence)}
+	if token < engine.newestFencingToken {
+		return &refusal{http.StatusPreconditionFailed, "fenced", fmt.Sprintf("fencing token %d is older than %d", token, engine.newestFencingToken)}
 	}
-	engine.fence = token
+	engine.newestFencingToken = token
 	return nil
 }
 
-// readOrder reads the adapter that an order names.
-func (engine *Engine) readOrder(writer http.ResponseWriter, request *http.Request) (AdapterRef, bool) {
+// decodeOrder reads the adapter named by a load or unload order. If the body is
+// invalid, it writes an error response and returns false.
+func (engine *Engine) decodeOrder(writer http.ResponseWriter, request *http.Request) (AdapterRef, bool) {
 	engine.requests.Add(request, nil)
 	var ref AdapterRef
 	if !infra.DecodeJSON(writer, request, &ref) {
@@ -69,29 +71,29 @@
 		return
 	}
 	engine.mutex.Lock()
-	refused := engine.checkFence(request)
+	refused := engine.checkFencingToken(request)
 	if refused == nil {
 		engine.role = order.Role
 	}
 	engine.mutex.Unlock()
 	if refused != nil {
-		engine.refuse(writer, refused)
+		engine.writeRefusal(writer, refused)
 		return
 	}
 	infra.WriteJSON(writer, order)
 }
 
-// state is the answer to GET /v1/state. Running and Waiting lag, the rest is
-// current.
-type state struct {
-	Epoch   string       `json:"epoch"`
-	Slots   int          `json:"slots"`
-	Loaded  []AdapterRef `json:"loaded"`
-	Loading []AdapterRef `json:"loading"`
-	Fence   uint64       `json:"fence"`
-	Role    string       `json:"role"`
-	Running int          `json:"running"`
-	Waiting int          `json:"waiting"`
+// stateResponse is the response to GET /v1/state. Running and Waiting are
+// ReportLag old; the other fields are current.
+type stateResponse struct {
+	Incarnation  string       `json:"epoch"`
+	Slots        int          `json:"slots"`
+	Loaded       []AdapterRef `json:"loaded"`
+	Loading      []AdapterRef `json:"loading"`
+	FencingToken uint64       `json:"fence"`
+	Role         string       `json:"role"`
+	Running      int          `json:"running"`
+	Waiting      int          `json:"waiting"`
 }
 
 // serveState handles GET /v1/state.
@@ -99,10 +101,10 @@
 	_, _ = io.Copy(io.Discard, request.Body)
 	engine.requests.Add(request, nil)
 	engine.mutex.Lock()
-	load := engine.lagged(time.Now())
-	current := state{
-		Epoch: engine.epoch, Slots: engine.config.AdapterSlots, Loaded: engine.loaded(true), Loading: engine.loaded(false),
-		Fence: engine.fence, Role: engine.role, Running: load.running, Waiting: load.waiting,
+	load := engine.laggedLoad(time.Now())
+	current := stateResponse{
+		Incarnation: engine.incarnation, Slots: engine.config.AdapterSlots, Loaded: engine.listAdapters(true), Loading: engine.listAdapters(false),
+		FencingToken: engine.newestFencingToken, Role: engine.role, Running: load.running, Waiting: load.waiting,
 	}
 	engine.mutex.Unlock()
 	infra.WriteJSON(writer, current)
--- a/internal/bench/engsim/ref.go
+++ b/internal/bench/engsim/ref.go
@@ -6,18 +6,19 @@
 	"strings"
 )
 
-// AdapterRef names an adapter in one version.
+// AdapterRef identifies one version of an adapter.
 type AdapterRef struct {
 	Adapter string `json:"adapter"`
 	Version uint32 `json:"version"`
 }
 
-// String returns the form that requests use, adapter@version.
+// String returns the form adapter@version, which the model field of a request
+// holds.
 func (ref AdapterRef) String() string {
 	return ref.Adapter + "@" + strconv.FormatUint(uint64(ref.Version), 10)
 }
 
-// parseRef reads the form adapter@version.
+// parseRef parses the form adapter@version.
 func parseRef(text string) (AdapterRef, error) {
 	at := strings.LastIndexByte(text, '@')
 	if at <= 0 {
--- a/internal/bench/engsim/slots.go
+++ b/internal/bench/engsim/slots.go
@@ -15,24 +15,24 @@
 type slot struct {
 	ref    AdapterRef
 	loaded bool
-	// done is closed at the end of the load, of which err is the result.
+	// done is closed at the end of the load; err is its result.
 	done chan struct{}
 	err  error
 }
 
-// errLoadFailed is the result of a load that a fault makes fail.
+// errLoadFailed is the result of a load under ModeFailing.
 var errLoadFailed = errors.New("the engine failed to load the adapter")
 
-// serveLoad handles POST /v1/load_lora_adapter. Orders for an adapter that is
-// loading share its load, which goes on when a caller leaves.
+// serveLoad handles POST /v1/load_lora_adapter. Concurrent orders for the same
+// adapter share one load, which continues when a caller disconnects.
 func (engine *Engine) serveLoad(writer http.ResponseWriter, request *http.Request) {
-	ref, ok := engine.readOrder(writer, request)
+	ref, ok := engine.decodeOrder(writer, request)
 	if !ok {
 		return
 	}
-	slot, refused := engine.reserve(request, ref)
+	slot, refused := engine.reserveSlot(request, ref)
 	if refused != nil {
-		engine.refuse(writer, refused)
+		engine.writeRefusal(writer, refused)
 		return
 	}
 	select {
@@ -41,50 +41,52 @@
 		return
 	}
 	if slot.err != nil {
-		engine.refuse(writer, &refusal{http.StatusBadGateway, "load-failed", fmt.Sprintf("load of %s: %v", ref, slot.err)})
+		engine.writeRefusal(writer, &refusal{http.StatusBadGateway, "load-failed", fmt.Sprintf("load of %s: %v", ref, slot.err)})
 		return
 	}
 	infra.WriteJSON(writer, ref)
 }
 
-// reserve returns the slot of an adapter and begins its load if there is none.
-func (engine *Engine) reserve(request *http.Request, ref AdapterRef) (*slot, *refusal) {
+// reserveSlot returns the slot of an adapter. If there is none, it takes a free
+// slot and starts the load.
+func (engine *Engine) reserveSlot(request *http.Request, ref AdapterRef) (*slot, *refusal) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	if refused := engine.checkFence(request); refused != nil {
+	if refused := engine.checkFencingToken(request); refused != nil {
 		return nil, refused
 	}
-	if known, ok := engine.slots[ref]; ok {
-		return known, nil
+	if existing, ok := engine.slots[ref]; ok {
+		return existing, nil
 	}
 	if len(engine.slots) >= engine.config.AdapterSlots {
 		return nil, &refusal{http.StatusConflict, "no-slot", fmt.Sprintf("no slot of %d is free; unload an adapter first", engine.config.AdapterSlots)}
 	}
 	added := &slot{ref: ref, done: make(chan struct{})}
 	engine.slots[ref] = added
-	order := engine.observed.addLoad(ref)
-	go engine.load(engine.life, added, order)
+	order := engine.observer.addLoad(ref)
+	go engine.loadAdapter(engine.incarnationCtx, added, order)
 	return added, nil
 }
 
-// load fetches an adapter and ends its load.
-func (engine *Engine) load(life context.Context, slot *slot, order *LoadOrder) {
-	err := engine.config.WeightStore.Fetch(life, slot.ref.Adapter, slot.ref.Version)
-	if fault, hit := engine.loads.Inject(ModeSlow, slot.ref.Adapter); hit && err == nil {
+// loadAdapter fetches the weights of an adapter and completes the load of its
+// slot.
+func (engine *Engine) loadAdapter(ctx context.Context, slot *slot, order *LoadOrder) {
+	err := engine.config.WeightStore.Fetch(ctx, slot.ref.Adapter, slot.ref.Version)
+	if fault, hit := engine.loadFaults.Inject(ModeSlow, slot.ref.Adapter); hit && err == nil {
 		timer := time.NewTimer(time.Duration(fault.Delay))
 		defer timer.Stop()
 		select {
 		case <-timer.C:
-		case <-life.Done():
+		case <-ctx.Done():
 		}
 	}
-	if _, hit := engine.loads.Inject(ModeFailing, slot.ref.Adapter); hit && err == nil {
+	if _, hit := engine.loadFaults.Inject(ModeFailing, slot.ref.Adapter); hit && err == nil {
 		err = errLoadFailed
 	}
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	if err == nil && life.Err() != nil {
-		err = life.Err()
+	if err == nil && ctx.Err() != nil {
+		err = ctx.Err()
 	}
 	slot.err, slot.loaded = err, err == nil
 	if err != nil && engine.slots[slot.ref] == slot {
@@ -97,56 +99,57 @@
 	close(slot.done)
 }
 
-// serveUnload handles POST /v1/unload_lora_adapter. An adapter that is not loaded
-// is no error, so that an order whose reply was lost can be repeated.
+// serveUnload handles POST /v1/unload_lora_adapter. Unloading an adapter that is
+// not loaded succeeds, so that an order whose response was lost can be repeated.
 func (engine *Engine) serveUnload(writer http.ResponseWriter, request *http.Request) {
-	ref, ok := engine.readOrder(writer, request)
+	ref, ok := engine.decodeOrder(writer, request)
 	if !ok {
 		return
 	}
-	if refused := engine.unload(request, ref); refused != nil {
-		engine.refuse(writer, refused)
+	if refused := engine.unloadAdapter(request, ref); refused != nil {
+		engine.writeRefusal(writer, refused)
 		return
 	}
 	infra.WriteJSON(writer, ref)
 }
 
-// unload frees the slot of an adapter.
-func (engine *Engine) unload(request *http.Request, ref AdapterRef) *refusal {
+// unloadAdapter frees the slot of an adapter. If requests use the adapter, it
+// refuses or ends these requests, depending on UnloadInUse.
+func (engine *Engine) unloadAdapter(request *http.Request, ref AdapterRef) *refusal {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	if refused := engine.checkFence(request); refused != nil {
+	if refused := engine.checkFencingToken(request); refused != nil {
 		return refused
 	}
-	known, ok := engine.slots[ref]
+	existing, ok := engine.slots[ref]
 	if !ok {
 		return nil
 	}
-	if !known.loaded {
+	if !existing.loaded {
 		return &refusal{http.StatusConflict, "unload-loading", fmt.Sprintf("adapter %s is loading", ref)}
 	}
-	if users := engine.users(ref); len(users) > 0 {
+	if users := engine.jobsUsing(ref); len(users) > 0 {
 		perform := engine.config.UnloadInUse == UnloadPerform
-		engine.observed.addViolation(ref, users, perform)
+		engine.observer.addViolation(ref, users, perform)
 		if !perform {
 			return &refusal{http.StatusConflict, "unload-in-use", fmt.Sprintf("adapter %s is in use by %d requests", ref, len(users))}
 		}
-		for _, run := range users {
-			engine.remove(run, outcomeEvicted)
+		for _, job := range users {
+			engine.endJob(job, outcomeEvicted)
 		}
 	}
 	delete(engine.slots, ref)
 	return nil
 }
 
-// loaded returns the adapters that are loaded, or those that are loading.
-func (engine *Engine) loaded(loaded bool) []AdapterRef {
+// listAdapters returns the adapters that are loaded, or those that are loading.
+func (engine *Engine) listAdapters(loaded bool) []AdapterRef {
 	refs := []AdapterRef{}
 	for ref, slot := range engine.slots {
 		if slot.loaded == loaded {
 			refs = append(refs, ref)
 		}
 	}
-	slices.SortFunc(refs, cmpRef)
+	slices.SortFunc(refs, compareRefs)
 	return refs
 }
--- a/internal/bench/engsim/relay.go
+++ b/internal/bench/engsim/stream.go
@@ -8,7 +8,7 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
-// tokenEvent is the data of the event of a token.
+// tokenEvent is the data of a token's event.
 type tokenEvent struct {
 	Index int64  `json:"index"`
 	Text  string `json:"text"`
@@ -22,50 +22,51 @@
 	GeneratedTokens int64  `json:"generated-tokens"`
 }
 
-// relay writes the answer of a request as server-sent events. A connection that
-// closes cancels the request.
-func (engine *Engine) relay(writer http.ResponseWriter, request *http.Request, run *run, from int64) {
+// streamAnswer writes the answer of a request as server-sent events, beginning
+// with the token at index from. A closed connection cancels the request.
+func (engine *Engine) streamAnswer(writer http.ResponseWriter, request *http.Request, job *job, from int64) {
 	controller := http.NewResponseController(writer)
 	writer.Header().Set("Content-Type", "text/event-stream")
-	writer.Header().Set("X-Request-Id", run.request.id)
+	writer.Header().Set("X-Request-Id", job.request.id)
 	writer.WriteHeader(http.StatusOK)
 	limit := int64(-1)
-	if fault, hit := engine.calls.Inject(ModeCutStream, run.request.id); hit {
+	if fault, hit := engine.completionFaults.Inject(ModeCutStream, job.request.id); hit {
 		limit = from + int64(fault.AfterTokens)
 	}
-	written, hash := from, seed(run.request.ref.Adapter, run.request.ref.Version, run.request.prompt)
+	written, seed := from, answerSeed(job.request.ref.Adapter, job.request.ref.Version, job.request.prompt)
 	for {
 		if controller.Flush() != nil {
-			engine.cancel(run, outcomeCancelled)
+			engine.cancel(job, outcomeCancelled)
 			return
 		}
-		produced, outcome := engine.progress(run)
+		produced, outcome := engine.progress(job)
 		for ; written < produced && written != limit; written++ {
-			writeEvent(writer, "", tokenEvent{written, token(hash, written), run.request.Model})
+			writeEvent(writer, "", tokenEvent{written, seededToken(seed, written), job.request.Model})
 		}
 		if written == limit {
 			_ = controller.Flush()
-			engine.cancel(run, outcomeBroken)
+			engine.cancel(job, outcomeBroken)
 			infra.AbortConnection()
 		}
 		if outcome != "" {
-			finish(writer, run, outcome)
+			writeEnd(writer, job, outcome)
 			return
 		}
 		select {
-		case <-run.changed:
+		case <-job.changed:
 		case <-request.Context().Done():
-			engine.cancel(run, outcomeCancelled)
+			engine.cancel(job, outcomeCancelled)
 			return
 		}
 	}
 }
 
-// finish writes the last event of an answer or cuts its connection.
-func finish(writer http.ResponseWriter, run *run, outcome string) {
+// writeEnd writes the last event of an answer, or aborts the connection if the
+// outcome has none.
+func writeEnd(writer http.ResponseWriter, job *job, outcome string) {
 	switch outcome {
 	case outcomeFinished:
-		writeEvent(writer, "end", endEvent{run.finish, PromptTokens(run.request.prompt), run.length})
+		writeEvent(writer, "end", endEvent{job.finishReason, PromptTokens(job.request.prompt), job.totalTokens})
 	case outcomeEvicted:
 		writeEvent(writer, "error", map[string]string{"message": "the adapter was unloaded"})
 	default:
@@ -73,7 +74,7 @@
 	}
 }
 
-// writeEvent writes one event.
+// writeEvent writes one server-sent event.
 func writeEvent(writer http.ResponseWriter, name string, data any) {
 	encoded, err := json.Marshal(data)
 	if err != nil {
@@ -85,16 +86,16 @@
 	_, _ = fmt.Fprintf(writer, "data: %s\n\n", encoded)
 }
 
-// progress returns how far a request is.
-func (engine *Engine) progress(run *run) (produced int64, outcome string) {
+// progress returns the number of tokens produced so far and the outcome.
+func (engine *Engine) progress(job *job) (produced int64, outcome string) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	return run.produced, run.outcome
+	return job.producedTokens, job.outcome
 }
 
-// cancel ends a request that nobody reads any more.
-func (engine *Engine) cancel(run *run, outcome string) {
+// cancel ends a request whose connection is closed or aborted.
+func (engine *Engine) cancel(job *job, outcome string) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	engine.remove(run, outcome)
+	engine.endJob(job, outcome)
 }
--- a/internal/bench/engsim/tokens.go
+++ b/internal/bench/engsim/tokens.go
@@ -10,12 +10,13 @@
 const (
 	// bytesPerToken is the usual estimate for English text.
 	bytesPerToken = 4
-	// shortestAnswer and longestAnswer bound the natural length of answers.
-	shortestAnswer = 8
-	longestAnswer  = 1024
+	// minNaturalLength and maxNaturalLength are the bounds of the length of an
+	// answer that max_tokens does not limit, in tokens.
+	minNaturalLength = 8
+	maxNaturalLength = 1024
 )
 
-// The reasons for the end of an answer.
+// The finish reasons of an answer.
 const (
 	FinishStop   = "stop"
 	FinishLength = "length"
@@ -27,7 +28,7 @@
 	Content string `json:"content"`
 }
 
-// ChatPrompt returns the prompt to which a chat amounts.
+// ChatPrompt returns the prompt that the messages of a chat form.
 func ChatPrompt(messages []Message) string {
 	var prompt strings.Builder
 	for _, message := range messages {
@@ -41,26 +42,27 @@
 	return int64(len(prompt)+bytesPerToken-1) / bytesPerToken
 }
 
-// seed returns the hash on which an answer depends.
-func seed(adapter string, version uint32, prompt string) uint64 {
+// answerSeed returns the hash that determines the length and the tokens of an
+// answer.
+func answerSeed(adapter string, version uint32, prompt string) uint64 {
 	return xxh3.HashStringSeed(prompt, xxh3.HashStringSeed(adapter, uint64(version)))
 }
 
 // TokenText returns the text of the token at an index of an answer.
 func TokenText(adapter string, version uint32, prompt string, index int64) string {
-	return token(seed(adapter, version, prompt), index)
+	return seededToken(answerSeed(adapter, version, prompt), index)
 }
 
-// token returns the text of a token of the answer with the given hash.
-func token(seed uint64, index int64) string {
+// seededToken returns the text of the token at an index of the answer with the
+// given seed.
+func seededToken(seed uint64, index int64) string {
 	text := strconv.FormatUint(xxh3.HashStringSeed(strconv.FormatInt(index, 10), seed)&0xffffff, 36)
 	return " " + text
 }
 
-// AnswerLength returns the number of tokens of an answer and the reason for its
-// end.
+// AnswerLength returns the number of tokens of an answer and its finish reason.
 func AnswerLength(adapter string, version uint32, prompt string, maxTokens int64) (int64, string) {
-	natural := shortestAnswer + int64(seed(adapter, version, prompt)>>1)%(longestAnswer-shortestAnswer+1)
+	natural := minNaturalLength + int64(answerSeed(adapter, version, prompt)>>1)%(maxNaturalLength-minNaturalLength+1)
 	if natural <= maxTokens {
 		return natural, FinishStop
 	}
@@ -70,10 +72,10 @@
 // AnswerText returns the text of a complete answer.
 func AnswerText(adapter string, version uint32, prompt string, maxTokens int64) string {
 	length, _ := AnswerLength(adapter, version, prompt, maxTokens)
-	hash := seed(adapter, version, prompt)
+	seed := answerSeed(adapter, version, prompt)
 	var answer strings.Builder
 	for index := range length {
-		answer.WriteString(token(hash, index))
+		answer.WriteString(seededToken(seed, index))
 	}
 	return answer.String()
 }
--- a/internal/bench/engsim/weights.go
+++ b/internal/bench/engsim/weights.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// localLoadTime is the duration of a load without a weight store.
-const localLoadTime = 250 * time.Millisecond
+// fixedLoadTime is the duration of a load without a weight store.
+const fixedLoadTime = 250 * time.Millisecond
 
-// localWeights is a store that is never busy.
-type localWeights struct{}
+// fixedTimeStore is a WeightStore whose fetches take a fixed time, however many
+// run at once.
+type fixedTimeStore struct{}
 
-// Fetch implements Weights.
-func (localWeights) Fetch(ctx context.Context, _ string, _ uint32) error {
-	timer := time.NewTimer(localLoadTime)
+// Fetch implements WeightStore.
+func (fixedTimeStore) Fetch(ctx context.Context, _ string, _ uint32) error {
+	timer := time.NewTimer(fixedLoadTime)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -26,22 +27,22 @@
 	}
 }
 
-// HTTPWeightStore fetches from a weight store over HTTP.
+// HTTPWeightStore fetches weights from the platform's weight store over HTTP.
 type HTTPWeightStore struct {
-	// URL is the address of the platform, without a trailing slash.
+	// URL is the base URL of the platform, without a trailing slash.
 	URL string
 	// HTTP sends the requests; nil stands for http.DefaultClient.
 	HTTP *http.Client
 }
 
-// Fetch implements Weights.
-func (weights HTTPWeightStore) Fetch(ctx context.Context, adapter string, version uint32) error {
-	path := fmt.Sprintf("%s/v1/weights/%s/%d", weights.URL, url.PathEscape(adapter), version)
+// Fetch implements WeightStore.
+func (store HTTPWeightStore) Fetch(ctx context.Context, adapter string, version uint32) error {
+	path := fmt.Sprintf("%s/v1/weights/%s/%d", store.URL, url.PathEscape(adapter), version)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, path, nil)
 	if err != nil {
 		return err
 	}
-	client := weights.HTTP
+	client := store.HTTP
 	if client == nil {
 		client = http.DefaultClient
 	}
--- a/internal/bench/plain/plain.go
+++ b/internal/bench/plain/plain.go
@@ -1,4 +1,4 @@
-// Package plain stands in for a plain service and counts the effects of calls.
+// Package plain simulates a plain service and counts the effects of calls.
 package plain
 
 import (
@@ -14,20 +14,20 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
-// maxBody bounds the body of a call.
+// maxBody is the largest accepted request body in bytes.
 const maxBody = 4 << 20
 
 // The faults of calls.
 const (
-	// ModeDelay takes longer before the effect.
+	// ModeDelay delays the effect of a call.
 	ModeDelay = "delay"
-	// ModeFailBefore answers 503 without an effect.
+	// ModeFailBefore responds with 503 and has no effect.
 	ModeFailBefore = "fail-before"
-	// ModeFailAfter answers 500 after the effect.
+	// ModeFailAfter responds with 500 after the effect.
 	ModeFailAfter = "fail-after"
-	// ModeCutBefore cuts the connection without an effect.
+	// ModeCutBefore aborts the connection before the call has an effect.
 	ModeCutBefore = "cut-before"
-	// ModeCutAfter cuts the connection after the effect.
+	// ModeCutAfter aborts the connection after the effect.
 	ModeCutAfter = "cut-after"
 )
 
@@ -38,12 +38,13 @@
 	Latency time.Duration
 }
 
-// DefaultConfig returns a service that answers within a few milliseconds.
+// DefaultConfig returns the configuration of a service with a latency of a few
+// milliseconds.
 func DefaultConfig() Config {
 	return Config{Seed: 1, Latency: 3 * time.Millisecond}
 }
 
-// Call is one call that arrived.
+// Call records one call.
 type Call struct {
 	Time         time.Time `json:"time"`
 	RequestID    string    `json:"request-id"`
@@ -55,7 +56,7 @@
 	Effect bool `json:"effect"`
 }
 
-// Observed is what the service has seen.
+// Observed is what the service has recorded, the response to GET /observed.
 type Observed struct {
 	Calls []Call `json:"calls"`
 	// Effects counts the effects of each request id.
@@ -63,39 +64,40 @@
 	infra.RequestSummary
 }
 
-// Response is the body of an answer.
+// Response is the body of a successful response.
 type Response struct {
 	RequestID string `json:"request-id"`
-	// Result depends on method, path and body only; see Result.
+	// Result depends only on method, URI and body; see the function Result.
 	Result string `json:"result"`
-	// Effects is the number of effects of this request id so far.
+	// Effects is the number of effects that this request id has had so far.
 	Effects int `json:"effects"`
 }
 
 // Service is an http.Handler that accepts calls of any method and path.
 type Service struct {
-	config   Config
-	mux      *http.ServeMux
-	faults   *infra.FaultInjector
-	requests *infra.RequestLog
-	epoch    string
-	closed   chan struct{}
-
+	config      Config
+	mux         *http.ServeMux
+	callFaults  *infra.FaultInjector
+	requests    *infra.RequestLog
+	incarnation string
+	closed      chan struct{}
+
+	// mutex protects the fields below.
 	mutex   sync.Mutex
 	running int
 	calls   []Call
 	effects map[string]int
 }
 
-// New returns a Service.
+// New returns a Service. It returns an error if the configuration is invalid.
 func New(config Config) (*Service, error) {
 	if config.Latency < 0 {
 		return nil, fmt.Errorf("plain service stand-in: latency %v; write a time of at least 0", config.Latency)
 	}
 	service := &Service{
 		config: config, mux: http.NewServeMux(), requests: infra.NewRequestLog(), effects: map[string]int{},
-		faults: infra.NewFaultInjector(config.Seed, ModeDelay, ModeFailBefore, ModeFailAfter, ModeCutBefore, ModeCutAfter),
-		epoch:  fmt.Sprintf("%x", time.Now().UnixNano()), closed: make(chan struct{}),
+		callFaults:  infra.NewFaultInjector(config.Seed, ModeDelay, ModeFailBefore, ModeFailAfter, ModeCutBefore, ModeCutAfter),
+		incarnation: fmt.Sprintf("%x", time.Now().UnixNano()), closed: make(chan struct{}),
 	}
 	service.mux.HandleFunc("POST /control", service.serveControl)
 	service.mux.HandleFunc("GET /observed", func(writer http.ResponseWriter, _ *http.Request) {
@@ -111,16 +113,16 @@
 	service.mux.ServeHTTP(writer, request)
 }
 
-// Close cuts the calls that have had no effect yet.
+// Close aborts the connections of calls that have not had their effect yet.
 func (service *Service) Close() { close(service.closed) }
 
-// Result returns the result of a call, by which a test tells that a caller got
-// the answer to its own call.
+// Result returns the result of a call. A test compares it to check that a caller
+// got the response to its own call.
 func Result(method, uri string, body []byte) string {
 	return fmt.Sprintf("%016x", xxh3.Hash(append([]byte(method+" "+uri+"\n"), body...)))
 }
 
-// Observed returns what the service has seen so far.
+// Observed returns a copy of what the service has recorded so far.
 func (service *Service) Observed() Observed {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
@@ -131,17 +133,18 @@
 	return observed
 }
 
-// ControlRequest sets the fault of calls.
+// ControlRequest sets the fault of calls and is the body of POST /control.
 type ControlRequest struct {
 	CallFault *infra.Fault `json:"calls"`
 }
 
-// ApplyControl sets a fault.
+// ApplyControl sets the requested fault. It returns an error if the fault is
+// invalid.
 func (service *Service) ApplyControl(control ControlRequest) error {
-	if err := service.faults.Check(control.CallFault); err != nil {
+	if err := service.callFaults.Check(control.CallFault); err != nil {
 		return fmt.Errorf("calls: %w", err)
 	}
-	service.faults.Set(control.CallFault)
+	service.callFaults.Set(control.CallFault)
 	return nil
 }
 
@@ -162,11 +165,11 @@
 func (service *Service) serveState(writer http.ResponseWriter, _ *http.Request) {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
-	infra.WriteJSON(writer, map[string]any{"epoch": service.epoch, "running": service.running, "waiting": 0})
+	infra.WriteJSON(writer, map[string]any{"epoch": service.incarnation, "running": service.running, "waiting": 0})
 }
 
-// serveCall handles all other requests. Once a call has arrived, its effect does
-// not depend on whether the caller still waits.
+// serveCall handles all other requests. Once a call's body has been read, its
+// effect does not depend on whether the caller is still connected.
 func (service *Service) serveCall(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxBody))
 	if err != nil {
@@ -175,35 +178,36 @@
 	}
 	service.requests.Add(request, body)
 	id := request.Header.Get("X-Request-Id")
-	call := service.arrive(Call{
+	call := service.beginCall(Call{
 		Time: time.Now(), RequestID: id, Organisation: request.Header.Get("X-Organisation"),
 		Method: request.Method, Path: request.URL.Path, BodySize: len(body),
 	})
-	defer service.leave()
+	defer service.endCall()
 	latency := service.config.Latency
-	if fault, hit := service.faults.Inject(ModeDelay, id); hit {
+	if fault, hit := service.callFaults.Inject(ModeDelay, id); hit {
 		latency += time.Duration(fault.Delay)
 	}
 	service.sleep(latency)
-	if _, hit := service.faults.Inject(ModeCutBefore, id); hit {
+	if _, hit := service.callFaults.Inject(ModeCutBefore, id); hit {
 		infra.AbortConnection()
 	}
-	if _, hit := service.faults.Inject(ModeFailBefore, id); hit {
+	if _, hit := service.callFaults.Inject(ModeFailBefore, id); hit {
 		infra.WriteRetryableError(writer, http.StatusServiceUnavailable, time.Second, "the call had no effect")
 		return
 	}
-	effects := service.effect(call, id)
-	if _, hit := service.faults.Inject(ModeCutAfter, id); hit {
+	effects := service.performCall(call, id)
+	if _, hit := service.callFaults.Inject(ModeCutAfter, id); hit {
 		infra.AbortConnection()
 	}
-	if _, hit := service.faults.Inject(ModeFailAfter, id); hit {
+	if _, hit := service.callFaults.Inject(ModeFailAfter, id); hit {
 		infra.WriteError(writer, http.StatusInternalServerError, "the call failed after its effect")
 		return
 	}
 	infra.WriteJSON(writer, Response{RequestID: id, Result: Result(request.Method, request.URL.RequestURI(), body), Effects: effects})
 }
 
-// sleep waits and cuts the call if the service is closed meanwhile.
+// sleep waits for a time. It aborts the connection if the service is closed
+// meanwhile.
 func (service *Service) sleep(duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -214,8 +218,8 @@
 	}
 }
 
-// arrive records a call and returns its index.
-func (service *Service) arrive(call Call) int {
+// beginCall records a call and returns its index.
+func (service *Service) beginCall(call Call) int {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
 	service.running++
@@ -223,15 +227,16 @@
 	return len(service.calls) - 1
 }
 
-// leave ends a call.
-func (service *Service) leave() {
+// endCall counts a call as no longer running.
+func (service *Service) endCall() {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
 	service.running--
 }
 
-// effect performs a call and returns how often its request id had an effect.
-func (service *Service) effect(call int, id string) int {
+// performCall records the effect of a call and returns how many effects its
+// request id has had.
+func (service *Service) performCall(call int, id string) int {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
 	service.calls[call].Effect = true
--- a/internal/bench/reqgen/plan.go
+++ b/internal/bench/reqgen/plan.go
@@ -1,5 +1,5 @@
-// Package reqgen generates a seeded load of letters, chats, bookings and status
-// checks against entry instances, and checks every answer.
+// Package reqgen generates a seeded stream of letters, chats, bookings and status
+// checks, sends it to entry instances and checks every response.
 package reqgen
 
 import (
@@ -15,37 +15,39 @@
 type Kind int
 
 const (
-	// Letter is patient model work.
+	// Letter is a model request of the patient class, which tolerates waiting.
 	Letter Kind = iota
-	// Chat is interactive model work.
+	// Chat is an interactive model request.
 	Chat
-	// Booking is non-idempotent work at the plain service.
+	// Booking is a non-idempotent request to the plain service.
 	Booking
-	// StatusCheck is idempotent interactive work at the plain service.
+	// StatusCheck is an idempotent, interactive request to the plain service.
 	StatusCheck
 )
 
-// String returns the kind as written in reports.
+// String returns the name of the kind as written in reports.
 func (kind Kind) String() string {
 	return [...]string{"letter", "chat", "booking", "check"}[kind]
 }
 
-// UsesAdapter reports whether the kind runs on an adapter.
+// UsesAdapter reports whether requests of the kind run on an adapter.
 func (kind Kind) UsesAdapter() bool { return kind == Letter || kind == Chat }
 
-// Organisation is one source of load.
+// Organisation is one source of requests. Its token bucket is refilled with Rate
+// tokens per second and holds up to Burst tokens.
 type Organisation struct {
 	Name  string
 	Key   string
 	Rate  conf.Tokens
 	Burst conf.Tokens
-	// RequestRate is the mean number of requests a second.
+	// RequestRate is the mean number of requests per second.
 	RequestRate float64
-	// AdapterCount is the number of adapters, named by AdapterName.
+	// AdapterCount is the number of the organisation's adapters; AdapterName
+	// names them.
 	AdapterCount int
 }
 
-// Surge multiplies the load of one organisation for a time.
+// Surge multiplies the request rate of one organisation by Factor for a time.
 type Surge struct {
 	Organisation string
 	Factor       float64
@@ -53,23 +55,26 @@
 	Until        time.Duration
 }
 
-// Plan describes a load.
+// Plan describes the requests of a run.
 type Plan struct {
 	ModelService  string
 	PlainService  string
 	Organisations []Organisation
-	// KindWeights weighs the kinds, in the order of their constants.
+	// KindWeights holds the relative frequencies of the kinds, in the order of
+	// their constants.
 	KindWeights [4]float64
-	// ZipfExponent is the exponent of the Zipf distribution of adapters; above 1.
+	// ZipfExponent is the exponent of the Zipf distribution of requests over
+	// adapters; above 1.
 	ZipfExponent float64
-	// PopularityShiftAfter moves popularity to other adapters at this time; 0 never.
+	// PopularityShiftAfter is when the popularity shifts to other adapters; 0
+	// disables the shift.
 	PopularityShiftAfter time.Duration
 	Surge                Surge
 	// PromptTokens and MaxTokens are inclusive ranges.
 	PromptTokens [2]int
 	MaxTokens    [2]int
-	// RepeatFraction is the part of bookings that the caller sends twice with
-	// the same Idempotency-Key.
+	// RepeatFraction is the fraction of bookings that the caller sends twice at
+	// once with the same Idempotency-Key.
 	RepeatFraction float64
 }
 
@@ -86,7 +91,7 @@
 	return ""
 }
 
-// request is one planned request.
+// request is one request of a plan.
 type request struct {
 	id           int
 	kind         Kind
@@ -95,19 +100,22 @@
 	prompt       string
 	promptTokens int
 	maxTokens    int
-	repeat       bool
-	limited      bool
-	// warming requests are checked and not measured.
-	warming bool
+	// sendTwice requests are sent twice at once with the same Idempotency-Key.
+	sendTwice bool
+	// overRate requests exceed the organisation's rate, so that they may be
+	// refused.
+	overRate bool
+	// inWarmup requests are checked but not measured.
+	inWarmup bool
 }
 
-// source draws the requests of one organisation.
+// source generates the requests of one organisation from a seed.
 type source struct {
 	plan         Plan
 	organisation Organisation
 	random       *rand.Rand
 	zipf         *rand.Zipf
-	next         int
+	nextID       int
 }
 
 func newSource(plan Plan, index int, seed uint64) *source {
@@ -118,12 +126,13 @@
 		organisation: organisation,
 		random:       random,
 		zipf:         rand.NewZipf(random, plan.ZipfExponent, 1, uint64(organisation.AdapterCount-1)),
-		next:         index,
+		nextID:       index,
 	}
 }
 
-// gap returns the time until the next request of a Poisson process.
-func (source *source) gap(elapsed time.Duration) time.Duration {
+// nextInterval returns the time until the next request. Requests arrive as a
+// Poisson process.
+func (source *source) nextInterval(elapsed time.Duration) time.Duration {
 	rate := source.organisation.RequestRate
 	surge := source.plan.Surge
 	if surge.Organisation == source.organisation.Name && elapsed >= surge.From && elapsed < surge.Until {
@@ -132,16 +141,17 @@
 	return time.Duration(source.random.ExpFloat64() / rate * float64(time.Second))
 }
 
-func (source *source) draw(elapsed time.Duration) request {
+// nextRequest draws the next request of the organisation.
+func (source *source) nextRequest(elapsed time.Duration) request {
 	drawn := request{
-		id:           source.next,
-		kind:         source.kind(),
+		id:           source.nextID,
+		kind:         source.drawKind(),
 		organisation: source.organisation,
-		promptTokens: source.between(source.plan.PromptTokens),
-		maxTokens:    source.between(source.plan.MaxTokens),
+		promptTokens: source.drawInRange(source.plan.PromptTokens),
+		maxTokens:    source.drawInRange(source.plan.MaxTokens),
 	}
-	source.next += len(source.plan.Organisations)
-	drawn.repeat = drawn.kind == Booking && source.random.Float64() < source.plan.RepeatFraction
+	source.nextID += len(source.plan.Organisations)
+	drawn.sendTwice = drawn.kind == Booking && source.random.Float64() < source.plan.RepeatFraction
 	rank := int(source.zipf.Uint64())
 	if source.plan.PopularityShiftAfter > 0 && elapsed >= source.plan.PopularityShiftAfter {
 		rank = (rank + source.organisation.AdapterCount/2) % source.organisation.AdapterCount
@@ -151,7 +161,7 @@
 	return drawn
 }
 
-func (source *source) kind() Kind {
+func (source *source) drawKind() Kind {
 	total := 0.0
 	for _, weight := range source.plan.KindWeights {
 		total += weight
@@ -166,15 +176,16 @@
 	return StatusCheck
 }
 
-func (source *source) between(limits [2]int) int {
+// drawInRange draws a number from an inclusive range.
+func (source *source) drawInRange(limits [2]int) int {
 	return limits[0] + source.random.IntN(limits[1]-limits[0]+1)
 }
 
 // bytesPerToken is the ratio by which entry instances estimate prompt tokens.
 const bytesPerToken = 4
 
-// promptText returns a prompt of the given estimated length that differs for
-// each request.
+// promptText returns a prompt of the given number of estimated tokens that
+// differs for each request.
 func promptText(id, tokens int) string {
 	text := fmt.Sprintf("request %d: ", id)
 	for len(text) < tokens*bytesPerToken {
--- a/internal/bench/reqgen/report.go
+++ b/internal/bench/reqgen/report.go
@@ -7,31 +7,34 @@
 	"jacinthfront.dev/jacinthfront/internal/base/metric"
 )
 
-// Series sums up the requests of one organisation and kind.
+// Series counts the requests of one organisation and kind by their results.
 type Series struct {
 	Sent      int64
 	Completed int64
-	// Refused counts answers that say not-run.
+	// Refused counts responses with the execution state not-run.
 	Refused int64
-	// WrongfulRefusals counts refusals of requests within the organisation's rate.
+	// WrongfulRefusals counts refusals of requests within the organisation's
+	// rate.
 	WrongfulRefusals int64
-	// UnknownEffect counts answers whose effect is unknown.
+	// UnknownEffect counts error responses other than not-run, as the request may
+	// have been executed.
 	UnknownEffect int64
-	// Incomplete counts answers that ended without their end or an error.
+	// Incomplete counts requests without a response and responses that ended
+	// without an end marker or an error.
 	Incomplete int64
-	// WrongText counts complete answers with another text than expected.
+	// WrongText counts complete answers with a text other than expected.
 	WrongText      int64
 	FirstToken     *metric.Histogram
 	TokenIntervals *metric.Histogram
 }
 
-// SeriesKey names a Series.
+// SeriesKey identifies a Series.
 type SeriesKey struct {
 	Organisation string
 	Kind         Kind
 }
 
-// ModelRequest is one completed model request.
+// ModelRequest records one completed model request.
 type ModelRequest struct {
 	RequestID    string
 	Organisation string
@@ -43,31 +46,37 @@
 
 // Report collects the results of a run. It is safe for concurrent use.
 type Report struct {
-	mu       sync.Mutex
-	series   map[SeriesKey]*Series
-	refusals map[string]int64
-	// notRun lists bookings that were refused as not-run.
-	notRun   map[string]bool
+	mu     sync.Mutex
+	series map[SeriesKey]*Series
+	// errorsByKind counts error responses after the warm-up.
+	errorsByKind map[string]int64
+	// notRunBookings says for each booking whether all its responses so far were
+	// not-run.
+	notRunBookings map[string]bool
+	// bookings counts the successful responses of each booking.
 	bookings map[string]int
 	problems []string
-	// warmup sums up the requests of the warm-up time.
+	// warmup counts the requests of the warm-up.
 	warmup *Series
-	model  map[string]*metric.Histogram
-	// refusedWaits holds the time that refused model requests waited.
-	refusedWaits []time.Duration
-	traces       []ModelRequest
+	// modelFirstTokens holds the times to first token of each organisation; see
+	// ModelFirstTokens.
+	modelFirstTokens map[string]*metric.Histogram
+	// refusedWaits holds how long wrongfully refused model requests waited.
+	refusedWaits  []time.Duration
+	modelRequests []ModelRequest
 }
 
+// maxProblems is the largest number of problems that a report holds.
 const maxProblems = 20
 
 func newReport() *Report {
 	return &Report{
-		series:   map[SeriesKey]*Series{},
-		refusals: map[string]int64{},
-		notRun:   map[string]bool{},
-		bookings: map[string]int{},
-		warmup:   newSeries(),
-		model:    map[string]*metric.Histogram{},
+		series:           map[SeriesKey]*Series{},
+		errorsByKind:     map[string]int64{},
+		notRunBookings:   map[string]bool{},
+		bookings:         map[string]int{},
+		warmup:           newSeries(),
+		modelFirstTokens: map[string]*metric.Histogram{},
 	}
 }
 
@@ -82,7 +91,7 @@
 	return result
 }
 
-// Total sums the counts of all series; its histograms are nil.
+// Total returns the sum of the counts of all series; its histograms are nil.
 func (report *Report) Total() Series {
 	var total Series
 	for _, series := range report.Series() {
@@ -97,28 +106,28 @@
 	return total
 }
 
-// Warmup returns the counts of the warm-up time.
+// Warmup returns the counts of the warm-up.
 func (report *Report) Warmup() Series {
 	report.mu.Lock()
 	defer report.mu.Unlock()
 	return *report.warmup
 }
 
-// ModelFirstTokens returns, for each organisation, the first-token times of its model
-// requests. A model request that was refused although it was within the
-// organisation's rate counts with the time that it waited for the refusal.
+// ModelFirstTokens returns, for each organisation, the times to first token of
+// its model requests. A wrongfully refused model request counts with the time
+// that it waited for the refusal.
 func (report *Report) ModelFirstTokens() map[string]*metric.Histogram {
 	report.mu.Lock()
 	defer report.mu.Unlock()
-	result := make(map[string]*metric.Histogram, len(report.model))
-	for organisation, times := range report.model {
+	result := make(map[string]*metric.Histogram, len(report.modelFirstTokens))
+	for organisation, times := range report.modelFirstTokens {
 		result[organisation] = times
 	}
 	return result
 }
 
-// RefusedWaits returns how long model requests waited that were refused
-// although they were within the organisation's rate.
+// RefusedWaits returns how long wrongfully refused model requests waited for the
+// refusal.
 func (report *Report) RefusedWaits() []time.Duration {
 	report.mu.Lock()
 	defer report.mu.Unlock()
@@ -129,18 +138,19 @@
 	return &Series{FirstToken: metric.NewHistogram(), TokenIntervals: metric.NewHistogram()}
 }
 
-// ErrorsByKind returns the number of errors by kind.
+// ErrorsByKind returns the number of error responses of each kind after the
+// warm-up.
 func (report *Report) ErrorsByKind() map[string]int64 {
 	report.mu.Lock()
 	defer report.mu.Unlock()
-	result := make(map[string]int64, len(report.refusals))
-	for kind, count := range report.refusals {
+	result := make(map[string]int64, len(report.errorsByKind))
+	for kind, count := range report.errorsByKind {
 		result[kind] = count
 	}
 	return result
 }
 
-// Bookings returns, for each booking, the number of successful answers.
+// Bookings returns, for each booking, the number of successful responses.
 func (report *Report) Bookings() map[string]int {
 	report.mu.Lock()
 	defer report.mu.Unlock()
@@ -151,12 +161,12 @@
 	return result
 }
 
-// NotRunBookings returns the bookings for which every answer said not-run.
+// NotRunBookings returns the bookings for which every response said not-run.
 func (report *Report) NotRunBookings() []string {
 	report.mu.Lock()
 	defer report.mu.Unlock()
 	var result []string
-	for booking, only := range report.notRun {
+	for booking, only := range report.notRunBookings {
 		if only {
 			result = append(result, booking)
 		}
@@ -168,19 +178,19 @@
 func (report *Report) ModelRequests() []ModelRequest {
 	report.mu.Lock()
 	defer report.mu.Unlock()
-	return append([]ModelRequest(nil), report.traces...)
+	return append([]ModelRequest(nil), report.modelRequests...)
 }
 
-// Problems returns the first unexpected answers in words.
+// Problems returns descriptions of the first unexpected responses.
 func (report *Report) Problems() []string {
 	report.mu.Lock()
 	defer report.mu.Unlock()
 	return append([]string(nil), report.problems...)
 }
 
-// entry returns the series of a request; the caller holds the lock.
-func (report *Report) entry(request request) *Series {
-	if request.warming {
+// seriesFor returns the series of a request. The caller holds the lock.
+func (report *Report) seriesFor(request request) *Series {
+	if request.inWarmup {
 		return report.warmup
 	}
 	key := SeriesKey{Organisation: request.organisation.Name, Kind: request.kind}
@@ -192,55 +202,61 @@
 	return series
 }
 
-func (report *Report) addBooking(name string, answer *answer) {
-	if answer.complete {
+// recordBooking records a response to a booking. The caller holds the lock.
+func (report *Report) recordBooking(name string, outcome *outcome) {
+	if outcome.complete {
 		report.bookings[name]++
 	}
-	if only, seen := report.notRun[name]; !seen || only {
-		report.notRun[name] = answer.refused()
+	if only, seen := report.notRunBookings[name]; !seen || only {
+		report.notRunBookings[name] = outcome.notRun()
 	}
 }
 
+// addProblem notes an unexpected response. The caller holds the lock.
 func (report *Report) addProblem(text string) {
 	if len(report.problems) < maxProblems {
 		report.problems = append(report.problems, text)
 	}
 }
 
-// refuse counts an error by its kind.
-func (report *Report) refuse(request request, answer *answer) {
-	if !request.warming {
-		report.refusals[answer.kind]++
+// countError counts an error response by its kind.
+func (report *Report) countError(request request, outcome *outcome) {
+	if !request.inWarmup {
+		report.errorsByKind[outcome.errorKind]++
 	}
 }
 
-func (report *Report) observeRefusal(request request, answer *answer) {
-	if request.warming || request.limited || !request.kind.UsesAdapter() || !answer.refused() {
+// recordModelRefusal records how long a wrongfully refused model request waited.
+func (report *Report) recordModelRefusal(request request, outcome *outcome) {
+	if request.inWarmup || request.overRate || !request.kind.UsesAdapter() || !outcome.notRun() {
 		return
 	}
-	report.refusedWaits = append(report.refusedWaits, answer.firstToken)
-	report.observeModel(request, answer)
+	report.refusedWaits = append(report.refusedWaits, outcome.firstToken)
+	report.recordModelFirstToken(request, outcome)
 }
 
-func (report *Report) observeModel(request request, answer *answer) {
-	times, ok := report.model[request.organisation.Name]
+// recordModelFirstToken adds the time to first token of a model request to the
+// times of its organisation.
+func (report *Report) recordModelFirstToken(request request, outcome *outcome) {
+	times, ok := report.modelFirstTokens[request.organisation.Name]
 	if !ok {
 		times = metric.NewHistogram()
-		report.model[request.organisation.Name] = times
+		report.modelFirstTokens[request.organisation.Name] = times
 	}
-	times.Observe(max(answer.firstToken, time.Microsecond))
+	times.Observe(max(outcome.firstToken, time.Microsecond))
 }
 
-func (report *Report) observe(series *Series, request request, answer *answer) {
-	if request.kind.UsesAdapter() && !request.warming {
-		report.observeModel(request, answer)
-		report.traces = append(report.traces, ModelRequest{
-			RequestID: answer.requestID, Organisation: request.organisation.Name, Kind: request.kind,
-			Adapter: request.adapter, Sent: answer.sent, FirstToken: answer.firstToken,
+// recordCompleted records the times of a completed request.
+func (report *Report) recordCompleted(series *Series, request request, outcome *outcome) {
+	if request.kind.UsesAdapter() && !request.inWarmup {
+		report.recordModelFirstToken(request, outcome)
+		report.modelRequests = append(report.modelRequests, ModelRequest{
+			RequestID: outcome.requestID, Organisation: request.organisation.Name, Kind: request.kind,
+			Adapter: request.adapter, Sent: outcome.sent, FirstToken: outcome.firstToken,
 		})
 	}
-	series.FirstToken.Observe(max(answer.firstToken, time.Microsecond))
-	for _, gap := range answer.gaps {
-		series.TokenIntervals.Observe(gap)
+	series.FirstToken.Observe(max(outcome.firstToken, time.Microsecond))
+	for _, interval := range outcome.tokenIntervals {
+		series.TokenIntervals.Observe(interval)
 	}
 }
--- a/internal/bench/trial/plot.go
+++ b/internal/bench/trial/plot.go
@@ -23,8 +23,8 @@
 	labelAngle = 0.3
 )
 
-// measures are the plots of a file, from top to bottom.
-var measures = []struct {
+// plottedMeasures are the plots of a file, from top to bottom.
+var plottedMeasures = []struct {
 	title string
 	value func(result *Result) float64
 }{
@@ -34,8 +34,8 @@
 	{"wrongful refusals", func(result *Result) float64 { return float64(result.Measures.WrongfulRefusals) }},
 }
 
-// WritePlot writes the four measures of each scenario as bars. The file's ending
-// chooses SVG or PNG.
+// WritePlot writes a file with one bar chart for each of the four measures. The
+// file's extension selects SVG or PNG.
 func WritePlot(results []Result, file string) error {
 	var canvas interface {
 		vg.CanvasSizer
@@ -49,9 +49,9 @@
 	default:
 		return fmt.Errorf("plot file ends in %q; write .svg or .png", ending)
 	}
-	plots := make([][]*plot.Plot, 0, len(measures))
-	for _, measure := range measures {
-		drawn, err := bars(results, measure.title, measure.value)
+	plots := make([][]*plot.Plot, 0, len(plottedMeasures))
+	for _, measure := range plottedMeasures {
+		drawn, err := barChart(results, measure.title, measure.value)
 		if err != nil {
 			return err
 		}
@@ -61,10 +61,10 @@
 	for row, canvases := range plot.Align(plots, tiles, draw.New(canvas)) {
 		plots[row][0].Draw(canvases[0])
 	}
-	return write(file, canvas)
+	return writeFile(file, canvas)
 }
 
-func write(file string, drawn io.WriterTo) error {
+func writeFile(file string, drawn io.WriterTo) error {
 	target, err := os.Create(file)
 	if err != nil {
 		return err
@@ -76,8 +76,9 @@
 	return target.Close()
 }
 
-// bars returns the plot of one measure with a bar for each scenario and policy.
-func bars(results []Result, title string, value func(*Result) float64) (*plot.Plot, error) {
+// barChart returns the plot of one measure with a bar for each scenario and
+// policy.
+func barChart(results []Result, title string, value func(*Result) float64) (*plot.Plot, error) {
 	drawn := plot.New()
 	drawn.Title.Text = title
 	drawn.Legend.Top = true
--- a/internal/bench/trial/scenario.go
+++ b/internal/bench/trial/scenario.go
@@ -1,5 +1,6 @@
-// Package trial measures policies: it runs a deployment through scenarios and
-// compares the users' four measures.
+// Package trial compares policies: it runs a deployment through scenarios and
+// measures load stall, tokens per step, the worst-served organisation and
+// wrongful refusals.
 package trial
 
 import (
@@ -11,67 +12,71 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/reqgen"
 )
 
-// Scenario is a load with what happens during it. Times are parts of the
-// measured time.
+// Scenario is a request plan with the failures and changes that happen during a
+// run.
 type Scenario struct {
 	Name string
-	// plan changes the steady load; the warm-up time comes first.
-	plan func(plan *reqgen.Plan, warmup, length time.Duration)
-	// steps happen during the measured time.
+	// adjustPlan changes the steady plan; the measured time begins after the
+	// warm-up.
+	adjustPlan func(plan *reqgen.Plan, warmup, duration time.Duration)
+	// steps are performed during the measured time.
 	steps []step
-	// check adds a promise.
-	check func(fleet *demo.Fleet) demo.Invariant
+	// checkInvariant checks an additional invariant at the end of the run.
+	checkInvariant func(fleet *demo.Fleet) demo.Invariant
 }
 
-// step happens after a part of the measured time.
+// step is an action at a time given as a fraction of the measured time.
 type step struct {
 	at     float64
-	action func(ctx context.Context, fleet *demo.Fleet, length time.Duration) error
+	action func(ctx context.Context, fleet *demo.Fleet, duration time.Duration) error
 }
 
 const (
 	surgeFactor = 5
-	restartDown = 500 * time.Millisecond
-	// failingLoads is the part of loads that fail.
-	failingLoads = 0.3
+	// restartDowntime is how long a restarted engine is unreachable.
+	restartDowntime = 500 * time.Millisecond
+	// failedLoadFraction is the fraction of adapter loads that fail.
+	failedLoadFraction = 0.3
 )
 
-func part(length time.Duration, part float64) time.Duration {
-	return time.Duration(part * float64(length))
+// fractionOf returns a fraction of a duration.
+func fractionOf(duration time.Duration, fraction float64) time.Duration {
+	return time.Duration(fraction * float64(duration))
 }
 
-// Scenarios returns all scenarios in their order.
+// Scenarios returns all scenarios in the order in which they run.
 func Scenarios() []Scenario {
 	return []Scenario{
 		{Name: "steady"},
-		{Name: "popularity-shift", plan: func(plan *reqgen.Plan, warmup, length time.Duration) {
-			plan.PopularityShiftAfter = warmup + part(length, 0.25)
+		{Name: "popularity-shift", adjustPlan: func(plan *reqgen.Plan, warmup, duration time.Duration) {
+			plan.PopularityShiftAfter = warmup + fractionOf(duration, 0.25)
 		}},
-		{Name: "one-organisation-5x", plan: func(plan *reqgen.Plan, warmup, length time.Duration) {
+		{Name: "one-organisation-5x", adjustPlan: func(plan *reqgen.Plan, warmup, duration time.Duration) {
 			plan.Surge = reqgen.Surge{
-				Organisation: plan.Organisations[0].Name, Factor: surgeFactor, From: warmup, Until: warmup + length,
+				Organisation: plan.Organisations[0].Name, Factor: surgeFactor, From: warmup, Until: warmup + duration,
 			}
 		}},
-		{Name: "engine-restarts", steps: []step{restart(0, 0.1), restart(1, 0.25), restart(2, 0.4), restart(3, 0.55)}},
-		{Name: "load-failures", steps: []step{{0.2, func(_ context.Context, fleet *demo.Fleet, length time.Duration) error {
-			return fleet.FailLoads(failingLoads, part(length, 0.5))
+		{Name: "engine-restarts", steps: []step{restartStep(0, 0.1), restartStep(1, 0.25), restartStep(2, 0.4), restartStep(3, 0.55)}},
+		{Name: "load-failures", steps: []step{{0.2, func(_ context.Context, fleet *demo.Fleet, duration time.Duration) error {
+			return fleet.FailLoads(failedLoadFraction, fractionOf(duration, 0.5))
 		}}}},
 		{Name: "entry-replacement", steps: []step{{0.2, replaceEntry}, {0.6, replaceEntry}}},
-		{Name: "log-outage", steps: []step{{0.2, func(_ context.Context, fleet *demo.Fleet, length time.Duration) error {
-			return fleet.FailLog(part(length, 0.5))
+		{Name: "log-outage", steps: []step{{0.2, func(_ context.Context, fleet *demo.Fleet, duration time.Duration) error {
+			return fleet.FailLog(fractionOf(duration, 0.5))
 		}}}},
-		{Name: "failure-domain-loss", steps: []step{{0.3, func(ctx context.Context, fleet *demo.Fleet, length time.Duration) error {
-			return fleet.FailDomain(ctx, length)
+		{Name: "failure-domain-loss", steps: []step{{0.3, func(ctx context.Context, fleet *demo.Fleet, duration time.Duration) error {
+			return fleet.FailDomain(ctx, duration)
 		}}}},
-		{Name: "half-split", check: (*demo.Fleet).CheckHalves, steps: []step{{0.3, func(ctx context.Context, fleet *demo.Fleet, _ time.Duration) error {
+		{Name: "half-split", checkInvariant: (*demo.Fleet).CheckHalves, steps: []step{{0.3, func(ctx context.Context, fleet *demo.Fleet, _ time.Duration) error {
 			return fleet.SplitHalves(ctx)
 		}}}},
 	}
 }
 
-func restart(index int, at float64) step {
+// restartStep returns a step that restarts an engine.
+func restartStep(index int, at float64) step {
 	return step{at, func(_ context.Context, fleet *demo.Fleet, _ time.Duration) error {
-		return fleet.RestartEngine(index, restartDown)
+		return fleet.RestartEngine(index, restartDowntime)
 	}}
 }
 
@@ -79,7 +84,8 @@
 	return fleet.ReplaceEntry(ctx)
 }
 
-// SelectScenarios returns the scenario of a name, or all of them for "all".
+// SelectScenarios returns the scenario with the given name, or all scenarios for
+// "all".
 func SelectScenarios(name string) ([]Scenario, error) {
 	scenarios := Scenarios()
 	if name == "all" {
--- a/internal/bench/trial/table.go
+++ b/internal/bench/trial/table.go
@@ -15,7 +15,7 @@
 		lines = append(lines, fmt.Sprintf("%s\t%s\t%.1f ms\t%.1f%%\t%.2f\t%.0f ms (%s)\t%.0f/%.0f ms\t%d of %d\t%d\t%s",
 			result.Scenario, result.Policy, measures.LoadStall, 100*measures.StalledFraction, measures.TokensPerStep,
 			measures.WorstP95, measures.WorstOrganisation, measures.InteractiveP95, measures.PatientP95,
-			measures.WrongfulRefusals, measures.Sent, measures.Loads, promises(result)))
+			measures.WrongfulRefusals, measures.Sent, measures.Loads, invariantSummary(result)))
 	}
 	if comparisons := Compare(results); len(comparisons) > 0 {
 		lines = append(lines, "", "DEFAULT/NAIVE\tLOAD STALL\tTOKENS/STEP\tWORST ORGANISATION\tWRONGFUL REFUSALS")
@@ -30,35 +30,39 @@
 	return lines
 }
 
-// promises sums up the promise table of a result.
-func promises(result *Result) string {
-	for _, promise := range result.Invariants {
-		if !promise.Held {
-			return "BROKEN: " + promise.Name + ": " + promise.Observed
+// invariantSummary returns the first broken invariant of a result, or the number
+// of invariants that held.
+func invariantSummary(result *Result) string {
+	for _, invariant := range result.Invariants {
+		if !invariant.Held {
+			return "BROKEN: " + invariant.Name + ": " + invariant.Observed
 		}
 	}
 	return fmt.Sprintf("%d held", len(result.Invariants))
 }
 
+// groupLines returns the table of a result by organisation and kind of request.
 func groupLines(result *Result) []string {
 	lines := []string{
 		"", result.Scenario + ", " + result.Policy + ", errors " + fmt.Sprint(result.Measures.Errors),
 		"ORGANISATION\tKIND\tSENT\tDONE\tREFUSED\tWRONGFUL\tFIRST TOKEN p50/p95/p99\tBETWEEN TOKENS p50/p95/p99",
 	}
 	for _, group := range result.Measures.Groups {
-		lines = append(lines, fmt.Sprintf("%s\t%s, %s\t%d\t%d\t%d\t%d\t%s\t%s", group.Organisation, group.Kind, class(group.Kind),
-			group.Sent, group.Completed, group.Refused, group.Wrongful, latency(group.FirstToken), latency(group.TokenInterval)))
+		lines = append(lines, fmt.Sprintf("%s\t%s, %s\t%d\t%d\t%d\t%d\t%s\t%s", group.Organisation, group.Kind, requestClass(group.Kind),
+			group.Sent, group.Completed, group.Refused, group.Wrongful, formatLatency(group.FirstToken), formatLatency(group.TokenInterval)))
 	}
 	return lines
 }
 
-func class(kind string) string {
+// requestClass returns the class of a kind of request.
+func requestClass(kind string) string {
 	if kind == "letter" {
 		return "patient"
 	}
 	return "interactive"
 }
 
-func latency(latency demo.Latency) string {
+// formatLatency returns the percentiles of a latency.
+func formatLatency(latency demo.Latency) string {
 	return fmt.Sprintf("%.0f/%.0f/%.0f ms", latency.P50, latency.P95, latency.P99)
 }
--- a/internal/bench/trial/trial.go
+++ b/internal/bench/trial/trial.go
@@ -17,20 +17,20 @@
 	DefaultPolicy = "default"
 )
 
-// Config configures runs.
+// Config configures the runs of scenarios.
 type Config struct {
 	Deployment demo.Deployment
 	// NewNetwork returns the network of one run.
 	NewNetwork func() demo.Network
 	Seed       uint64
-	// Warmup comes before the measured Length.
+	// Warmup is the time before the measured Duration.
 	Warmup     time.Duration
 	Duration   time.Duration
 	EntryCount int
 	Logger     *zap.Logger
 }
 
-// Result is the outcome of one scenario under one policy.
+// Result holds the invariants and measurements of one scenario under one policy.
 type Result struct {
 	Scenario   string           `json:"scenario"`
 	Deployment string           `json:"deployment"`
@@ -42,17 +42,17 @@
 	Problems   []string         `json:"problems"`
 }
 
-// InvariantsHeld reports whether all promises held.
+// InvariantsHeld reports whether all invariants held.
 func (result *Result) InvariantsHeld() bool {
-	for _, promise := range result.Invariants {
-		if !promise.Held {
+	for _, invariant := range result.Invariants {
+		if !invariant.Held {
 			return false
 		}
 	}
 	return true
 }
 
-// Run runs one scenario under one policy.
+// Run runs one scenario under one policy in a new fleet.
 func Run(ctx context.Context, config Config, scenario Scenario, policy string) (Result, error) {
 	fleet, err := demo.NewFleet(demo.FleetConfig{
 		Deployment: config.Deployment, Network: config.NewNetwork(), Policy: policy, Entries: config.EntryCount,
@@ -66,18 +66,18 @@
 		return Result{}, err
 	}
 	plan := fleet.Plan()
-	if scenario.plan != nil {
-		scenario.plan(&plan, config.Warmup, config.Duration)
+	if scenario.adjustPlan != nil {
+		scenario.adjustPlan(&plan, config.Warmup, config.Duration)
 		fleet.SetSurge(plan.Surge)
 	}
 	generator := reqgen.New(reqgen.Config{
 		EntryURLs: fleet.EntryURLs, Client: fleet.Client(), Plan: plan, Seed: config.Seed, ExpectedToken: demo.ExpectedToken,
 		Warmup: config.Warmup, AfterWarmup: fleet.BeginMeasure,
 	})
-	acted := make(chan error, 1)
-	go func() { acted <- act(ctx, fleet, scenario, config) }()
+	stepsDone := make(chan error, 1)
+	go func() { stepsDone <- performSteps(ctx, fleet, scenario, config) }()
 	generator.Run(ctx, config.Warmup+config.Duration)
-	if err := <-acted; err != nil {
+	if err := <-stepsDone; err != nil {
 		return Result{}, fmt.Errorf("scenario %s: %w", scenario.Name, err)
 	}
 	report := generator.Report()
@@ -85,17 +85,17 @@
 		Scenario: scenario.Name, Deployment: config.Deployment.Name, Policy: policy, Seed: config.Seed,
 		Length: config.Duration.String(), Invariants: fleet.CheckLoadInvariants(report), Measures: fleet.Measure(report), Problems: report.Problems(),
 	}
-	if scenario.check != nil {
-		result.Invariants = append(result.Invariants, scenario.check(fleet))
+	if scenario.checkInvariant != nil {
+		result.Invariants = append(result.Invariants, scenario.checkInvariant(fleet))
 	}
 	return result, ctx.Err()
 }
 
-// act performs the steps of a scenario at their times.
-func act(ctx context.Context, fleet *demo.Fleet, scenario Scenario, config Config) error {
+// performSteps performs the steps of a scenario at their times.
+func performSteps(ctx context.Context, fleet *demo.Fleet, scenario Scenario, config Config) error {
 	begin := time.Now().Add(config.Warmup)
 	for _, step := range scenario.steps {
-		timer := time.NewTimer(time.Until(begin.Add(part(config.Duration, step.at))))
+		timer := time.NewTimer(time.Until(begin.Add(fractionOf(config.Duration, step.at))))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -109,20 +109,22 @@
 	return nil
 }
 
-// Comparison holds the ratios of two policies under one scenario.
+// Comparison compares the default policy with the naive one under one scenario.
 type Comparison struct {
 	Scenario string `json:"scenario"`
-	// Stall is the default policy's load stall in parts of the naive one's.
+	// Stall is the default policy's load stall divided by the naive one's.
 	Stall float64 `json:"load-stall-ratio"`
-	// Tokens is the default policy's tokens per step in parts of the naive one's.
+	// Tokens is the default policy's tokens per step divided by the naive one's.
 	Tokens float64 `json:"tokens-per-step-ratio"`
-	// Worst is the worst-served organisation's time in parts of the naive one's.
+	// Worst is the p95 time to first token of the worst-served organisation,
+	// divided by the naive policy's.
 	Worst float64 `json:"worst-organisation-ratio"`
-	// Wrongful is the difference in wrongful refusals.
+	// Wrongful is the default policy's number of wrongful refusals minus the
+	// naive one's.
 	Wrongful int64 `json:"wrongful-refusals-difference"`
 }
 
-// Compare returns the ratios of each scenario that ran under both policies.
+// Compare compares the policies for each scenario that ran under both.
 func Compare(results []Result) []Comparison {
 	naive := map[string]demo.Measures{}
 	for _, result := range results {
@@ -146,6 +148,7 @@
 	return comparisons
 }
 
+// ratio returns value divided by base, or 0 if base is 0.
 func ratio(value, base float64) float64 {
 	if base == 0 {
 		return 0
--- a/internal/bench/xfail/xfail.go
+++ b/internal/bench/xfail/xfail.go
@@ -1,4 +1,4 @@
-// Package xfail passes over the tests that KNOWN-RED.txt lists.
+// Package xfail skips the tests that KNOWN-RED.txt lists.
 package xfail
 
 import (
@@ -8,15 +8,15 @@
 	"testing"
 )
 
-// file is the list as seen from a package three levels below the root, which is
-// where all tests run.
-const file = "../../../KNOWN-RED.txt"
+// listFile is the path of the list from a package's directory. Every package with
+// listed tests lies three levels below the module root.
+const listFile = "../../../KNOWN-RED.txt"
 
-// SkipIfListed skips a test and prints its entry if KNOWN-RED.txt has one. An entry is a
-// line that begins with the test's full name and a colon.
+// SkipIfListed skips a test and prints its entry if KNOWN-RED.txt lists it. An
+// entry is a line that begins with the test's full name and a colon.
 func SkipIfListed(t *testing.T) {
 	t.Helper()
-	data, err := os.ReadFile(file)
+	data, err := os.ReadFile(listFile)
 	if err != nil {
 		return
 	}
