--- a/internal/bench/chaos/caller.go
+++ b/internal/bench/chaos/caller.go
@@ -16,57 +16,63 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/engsim"
 )
 
-// Answer is what a caller got for one sending of a request.
-type Answer struct {
+// Result is the outcome that a caller observed for one copy of a request.
+type Result struct {
 	Request Request
-	Copy    int
-	Entry   string
-	Sent    time.Time
-	Took    time.Duration
+	// Copy is 0 for the first sending of the request.
+	Copy  int
+	Entry string
+	Sent  time.Time
+	Took  time.Duration
 
-	Status    int
-	Kind      string
+	Status int
+	// ErrorKind and Ran are the kind and ran fields of an error body.
+	ErrorKind string
 	Ran       string
 	RequestID string
 	Adapter   string
 	Version   string
 	Text      string
 	Finish    string
-	// Complete says that the whole answer came.
+	// Complete says that the whole response arrived.
 	Complete bool
-	// Err says how the connection broke.
+	// Err is the error that broke the connection, or says why the response
+	// is unreadable.
 	Err error
-	// Disturbed says that the connection's breaking is the schedule's doing.
-	Disturbed bool
-	// Silent says that no final answer came in time.
-	Silent bool
+	// EntryDisrupted says that a failure of the schedule ended or paused the entry
+	// instance meanwhile, which may break the connection.
+	EntryDisrupted bool
+	// TimedOut says that no final response arrived in time.
+	TimedOut bool
 }
 
-// String describes the answer.
-func (answer *Answer) String() string {
+// String describes the result.
+func (result *Result) String() string {
 	return fmt.Sprintf("request %d (%s, stream %v) copy %d through %s: status %d kind %q ran %q id %s adapter %s@%s complete %v text %d bytes error %v after %s",
-		answer.Request.Index, answer.Request.Kind, answer.Request.Stream, answer.Copy, answer.Entry, answer.Status, answer.Kind, answer.Ran,
-		answer.RequestID, answer.Adapter, answer.Version, answer.Complete, len(answer.Text), answer.Err, answer.Took.Round(time.Millisecond))
+		result.Request.Index, result.Request.Kind, result.Request.Stream, result.Copy, result.Entry, result.Status, result.ErrorKind, result.Ran,
+		result.RequestID, result.Adapter, result.Version, result.Complete, len(result.Text), result.Err, result.Took.Round(time.Millisecond))
 }
 
-// answerMargin is what a final answer may take beyond the request limit.
-const answerMargin = 2 * time.Second
+// responseMargin is the time that a final response may take beyond
+// requestTimeout.
+const responseMargin = 2 * time.Second
 
-// prompt returns the text of a request.
+// prompt returns the prompt of a request.
 func (request Request) prompt() string {
 	return strings.TrimSpace(strings.Repeat(fmt.Sprintf("word%d ", request.Index), request.Words))
 }
 
-// sendAll sends all requests at their times and waits for the answers.
-func (world *world) sendAll(ctx context.Context) {
+// sendAll sends all requests and their copies at their times and waits for the
+// results.
+func (deployment *deployment) sendAll(ctx context.Context) {
 	var group sync.WaitGroup
-	for _, request := range world.schedule.Requests {
-		for copied, delay := range append([]time.Duration{0}, request.Copies...) {
+	for _, request := range deployment.schedule.Requests {
+		for copyIndex, delay := range append([]time.Duration{0}, request.Copies...) {
 			group.Add(1)
 			go func() {
 				defer group.Done()
-				if pause(ctx, time.Until(world.begin.Add(request.At+delay))) == nil {
-					world.send(ctx, request, copied)
+				if sleep(ctx, time.Until(deployment.startedAt.Add(request.At+delay))) == nil {
+					deployment.send(ctx, request, copyIndex)
 				}
 			}()
 		}
@@ -74,11 +80,12 @@
 	group.Wait()
 }
 
-// entryFor returns the entry instance for a sending, as a load balancer does
-// that leaves out instances that are not ready.
-func (world *world) entryFor(request Request, copied int) *process {
-	for offset := range world.entries {
-		entry := world.entries[(request.Entry+copied+offset)%len(world.entries)]
+// entryFor returns the entry instance for a copy of a request. Like a load
+// balancer with readiness checks, it leaves out instances that are not ready. It
+// returns nil if none is ready.
+func (deployment *deployment) entryFor(request Request, copyIndex int) *process {
+	for offset := range deployment.entries {
+		entry := deployment.entries[(request.Entry+copyIndex+offset)%len(deployment.entries)]
 		if entry.ready() {
 			return entry
 		}
@@ -86,85 +93,87 @@
 	return nil
 }
 
-func (world *world) send(ctx context.Context, request Request, copied int) {
-	entry := world.entryFor(request, copied)
+func (deployment *deployment) send(ctx context.Context, request Request, copyIndex int) {
+	entry := deployment.entryFor(request, copyIndex)
 	if entry == nil {
 		return
 	}
-	before := entry.disturbances()
-	answer := &Answer{Request: request, Copy: copied, Entry: entry.name, Sent: time.Now()}
-	limit := requestLimit + answerMargin
-	sendCtx, cancel := context.WithTimeout(ctx, limit+maxPause)
+	before := entry.disruptionCount()
+	result := &Result{Request: request, Copy: copyIndex, Entry: entry.name, Sent: time.Now()}
+	limit := requestTimeout + responseMargin
+	sendCtx, cancel := context.WithTimeout(ctx, limit+maxDisruption)
 	defer cancel()
-	world.exchange(sendCtx, entry, answer)
-	answer.Took = time.Since(answer.Sent)
-	answer.Disturbed = entry.disturbances() != before
+	deployment.exchange(sendCtx, entry, result)
+	result.Took = time.Since(result.Sent)
+	result.EntryDisrupted = entry.disruptionCount() != before
 	allowed := limit
-	if answer.Disturbed {
-		allowed += maxPause
+	if result.EntryDisrupted {
+		allowed += maxDisruption
 	}
-	answer.Silent = answer.Took > allowed || answer.Took >= limit+maxPause
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	world.answers = append(world.answers, answer)
+	result.TimedOut = result.Took > allowed || result.Took >= limit+maxDisruption
+	deployment.mutex.Lock()
+	defer deployment.mutex.Unlock()
+	deployment.results = append(deployment.results, result)
 }
 
-// maxPause is the longest time for which a failure holds an entry instance.
-const maxPause = 6 * time.Second
+// maxDisruption bounds the time for which a failure of a generated schedule pauses
+// an entry instance.
+const maxDisruption = 6 * time.Second
 
-// disturbances counts what broke or held callers' connections.
-func (process *process) disturbances() int {
+// disruptionCount returns how often a failure killed the process or began or ended
+// a pause of it. Each may break callers' connections.
+func (process *process) disruptionCount() int {
 	process.mutex.Lock()
 	defer process.mutex.Unlock()
-	return process.ended
+	return process.disruptions
 }
 
-func (process *process) disturbCallers() {
+func (process *process) countDisruption() {
 	process.mutex.Lock()
 	defer process.mutex.Unlock()
-	process.ended++
+	process.disruptions++
 }
 
-func (world *world) exchange(ctx context.Context, entry *process, answer *Answer) {
-	request, err := world.httpRequest(ctx, entry.callers, answer.Request)
+func (deployment *deployment) exchange(ctx context.Context, entry *process, result *Result) {
+	request, err := deployment.httpRequest(ctx, entry.callerAddress, result.Request)
 	if err != nil {
-		answer.Err = err
+		result.Err = err
 		return
 	}
-	response, err := world.client.Do(request)
+	response, err := deployment.client.Do(request)
 	if err != nil {
-		answer.Err = err
+		result.Err = err
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer.read(response)
+	result.read(response)
 }
 
-func (world *world) httpRequest(ctx context.Context, address string, request Request) (*http.Request, error) {
+func (deployment *deployment) httpRequest(ctx context.Context, address string, request Request) (*http.Request, error) {
 	method, path, body := request.encode()
-	sent, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
+	outgoing, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	// A request without GetBody is never repeated by the client itself.
-	sent.GetBody = nil
-	key := world.keys.keys[request.Organisation]
+	// Without GetBody, the HTTP client never repeats a request by itself.
+	outgoing.GetBody = nil
+	key := deployment.keys.byOrganisation[request.Organisation]
 	if request.Withdrawn {
-		key = world.keys.withdrawn
+		key = deployment.keys.withdrawn
 	}
-	sent.Header.Set("Authorization", "Bearer "+key)
-	sent.Header.Set("Content-Type", "application/json")
+	outgoing.Header.Set("Authorization", "Bearer "+key)
+	outgoing.Header.Set("Content-Type", "application/json")
 	if request.Kind.Keyed() {
-		sent.Header.Set("Idempotency-Key", fmt.Sprintf("request-%d", request.Index))
+		outgoing.Header.Set("Idempotency-Key", fmt.Sprintf("request-%d", request.Index))
 	}
-	return sent, nil
+	return outgoing, nil
 }
 
-// encode returns method, path and body of a request.
+// encode returns the method, path and body of a request.
 func (request Request) encode() (method, path string, body []byte) {
-	if !request.Kind.Model() {
+	if !request.Kind.UsesAdapter() {
 		method = http.MethodPost
-		if request.Kind == Stock {
+		if request.Kind == StockQuery {
 			return http.MethodGet, "/services/" + plainService + request.path(), nil
 		}
 		return method, "/services/" + plainService + request.path(), request.orderBody()
@@ -184,7 +193,7 @@
 	} else {
 		fields["prompt"] = request.prompt()
 	}
-	// A map of strings, numbers and messages always encodes.
+	// Encoding cannot fail for a map of strings, numbers and messages.
 	body, _ = json.Marshal(fields)
 	return http.MethodPost, path, body
 }
@@ -204,41 +213,41 @@
 	} `json:"error"`
 }
 
-func (answer *Answer) read(response *http.Response) {
-	answer.Status = response.StatusCode
-	answer.RequestID = response.Header.Get("X-Request-Id")
-	answer.Adapter, answer.Version = response.Header.Get("X-Adapter"), response.Header.Get("X-Adapter-Version")
+func (result *Result) read(response *http.Response) {
+	result.Status = response.StatusCode
+	result.RequestID = response.Header.Get("X-Request-Id")
+	result.Adapter, result.Version = response.Header.Get("X-Adapter"), response.Header.Get("X-Adapter-Version")
 	if strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") {
-		answer.readEvents(response.Body)
+		result.readEvents(response.Body)
 		return
 	}
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
-		answer.Err = err
+		result.Err = err
 		return
 	}
 	if response.StatusCode >= http.StatusBadRequest {
-		answer.readError(data)
+		result.readError(data)
 		return
 	}
-	answer.Complete = true
-	if answer.Request.Kind.Model() {
-		answer.readChunk(data)
+	result.Complete = true
+	if result.Request.Kind.UsesAdapter() {
+		result.readChunk(data)
 		return
 	}
-	answer.Text = string(data)
+	result.Text = string(data)
 }
 
-func (answer *Answer) readError(data []byte) {
+func (result *Result) readError(data []byte) {
 	var body errorBody
 	if err := json.Unmarshal(data, &body); err != nil || body.Error.Kind == "" {
-		answer.Err = fmt.Errorf("error body %q", data)
+		result.Err = fmt.Errorf("error body %q", data)
 		return
 	}
-	answer.Kind, answer.Ran = body.Error.Kind, body.Error.Ran
+	result.ErrorKind, result.Ran = body.Error.Kind, body.Error.Ran
 }
 
-func (answer *Answer) readChunk(data []byte) {
+func (result *Result) readChunk(data []byte) {
 	var chunk struct {
 		Choices []struct {
 			Text         string `json:"text"`
@@ -252,18 +261,18 @@
 		} `json:"choices"`
 	}
 	if err := json.Unmarshal(data, &chunk); err != nil {
-		answer.Err = err
+		result.Err = err
 		return
 	}
 	for _, choice := range chunk.Choices {
-		answer.Text += choice.Text + choice.Delta.Content + choice.Message.Content
+		result.Text += choice.Text + choice.Delta.Content + choice.Message.Content
 		if choice.FinishReason != "" {
-			answer.Finish = choice.FinishReason
+			result.Finish = choice.FinishReason
 		}
 	}
 }
 
-func (answer *Answer) readEvents(body io.Reader) {
+func (result *Result) readEvents(body io.Reader) {
 	lines := bufio.NewScanner(body)
 	event := ""
 	for lines.Scan() {
@@ -278,16 +287,16 @@
 		data = strings.TrimSpace(data)
 		switch {
 		case data == "[DONE]":
-			answer.Complete = true
+			result.Complete = true
 			return
 		case event == "error":
-			answer.readError([]byte(data))
+			result.readError([]byte(data))
 			return
 		default:
-			answer.readChunk([]byte(data))
+			result.readChunk([]byte(data))
 		}
 	}
-	if answer.Err = lines.Err(); answer.Err == nil {
-		answer.Err = io.ErrUnexpectedEOF
+	if result.Err = lines.Err(); result.Err == nil {
+		result.Err = io.ErrUnexpectedEOF
 	}
 }
--- a/internal/bench/chaos/chaos.go
+++ b/internal/bench/chaos/chaos.go
@@ -1,6 +1,7 @@
-// Package chaos runs a small deployment under seeded combinations of failures
-// and compares what callers, upstreams and the platform's log saw with the
-// invariants and with a naive single-process version.
+// Package chaos injects seeded combinations of failures into a small deployment
+// of entry instances and side processes. It compares what callers, upstreams and
+// the platform's log observed with the invariants and with a sequential
+// reference model. The platform and the upstreams are simulators.
 package chaos
 
 import (
@@ -12,65 +13,70 @@
 type Report struct {
 	Schedule   Schedule
 	Violations []Violation
-	// Notes tells what was done and when.
-	Notes   []string
-	Answers []*Answer
-	// Complete, NotRun, Unknown, Broken count the answers.
+	// Events lists the injected failures and the operators' actions, each with
+	// the time since the start of the load.
+	Events  []string
+	Results []*Result
+	// Complete counts complete responses, NotRun and Unknown count refusals of
+	// requests that did not run and of requests that ran or may have run, and
+	// Broken counts responses that were cut off or unreadable.
 	Complete, NotRun, Unknown, Broken int
-	// Dispatches counts what upstreams received.
+	// Dispatches counts the requests that upstreams received.
 	Dispatches int
-	// Spread holds the times after which accepted versions were in force, where
-	// no failure kept a process from the log.
-	Spread []time.Duration
+	// PropagationDelays holds, for each process and accepted version, the time
+	// from acceptance until the version was in force. It leaves out runs with
+	// an outage of the log and processes that a failure kept from reading it.
+	PropagationDelays []time.Duration
 }
 
-// endTime is what a run goes on after its last answer, so that late work and
-// late configuration show.
-const endTime = 5 * time.Second
+// cooldown is the time that a run continues after its last response and failure,
+// so that late dispatches and late configuration changes are observed.
+const cooldown = 5 * time.Second
 
-// Run runs a schedule. It is meant for virtual time.
+// Run runs a schedule and checks the invariants. It returns an error if the
+// deployment cannot start. It is meant for virtual time (testing/synctest).
 func Run(ctx context.Context, schedule Schedule) (*Report, error) {
-	world, err := newWorld(schedule, serviceCount, nil)
-	defer world.close()
+	deployment, err := newDeployment(schedule, serviceCount, nil)
+	defer deployment.close()
 	if err != nil {
 		return nil, err
 	}
-	if err := world.start(ctx); err != nil {
+	if err := deployment.start(ctx); err != nil {
 		return nil, err
 	}
-	world.begin = time.Now()
+	deployment.startedAt = time.Now()
 	ctx, cancel := context.WithCancel(ctx)
-	done := make(chan struct{})
+	sampled := make(chan struct{})
 	go func() {
-		defer close(done)
-		world.observe(ctx)
+		defer close(sampled)
+		deployment.sampleConfigs(ctx)
 	}()
-	failed := make(chan struct{})
+	injected := make(chan struct{})
 	go func() {
-		defer close(failed)
-		world.runFailures(ctx)
+		defer close(injected)
+		deployment.runFailures(ctx)
 	}()
-	world.sendAll(ctx)
-	<-failed
-	_ = pause(ctx, endTime)
+	deployment.sendAll(ctx)
+	<-injected
+	_ = sleep(ctx, cooldown)
 	cancel()
-	<-done
-	return world.report(), nil
+	<-sampled
+	return deployment.report(), nil
 }
 
-func (world *world) report() *Report {
-	checked := world.check()
+func (deployment *deployment) report() *Report {
+	checker := deployment.check()
 	report := &Report{
-		Schedule: world.schedule, Violations: checked.found, Notes: world.notes, Answers: world.answers,
-		Dispatches: len(checked.dispatched), Spread: checked.spread,
+		Schedule: deployment.schedule, Violations: checker.violations, Events: deployment.events, Results: deployment.results,
+		Dispatches: len(checker.dispatched), PropagationDelays: checker.propagationDelays,
 	}
-	for _, answer := range world.answers {
+	for _, result := range deployment.results {
 		switch {
-		case answer.Complete:
+		case result.Complete:
 			report.Complete++
-		case answer.Err != nil:
+		case result.Err != nil:
 			report.Broken++
-		case answer.Ran == "not-run":
+		case result.Ran == "not-run":
 			report.NotRun++
 		default:
 			report.Unknown++
--- a/internal/bench/chaos/chaos_test.go
+++ b/internal/bench/chaos/chaos_test.go
@@ -12,17 +12,17 @@
 )
 
 var (
-	seeds = flag.Uint64("seeds", 1000, "number of schedules")
-	from  = flag.Uint64("from", 1, "first seed")
+	seeds     = flag.Uint64("seeds", 1000, "number of schedules")
+	firstSeed = flag.Uint64("from", 1, "first seed")
 )
 
-// TestSchedules guards against every broken invariant that two failures at a
-// time can bring about.
+// TestSchedules checks the invariants under combinations of two failures, one
+// schedule per seed.
 func TestSchedules(t *testing.T) {
 	var mutex sync.Mutex
 	var totals Totals
 	t.Run("seed", func(t *testing.T) {
-		for seed := *from; seed < *from+*seeds; seed++ {
+		for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
 				xfail.SkipIfListed(t)
--- a/internal/bench/chaos/check.go
+++ b/internal/bench/chaos/check.go
@@ -9,8 +9,8 @@
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 )
 
-// Violation is a broken invariant. The numbers are those of section 2 of the
-// design page; 0 stands for the final answer that every request gets.
+// Violation is a broken invariant. Invariants are numbered as in section 2 of the
+// design page; 0 is the rule that every request gets a final response.
 type Violation struct {
 	Invariant int
 	Text      string
@@ -22,51 +22,54 @@
 }
 
 const (
+	// withdrawalBound, drainingBound and configBound bound the time from a decision
+	// until all processes must act on it.
 	withdrawalBound = 4 * time.Second
-	leavingBound    = 3 * time.Second
+	drainingBound   = 3 * time.Second
 	configBound     = 4 * time.Second
-	// readTime is the time after an append in which an outage may keep all
-	// processes from reading it.
-	readTime = 300 * time.Millisecond
+	// logReadWindow is the time after an append in which an outage of the log may
+	// keep all processes from reading the record.
+	logReadWindow = 300 * time.Millisecond
 )
 
-// checker collects violations.
+// checker checks the invariants after a run and collects violations.
 type checker struct {
-	*world
-	found      []Violation
-	dispatched []dispatch
-	versions   []version
-	spread     []time.Duration
+	*deployment
+	violations        []Violation
+	dispatched        []dispatch
+	versions          []version
+	propagationDelays []time.Duration
 }
 
 func (checker *checker) fail(invariant int, format string, args ...any) {
-	checker.found = append(checker.found, Violation{invariant, fmt.Sprintf(format, args...)})
+	checker.violations = append(checker.violations, Violation{invariant, fmt.Sprintf(format, args...)})
 }
 
-// check compares what callers, upstreams and log saw with the invariants.
-func (world *world) check() *checker {
-	checker := &checker{world: world, dispatched: world.dispatches(), versions: foldNaively(world.platform.Records(configStream))}
-	for _, answer := range world.answers {
-		checker.checkAnswer(answer)
+// check compares what callers, upstreams and the log observed with the
+// invariants.
+func (deployment *deployment) check() *checker {
+	checker := &checker{deployment: deployment, dispatched: deployment.dispatches(), versions: referenceReplay(deployment.platform.Records(configStream))}
+	for _, result := range deployment.results {
+		checker.checkResult(result)
 	}
 	for _, dispatch := range checker.dispatched {
 		checker.checkDispatch(dispatch)
 	}
-	checker.checkOnce()
+	checker.checkAtMostOnce()
 	checker.checkEvictions()
-	checker.checkKeys()
+	checker.checkSecretLeaks()
 	checker.checkRates()
-	checker.checkStops()
+	checker.checkPlannedStops()
 	checker.checkVersions()
-	checker.checkSpread()
-	for _, problem := range world.problems {
+	checker.checkPropagation()
+	for _, problem := range deployment.problems {
 		checker.fail(0, "%s", problem)
 	}
 	return checker
 }
 
-// effects counts the runs that match.
-func (checker *checker) effects(match func(dispatch) bool) int {
+// countRuns counts the matching dispatches that an upstream ran.
+func (checker *checker) countRuns(match func(dispatch) bool) int {
 	count := 0
 	for _, dispatch := range checker.dispatched {
 		if dispatch.effect && match(dispatch) {
@@ -76,88 +79,90 @@
 	return count
 }
 
-func (checker *checker) checkAnswer(answer *Answer) {
+func (checker *checker) checkResult(result *Result) {
 	switch {
-	case answer.Silent:
-		checker.fail(0, "no final answer within its limit: %s", answer)
+	case result.TimedOut:
+		checker.fail(0, "no final answer within its limit: %s", result)
 		return
-	case answer.Err != nil:
-		if !answer.Disturbed {
-			checker.fail(7, "the answer broke off: %s", answer)
+	case result.Err != nil:
+		if !result.EntryDisrupted {
+			checker.fail(7, "the answer broke off: %s", result)
 		}
 		return
-	case answer.Complete:
-		checker.checkComplete(answer)
+	case result.Complete:
+		checker.checkComplete(result)
 	default:
-		checker.checkRefusal(answer)
+		checker.checkRefusal(result)
 	}
-	if checker.gentle() && !answer.Complete && answer.Ran != "not-run" && !checker.meetsClaim(answer) {
-		checker.fail(11, "the request was interrupted although no failure interrupts requests: %s", answer)
+	if checker.interruptsNothing() && !result.Complete && result.Ran != "not-run" && !checker.metActiveClaim(result) {
+		checker.fail(11, "the request was interrupted although no failure interrupts requests: %s", result)
 	}
 }
 
-// meetsClaim reports whether an answer is the unknown of a copy that met the
-// claim of another copy, which was in flight when it was sent. Section 10 of
-// the design page requires this answer, and it interrupts nothing.
-func (checker *checker) meetsClaim(answer *Answer) bool {
-	for _, other := range checker.answers {
-		same := other != answer && other.Request.Index == answer.Request.Index && answer.Request.Kind.Keyed()
-		flying := !other.Sent.After(answer.Sent) && other.Sent.Add(other.Took).After(answer.Sent)
-		if same && flying && answer.Kind == "outcome-unknown" && answer.Ran == "unknown" {
+// metActiveClaim reports whether a copy of a request was refused with an unknown
+// outcome because another copy, in flight when this one was sent, held the claim.
+// Section 10 of the design page requires this response, and no request is
+// interrupted by it.
+func (checker *checker) metActiveClaim(result *Result) bool {
+	for _, other := range checker.results {
+		sameRequest := other != result && other.Request.Index == result.Request.Index && result.Request.Kind.Keyed()
+		overlaps := !other.Sent.After(result.Sent) && other.Sent.Add(other.Took).After(result.Sent)
+		if sameRequest && overlaps && result.ErrorKind == "outcome-unknown" && result.Ran == "unknown" {
 			return true
 		}
 	}
 	return false
 }
 
-// gentle reports whether no failure of the schedule interrupts requests.
-func (world *world) gentle() bool {
-	for _, planned := range world.schedule.Failures {
-		if kind, _ := findFailure(planned.Name); !kind.gentle {
+// interruptsNothing reports whether the schedule has failures, none of which may
+// interrupt a request.
+func (deployment *deployment) interruptsNothing() bool {
+	for _, planned := range deployment.schedule.Failures {
+		if kind, _ := findFailureKind(planned.Name); !kind.nonInterrupting {
 			return false
 		}
 	}
-	return len(world.schedule.Failures) > 0
+	return len(deployment.schedule.Failures) > 0
 }
 
-func (checker *checker) checkComplete(answer *Answer) {
-	request := answer.Request
+func (checker *checker) checkComplete(result *Result) {
+	request := result.Request
 	if request.Kind == Foreign {
-		checker.fail(3, "another organisation's adapter answered: %s", answer)
+		checker.fail(3, "another organisation's adapter answered: %s", result)
 		return
 	}
 	adapter := ""
-	version, err := strconv.ParseUint(answer.Version, 10, 32)
-	got := answer.Text
-	if request.Kind.Model() {
+	version, err := strconv.ParseUint(result.Version, 10, 32)
+	got := result.Text
+	if request.Kind.UsesAdapter() {
 		adapter = adapterName(request.Organisation, request.Adapter)
-		if err != nil || answer.Adapter != adapter || request.Version > 0 && uint32(version) != request.Version || version > adapterVersions {
-			checker.fail(1, "the answer names another adapter or version than %s@%d: %s", adapter, request.Version, answer)
+		if err != nil || result.Adapter != adapter || request.Version > 0 && uint32(version) != request.Version || version > adapterVersions {
+			checker.fail(1, "the answer names another adapter or version than %s@%d: %s", adapter, request.Version, result)
 			return
 		}
 	} else {
-		got = plainResult(answer.Text)
+		got = plainResult(result.Text)
 	}
-	text, finish := naiveAnswer(request, adapter, uint32(version))
-	if got != text || answer.Finish != finish {
-		checker.fail(7, "the answer is %q (%s), a single process answers %q (%s): %s", got, answer.Finish, text, finish, answer)
+	text, finish := referenceResponse(request, adapter, uint32(version))
+	if got != text || result.Finish != finish {
+		checker.fail(7, "the answer is %q (%s), a single process answers %q (%s): %s", got, result.Finish, text, finish, result)
 	}
-	runs := checker.effects(func(dispatch dispatch) bool { return dispatch.known && dispatch.request.Index == request.Index })
+	runs := checker.countRuns(func(dispatch dispatch) bool { return dispatch.known && dispatch.request.Index == request.Index })
 	if runs == 0 {
-		checker.fail(7, "the answer is complete, but nothing ran: %s", answer)
+		checker.fail(7, "the answer is complete, but nothing ran: %s", result)
 	}
 }
 
-func (checker *checker) checkRefusal(answer *Answer) {
-	switch answer.Ran {
+func (checker *checker) checkRefusal(result *Result) {
+	switch result.Ran {
 	case "ran", "unknown":
 	case "not-run":
-		runs := checker.effects(func(dispatch dispatch) bool { return dispatch.id == answer.RequestID })
-		if runs > 0 || answer.RequestID == "" {
-			checker.fail(8, "%d runs of a request that did not run: %s", runs, answer)
+		runs := checker.countRuns(func(dispatch dispatch) bool { return dispatch.id == result.RequestID })
+		if runs > 0 || result.RequestID == "" {
+			checker.fail(8, "%d runs of a request that did not run: %s", runs, result)
 		}
 	default:
-		checker.fail(8, "the refusal does not say whether the request ran: %s", answer)
+		checker.fail(8, "the refusal does not say whether the request ran: %s", result)
 	}
 }
 
@@ -171,7 +176,7 @@
 	if request.Kind == Foreign || dispatch.organisation != organisationSpecs[request.Organisation].name {
 		checker.fail(3, "upstream %s ran request %d for %q", name, request.Index, dispatch.organisation)
 	}
-	if request.Kind.Model() {
+	if request.Kind.UsesAdapter() {
 		adapter := adapterName(request.Organisation, request.Adapter)
 		if dispatch.adapter != adapter || request.Version > 0 && dispatch.version != request.Version {
 			checker.fail(1, "upstream %s ran request %d on %s@%d in place of %s@%d", name, request.Index, dispatch.adapter, dispatch.version, adapter, request.Version)
@@ -179,39 +184,40 @@
 	}
 	if !dispatch.resumed {
 		checker.checkWithdrawn(dispatch)
-		checker.checkLeaving(dispatch)
+		checker.checkDraining(dispatch)
 		checker.checkHalf(dispatch)
 	}
 }
 
-// late reports whether a side process should have known by a time what was
-// decided at another.
-func (checker *checker) late(dispatch dispatch, decided time.Time, bound time.Duration) bool {
+// tooLate reports whether a side process dispatched a request so long after a
+// decision that it should have known the decision. The bound is extended by
+// failures that kept the process from learning of it.
+func (checker *checker) tooLate(dispatch dispatch, decided time.Time, bound time.Duration) bool {
 	side := checker.sides[dispatch.upstream]
-	extra := side.allowance(decided, dispatch.at)
-	if down := checker.logDown; down.from.Sub(decided) < readTime && down.until.After(decided) {
-		extra = max(extra, down.until.Sub(decided))
+	extra := side.stalenessAllowance(decided, dispatch.at)
+	if outage := checker.logOutage; outage.from.Sub(decided) < logReadWindow && outage.until.After(decided) {
+		extra = max(extra, outage.until.Sub(decided))
 	}
 	return dispatch.at.Sub(decided) > bound+extra
 }
 
 func (checker *checker) checkWithdrawn(dispatch dispatch) {
-	withdrawn, _, ok := find(checker.versions, func(op patch.WithdrawKey) bool { return op.ID == checker.keys.withdrawnID })
-	if ok && dispatch.request.Withdrawn && checker.late(dispatch, withdrawn.at, withdrawalBound) {
+	withdrawn, _, ok := findVersion(checker.versions, func(op patch.WithdrawKey) bool { return op.ID == checker.keys.withdrawnID })
+	if ok && dispatch.request.Withdrawn && checker.tooLate(dispatch, withdrawn.at, withdrawalBound) {
 		checker.fail(5, "upstream %s ran request %d %s after its key was withdrawn",
 			checker.upstreams[dispatch.upstream], dispatch.request.Index, dispatch.at.Sub(withdrawn.at))
 	}
 }
 
-func (checker *checker) checkLeaving(dispatch dispatch) {
+func (checker *checker) checkDraining(dispatch dispatch) {
 	name := checker.upstreams[dispatch.upstream]
-	for _, left := range checker.left {
-		from := left.at
+	for _, draining := range checker.draining {
+		from := draining.at
 		if checker.listStale.until.After(from) {
 			from = checker.listStale.until
 		}
-		if left.upstream == name && checker.late(dispatch, from, leavingBound) {
-			checker.fail(10, "upstream %s received request %d %s after it was listed as leaving", name, dispatch.request.Index, dispatch.at.Sub(left.at))
+		if draining.upstream == name && checker.tooLate(dispatch, from, drainingBound) {
+			checker.fail(10, "upstream %s received request %d %s after it was listed as leaving", name, dispatch.request.Index, dispatch.at.Sub(draining.at))
 		}
 	}
 }
@@ -220,22 +226,22 @@
 	name := checker.upstreams[dispatch.upstream]
 	asked := organisationSpecs[dispatch.request.Organisation].half
 	before := upstreamHalf(dispatch.upstream)
-	moved, op, ok := find(checker.versions, func(op patch.PutUpstream) bool { return op.Upstream.ID == name })
-	allowed := naiveShares(asked, before)
+	moved, op, ok := findVersion(checker.versions, func(op patch.PutUpstream) bool { return op.Upstream.ID == name })
+	allowed := mayRunInHalf(asked, before)
 	if ok && !dispatch.at.Before(moved.at) {
-		allowed = naiveShares(asked, op.Upstream.Half) || allowed && !checker.late(dispatch, moved.at, configBound)
+		allowed = mayRunInHalf(asked, op.Upstream.Half) || allowed && !checker.tooLate(dispatch, moved.at, configBound)
 	}
 	if !allowed {
 		checker.fail(3, "upstream %s ran request %d of the half %q", name, dispatch.request.Index, asked)
 	}
 }
 
-func (checker *checker) checkOnce() {
+func (checker *checker) checkAtMostOnce() {
 	for _, request := range checker.schedule.Requests {
-		if !request.Kind.Once() {
+		if !request.Kind.AtMostOnce() {
 			continue
 		}
-		runs := checker.effects(func(dispatch dispatch) bool { return dispatch.known && dispatch.request.Index == request.Index })
+		runs := checker.countRuns(func(dispatch dispatch) bool { return dispatch.known && dispatch.request.Index == request.Index })
 		if runs > 1 {
 			checker.fail(9, "request %d (%s, copies %v) ran %d times", request.Index, request.Kind, request.Copies, runs)
 		}
@@ -250,7 +256,7 @@
 	}
 }
 
-func (checker *checker) checkKeys() {
+func (checker *checker) checkSecretLeaks() {
 	var leaks []string
 	for _, engine := range checker.engines {
 		leaks = append(leaks, engine.Observed().KeyLeaks...)
@@ -267,8 +273,8 @@
 			}
 		}
 	}
-	if count := checker.network.leaks + checker.lines.leaks; len(leaks) > 0 || count > 0 {
-		checker.fail(4, "keys in what upstreams received %v, %d in bytes to stand-ins, %d in log lines", leaks, checker.network.leaks, checker.lines.leaks)
+	if count := checker.network.leaks + checker.logScanner.leaks; len(leaks) > 0 || count > 0 {
+		checker.fail(4, "keys in what upstreams received %v, %d in bytes to stand-ins, %d in log lines", leaks, checker.network.leaks, checker.logScanner.leaks)
 	}
 }
 
@@ -280,14 +286,14 @@
 				own = append(own, dispatch)
 			}
 		}
-		if over := excess(own, organisation.rate, organisation.burst); over > 0 {
-			checker.fail(6, "organisation %s got %.1f tokens more than its rate and burst allow", organisation.name, over)
+		if excess := excessTokens(own, organisation.rate, organisation.burst); excess > 0 {
+			checker.fail(6, "organisation %s got %.1f tokens more than its rate and burst allow", organisation.name, excess)
 		}
 	}
 }
 
-func (checker *checker) checkStops() {
-	for _, stop := range checker.stopped {
+func (checker *checker) checkPlannedStops() {
+	for _, stop := range checker.plannedStops {
 		if stop.err != nil {
 			checker.fail(11, "the planned stop of %s ended with %v", stop.process, stop.err)
 		}
--- a/internal/bench/chaos/configure.go
+++ b/internal/bench/chaos/configure.go
@@ -17,37 +17,39 @@
 )
 
 const (
-	halfA         = "a"
-	halfB         = "b"
-	plainCost     = 10
-	longestWait   = 5 * time.Second
-	raceRoute     = "race"
-	configStream  = "config"
-	adapterPrefix = "adapter"
+	halfA          = "a"
+	halfB          = "b"
+	plainCost      = 10
+	maxWait        = 5 * time.Second
+	contendedRoute = "race"
+	configStream   = "config"
+	adapterPrefix  = "adapter"
 )
 
-// organisation is one source of requests.
+// organisation is an organisation of the initial configuration.
 type organisation struct {
 	name        string
 	half        config.Half
 	rate, burst config.Tokens
 }
 
-// The third organisation's rate is below what its requests need.
+// The rate of the third organisation is below the demand of its requests, so that
+// some of them are rate-limited.
 var organisationSpecs = [organisations]organisation{
 	{"oak", halfA, 400, 800},
 	{"ash", halfB, 300, 600},
 	{"elm", "", 40, 160},
 }
 
-// keyring holds the organisations' keys and one that is withdrawn.
+// keyring holds the organisations' keys and a key of the first organisation that
+// may be withdrawn.
 type keyring struct {
-	keys        [organisations]string
-	withdrawn   string
-	withdrawnID string
+	byOrganisation [organisations]string
+	withdrawn      string
+	withdrawnID    string
 }
 
-// upstreamHalves returns the half of each upstream at the start.
+// upstreamHalf returns the half of an upstream in the initial configuration.
 func upstreamHalf(index int) config.Half {
 	return [...]config.Half{halfA, "", halfB, halfA, halfB, ""}[index]
 }
@@ -71,22 +73,22 @@
 	}
 }
 
-func raceSpec(wait time.Duration) config.RouteSpec {
-	return config.RouteSpec{Name: raceRoute, Service: modelService, MaxWait: wait, Idempotent: true, DefaultMaxTokens: 16}
+func contendedRouteSpec(wait time.Duration) config.RouteSpec {
+	return config.RouteSpec{Name: contendedRoute, Service: modelService, MaxWait: wait, Idempotent: true, DefaultMaxTokens: 16}
 }
 
 // configure publishes the initial configuration.
-func (world *world) configure() error {
+func (deployment *deployment) configure() error {
 	var ops []patch.Op
-	for index, name := range world.upstreams {
+	for index, name := range deployment.upstreams {
 		ops = append(ops, patch.PutUpstream{Upstream: upstreamSpec(index, name, upstreamHalf(index))})
 	}
 	ops = append(ops, patch.PutFleet{Fleet: config.FleetSpec{LoadRateMilli: 20000, LoadBurst: 20}})
 	for _, route := range []config.RouteSpec{
-		{Name: "default", Service: modelService, MaxWait: longestWait, Idempotent: true, DefaultMaxTokens: 32},
-		{Name: "orders", Service: plainService, Plain: true, PathPrefix: "/orders", Methods: []string{"POST"}, MaxWait: longestWait, Cost: plainCost},
-		{Name: "stock", Service: plainService, Plain: true, PathPrefix: "/stock", Methods: []string{"GET"}, MaxWait: longestWait, Idempotent: true, Cost: plainCost},
-		raceSpec(time.Second),
+		{Name: "default", Service: modelService, MaxWait: maxWait, Idempotent: true, DefaultMaxTokens: 32},
+		{Name: "orders", Service: plainService, Plain: true, PathPrefix: "/orders", Methods: []string{"POST"}, MaxWait: maxWait, Cost: plainCost},
+		{Name: "stock", Service: plainService, Plain: true, PathPrefix: "/stock", Methods: []string{"GET"}, MaxWait: maxWait, Idempotent: true, Cost: plainCost},
+		contendedRouteSpec(time.Second),
 	} {
 		ops = append(ops, patch.PutRoute{Route: route})
 	}
@@ -95,14 +97,14 @@
 			Name: organisation.name, Half: organisation.half, Rate: organisation.rate, Burst: organisation.burst,
 		}})
 		key, spec := creds.Issue(organisation.name)
-		world.keys.keys[index] = key
+		deployment.keys.byOrganisation[index] = key
 		ops = append(ops, patch.PutKey{Key: spec})
-		for adapter := range adaptersEach {
+		for adapter := range adaptersPerOrganisation {
 			ops = append(ops, patch.PutAdapter{Adapter: adapterSpec(index, adapter, 1)})
 		}
 	}
 	key, spec := creds.Issue(organisationSpecs[0].name)
-	world.keys.withdrawn, world.keys.withdrawnID = key, spec.ID
+	deployment.keys.withdrawn, deployment.keys.withdrawnID = key, spec.ID
 	ops = append(ops, patch.PutKey{Key: spec})
 	initial := patch.Patch{ID: "initial", Operator: operatorName, Force: true, Ops: ops}
 	if _, result := patch.Apply(config.New(), initial); result.Kind != patch.Accepted {
@@ -112,45 +114,46 @@
 	if err != nil {
 		return err
 	}
-	for _, key := range append(world.keys.keys[:], world.keys.withdrawn) {
-		world.network.secrets = append(world.network.secrets, secretOf(key))
+	for _, key := range append(deployment.keys.byOrganisation[:], deployment.keys.withdrawn) {
+		deployment.network.secrets = append(deployment.network.secrets, secretPart(key))
 	}
-	world.lines.secrets = world.network.secrets
-	world.platform.Append(configStream, data)
+	deployment.logScanner.secrets = deployment.network.secrets
+	deployment.platform.Append(configStream, data)
 	return nil
 }
 
-// secretOf returns the part of a key that nobody but its callers and the entry
+// secretPart returns the part of a key that only its callers and the entry
 // instances may see.
-func secretOf(key string) []byte {
+func secretPart(key string) []byte {
 	return []byte(strings.SplitN(key, "_", 3)[2])
 }
 
-// lineScan takes the log lines of all processes and counts callers' secrets.
-type lineScan struct {
+// leakScanner receives the log lines of all processes and counts callers' secrets
+// in them.
+type leakScanner struct {
 	mutex   sync.Mutex
 	secrets [][]byte
 	lines   int
 	leaks   int
 }
 
-func (scan *lineScan) logger() *zap.Logger {
+func (leakScanner *leakScanner) logger() *zap.Logger {
 	encoder := zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig())
-	return zap.New(zapcore.NewCore(encoder, scan, zapcore.DebugLevel))
+	return zap.New(zapcore.NewCore(encoder, leakScanner, zapcore.DebugLevel))
 }
 
 // Write implements zapcore.WriteSyncer.
-func (scan *lineScan) Write(line []byte) (int, error) {
-	scan.mutex.Lock()
-	defer scan.mutex.Unlock()
-	scan.lines++
-	for _, secret := range scan.secrets {
+func (leakScanner *leakScanner) Write(line []byte) (int, error) {
+	leakScanner.mutex.Lock()
+	defer leakScanner.mutex.Unlock()
+	leakScanner.lines++
+	for _, secret := range leakScanner.secrets {
 		if bytes.Contains(line, secret) {
-			scan.leaks++
+			leakScanner.leaks++
 		}
 	}
 	return len(line), nil
 }
 
 // Sync implements zapcore.WriteSyncer.
-func (*lineScan) Sync() error { return nil }
+func (*leakScanner) Sync() error { return nil }
--- a/internal/bench/chaos/examples_test.go
+++ b/internal/bench/chaos/examples_test.go
@@ -8,7 +8,7 @@
 	"jacinthfront.dev/jacinthfront/internal/base/setup"
 )
 
-// TestExamples guards against example settings that the processes refuse.
+// TestExamples guards against example settings files that the processes reject.
 func TestExamples(t *testing.T) {
 	files, err := filepath.Glob("../../../examples/*/*.toml")
 	if err != nil || len(files) < 6 {
--- a/internal/bench/chaos/failures.go
+++ b/internal/bench/chaos/failures.go
@@ -10,272 +10,278 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/plain"
 )
 
-// failure is a kind of failure. A gentle one must not cost any request more
-// than a true refusal.
-type failure struct {
-	name   string
-	gentle bool
-	act    func(world *world, ctx context.Context, failure Failure)
+// failureKind is a kind of failure. Under non-interrupting failures, each request
+// must be served or refused without being run.
+type failureKind struct {
+	name            string
+	nonInterrupting bool
+	inject          func(deployment *deployment, ctx context.Context, failure Failure)
 }
 
-// failures lists all kinds.
-var failures = []failure{
-	{"entry-killed", false, (*world).killEntry},
-	{"side-killed", false, (*world).killSide},
-	{"entry-paused", false, (*world).pauseEntry},
-	{"side-paused", false, (*world).pauseSide},
-	{"partition", false, (*world).partition},
-	{"connections-cut", false, (*world).cutConnections},
-	{"connections-held", false, (*world).holdConnections},
-	{"reply-lost", false, (*world).loseReplies},
-	{"service-reply-lost", false, (*world).loseServiceReplies},
-	{"service-call-lost", false, (*world).loseServiceCalls},
-	{"replies-late", false, (*world).delayReplies},
-	{"engine-restart", false, (*world).restartEngine},
-	{"engine-frozen", false, (*world).freezeEngine},
-	{"stream-broken", false, (*world).breakStreams},
-	{"engine-call-lost", false, (*world).loseEngineCalls},
-	{"load-failures", false, (*world).failLoads},
-	{"key-withdrawn", false, (*world).withdrawKey},
-	{"log-out", false, (*world).logOut},
-	{"log-replies-lost", false, (*world).loseLogReplies},
-	{"log-slow", false, (*world).slowLog},
-	{"store-slow", true, (*world).slowStore},
-	{"list-stale", true, (*world).staleList},
-	{"list-returning", true, (*world).returningList},
-	{"operators-racing", true, (*world).raceOperators},
-	{"upstream-moved", true, (*world).moveUpstream},
-	{"upstream-leaving", true, (*world).leaveUpstream},
-	{"entry-stopped", true, (*world).stopEntry},
-	{"side-stopped", true, (*world).stopSide},
+// failureKinds lists all kinds. A seed selects kinds by index, so their order and
+// number determine its schedule.
+var failureKinds = []failureKind{
+	{"entry-killed", false, (*deployment).killEntry},
+	{"side-killed", false, (*deployment).killSide},
+	{"entry-paused", false, (*deployment).pauseEntry},
+	{"side-paused", false, (*deployment).pauseSide},
+	{"partition", false, (*deployment).partition},
+	{"connections-cut", false, (*deployment).cutConnections},
+	{"connections-held", false, (*deployment).blockConnections},
+	{"reply-lost", false, (*deployment).loseReplies},
+	{"service-reply-lost", false, (*deployment).loseServiceReplies},
+	{"service-call-lost", false, (*deployment).loseServiceCalls},
+	{"replies-late", false, (*deployment).delayReplies},
+	{"engine-restart", false, (*deployment).restartEngine},
+	{"engine-frozen", false, (*deployment).freezeEngine},
+	{"stream-broken", false, (*deployment).breakStreams},
+	{"engine-call-lost", false, (*deployment).loseEngineCalls},
+	{"load-failures", false, (*deployment).failLoads},
+	{"key-withdrawn", false, (*deployment).withdrawKey},
+	{"log-out", false, (*deployment).failLog},
+	{"log-replies-lost", false, (*deployment).loseLogReplies},
+	{"log-slow", false, (*deployment).slowLog},
+	{"store-slow", true, (*deployment).slowStore},
+	{"list-stale", true, (*deployment).makeListStale},
+	{"list-returning", true, (*deployment).showRemovedInstances},
+	{"operators-racing", true, (*deployment).publishConflictingPatches},
+	{"upstream-moved", true, (*deployment).moveUpstream},
+	{"upstream-leaving", true, (*deployment).drainUpstream},
+	{"entry-stopped", true, (*deployment).stopEntry},
+	{"side-stopped", true, (*deployment).stopSide},
 }
 
-func findFailure(name string) (failure, bool) {
-	for _, known := range failures {
+func findFailureKind(name string) (failureKind, bool) {
+	for _, known := range failureKinds {
 		if known.name == name {
 			return known, true
 		}
 	}
-	return failure{}, false
+	return failureKind{}, false
 }
 
-// runFailures performs the schedule's failures and waits for their ends.
-func (world *world) runFailures(ctx context.Context) {
+// runFailures injects the schedule's failures and waits until they have ended.
+func (deployment *deployment) runFailures(ctx context.Context) {
 	done := make(chan struct{})
-	for _, planned := range world.schedule.Failures {
+	for _, planned := range deployment.schedule.Failures {
 		go func() {
 			defer func() { done <- struct{}{} }()
-			kind, ok := findFailure(planned.Name)
-			if !ok || pause(ctx, time.Until(world.begin.Add(planned.At))) != nil {
+			kind, ok := findFailureKind(planned.Name)
+			if !ok || sleep(ctx, time.Until(deployment.startedAt.Add(planned.At))) != nil {
 				return
 			}
-			kind.act(world, ctx, planned)
-			world.note("%s over", planned.Name)
+			kind.inject(deployment, ctx, planned)
+			deployment.recordEvent("%s over", planned.Name)
 		}()
 	}
-	for range world.schedule.Failures {
+	for range deployment.schedule.Failures {
 		<-done
 	}
 }
 
-func (failure Failure) among(list []*process) *process { return list[failure.Pick%uint64(len(list))] }
+func (failure Failure) target(list []*process) *process {
+	return list[failure.Selector%uint64(len(list))]
+}
 
-func (world *world) problem(format string, args ...any) {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	world.problems = append(world.problems, fmt.Sprintf(format, args...))
+func (deployment *deployment) recordProblem(format string, args ...any) {
+	deployment.mutex.Lock()
+	defer deployment.mutex.Unlock()
+	deployment.problems = append(deployment.problems, fmt.Sprintf(format, args...))
 }
 
-// killAndReplace kills a process and starts it again at the same addresses.
-func (world *world) killAndReplace(ctx context.Context, killed *process, failure Failure) {
+// killAndRestart kills a process and restarts it at the same addresses.
+func (deployment *deployment) killAndRestart(ctx context.Context, killed *process, failure Failure) {
 	from := time.Now()
-	world.note("kill %s", killed.name)
+	deployment.recordEvent("kill %s", killed.name)
 	killed.kill()
-	_ = pause(ctx, min(failure.For, maxOutage))
+	_ = sleep(ctx, min(failure.Duration, maxOutage))
 	if err := killed.start(); err != nil {
-		world.problem("start %s again: %v", killed.name, err)
+		deployment.recordProblem("start %s again: %v", killed.name, err)
 		return
 	}
-	killed.absent(from)
+	killed.recordDown(from)
 }
 
-// maxOutage is the longest time for which a killed process stays away.
+// maxOutage is the longest time until a killed process is restarted.
 const maxOutage = 3 * time.Second
 
-func (world *world) killEntry(ctx context.Context, failure Failure) {
-	world.killAndReplace(ctx, failure.among(world.entries), failure)
+func (deployment *deployment) killEntry(ctx context.Context, failure Failure) {
+	deployment.killAndRestart(ctx, failure.target(deployment.entries), failure)
 }
 
-func (world *world) killSide(ctx context.Context, failure Failure) {
-	world.killAndReplace(ctx, failure.among(world.sides), failure)
+func (deployment *deployment) killSide(ctx context.Context, failure Failure) {
+	deployment.killAndRestart(ctx, failure.target(deployment.sides), failure)
 }
 
-func (world *world) pauseProcess(ctx context.Context, paused *process, failure Failure) {
+func (deployment *deployment) pauseProcess(ctx context.Context, paused *process, failure Failure) {
 	from := time.Now()
-	world.note("pause %s", paused.name)
-	paused.disturbCallers()
-	world.network.Pause(paused.name, 1)
-	_ = pause(ctx, failure.For)
-	paused.disturbCallers()
-	world.network.Pause(paused.name, -1)
-	paused.disturb(from)
+	deployment.recordEvent("pause %s", paused.name)
+	paused.countDisruption()
+	deployment.network.Pause(paused.name, 1)
+	_ = sleep(ctx, failure.Duration)
+	paused.countDisruption()
+	deployment.network.Pause(paused.name, -1)
+	paused.recordUnreachable(from)
 }
 
-func (world *world) pauseEntry(ctx context.Context, failure Failure) {
-	world.pauseProcess(ctx, failure.among(world.entries), failure)
+func (deployment *deployment) pauseEntry(ctx context.Context, failure Failure) {
+	deployment.pauseProcess(ctx, failure.target(deployment.entries), failure)
 }
 
-func (world *world) pauseSide(ctx context.Context, failure Failure) {
-	world.pauseProcess(ctx, failure.among(world.sides), failure)
+func (deployment *deployment) pauseSide(ctx context.Context, failure Failure) {
+	deployment.pauseProcess(ctx, failure.target(deployment.sides), failure)
 }
 
-// partition separates an entry instance and some side processes from all
-// others. Their own upstreams stay with them.
-func (world *world) partition(ctx context.Context, failure Failure) {
+// partition separates the processes that the selector's bits mark, never the first
+// entry instance, from all other processes and the platform. Side processes still
+// reach their own upstreams.
+func (deployment *deployment) partition(ctx context.Context, failure Failure) {
 	from := time.Now()
-	apart := map[string]bool{}
+	separated := map[string]bool{}
 	var group []*process
-	for index, process := range world.processes() {
-		if index > 0 && failure.Pick>>index&1 == 1 {
-			apart[process.name] = true
+	for index, process := range deployment.processes() {
+		if index > 0 && failure.Selector>>index&1 == 1 {
+			separated[process.name] = true
 			group = append(group, process)
 		}
 	}
-	var ways []direction
+	var directions []direction
 	for _, inside := range group {
-		for _, outside := range append(world.processes(), &process{name: platformName}) {
-			if !apart[outside.name] {
-				ways = append(ways, direction{inside.name, outside.name}, direction{outside.name, inside.name})
+		for _, outside := range append(deployment.processes(), &process{name: platformName}) {
+			if !separated[outside.name] {
+				directions = append(directions, direction{inside.name, outside.name}, direction{outside.name, inside.name})
 			}
 		}
 	}
-	world.note("partition %v", apart)
-	world.holdWays(ctx, ways, failure.For)
+	deployment.recordEvent("partition %v", separated)
+	deployment.blockDirections(ctx, directions, failure.Duration)
 	for _, process := range group {
-		process.disturb(from)
+		process.recordUnreachable(from)
 	}
 }
 
-func (world *world) holdWays(ctx context.Context, ways []direction, length time.Duration) {
-	for _, way := range ways {
-		world.network.Hold(way, 1)
+func (deployment *deployment) blockDirections(ctx context.Context, directions []direction, duration time.Duration) {
+	for _, direction := range directions {
+		deployment.network.Block(direction, 1)
 	}
-	_ = pause(ctx, length)
-	for _, way := range ways {
-		world.network.Hold(way, -1)
+	_ = sleep(ctx, duration)
+	for _, direction := range directions {
+		deployment.network.Block(direction, -1)
 	}
 }
 
-// pair returns two processes that talk to each other.
-func (world *world) pair(failure Failure) direction {
-	side := failure.among(world.sides)
-	other := world.entries[failure.Pick>>8%uint64(len(world.entries))].name
-	switch failure.Pick >> 16 % 4 {
+// pair returns a direction between two processes that communicate: to a side
+// process from its upstream, another side process or an entry instance.
+func (deployment *deployment) pair(failure Failure) direction {
+	side := failure.target(deployment.sides)
+	other := deployment.entries[failure.Selector>>8%uint64(len(deployment.entries))].name
+	switch failure.Selector >> 16 % 4 {
 	case 0:
 		other = side.upstream
 	case 1:
-		other = world.sides[failure.Pick>>8%uint64(len(world.sides))].name
+		other = deployment.sides[failure.Selector>>8%uint64(len(deployment.sides))].name
 	}
 	return direction{other, side.name}
 }
 
-func (world *world) cutConnections(ctx context.Context, failure Failure) {
-	way := world.pair(failure)
+func (deployment *deployment) cutConnections(ctx context.Context, failure Failure) {
+	pair := deployment.pair(failure)
 	for range 3 {
-		world.note("cut %v", way)
-		world.network.Cut(func(other direction) bool { return other == way })
-		_ = pause(ctx, failure.For/3)
+		deployment.recordEvent("cut %v", pair)
+		deployment.network.Cut(func(other direction) bool { return other == pair })
+		_ = sleep(ctx, failure.Duration/3)
 	}
 }
 
-// holdConnections holds both directions of a pair, except what a side process
-// sends to its upstream: there it has made its last checks.
-func (world *world) holdConnections(ctx context.Context, failure Failure) {
-	way := world.pair(failure)
-	ways := []direction{way, {way.to, way.from}}
-	if isStandIn(way.from) {
-		ways = ways[:1]
+// blockConnections blocks both directions between two processes, but never what a
+// side process sends to its upstream: it makes its last checks before it sends, so
+// a request delayed after that would count as dispatched too late.
+func (deployment *deployment) blockConnections(ctx context.Context, failure Failure) {
+	pair := deployment.pair(failure)
+	directions := []direction{pair, {pair.to, pair.from}}
+	if isSimulator(pair.from) {
+		directions = directions[:1]
 	}
-	world.note("hold %v", ways)
-	world.holdWays(ctx, ways, failure.For)
+	deployment.recordEvent("hold %v", directions)
+	deployment.blockDirections(ctx, directions, failure.Duration)
 }
 
-// loseReplies cuts connections when a side process answers on them.
-func (world *world) loseReplies(ctx context.Context, failure Failure) {
-	side, entry := failure.among(world.sides), world.entries[failure.Pick>>8%uint64(len(world.entries))]
-	way := direction{side.name, entry.name}
-	world.note("lose replies %v", way)
-	world.network.Lose(way, 3)
-	_ = pause(ctx, failure.For)
-	world.network.Lose(way, 0)
+// loseReplies cuts connections when a side process responds on them.
+func (deployment *deployment) loseReplies(ctx context.Context, failure Failure) {
+	side, entry := failure.target(deployment.sides), deployment.entries[failure.Selector>>8%uint64(len(deployment.entries))]
+	pair := direction{side.name, entry.name}
+	deployment.recordEvent("lose replies %v", pair)
+	deployment.network.CutDeliveries(pair, 3)
+	_ = sleep(ctx, failure.Duration)
+	deployment.network.CutDeliveries(pair, 0)
 }
 
-func (world *world) serviceFault(ctx context.Context, failure Failure, fault *infra.Fault) {
-	service := world.services[failure.Pick%uint64(len(world.services))]
-	fault.For = infra.Duration(failure.For)
-	world.note("service %d: %s", failure.Pick%uint64(len(world.services))+1, fault.Mode)
+func (deployment *deployment) injectServiceFault(ctx context.Context, failure Failure, fault *infra.Fault) {
+	service := deployment.services[failure.Selector%uint64(len(deployment.services))]
+	fault.For = infra.Duration(failure.Duration)
+	deployment.recordEvent("service %d: %s", failure.Selector%uint64(len(deployment.services))+1, fault.Mode)
 	if err := service.ApplyControl(plain.ControlRequest{CallFault: fault}); err != nil {
-		world.problem("%v", err)
+		deployment.recordProblem("%v", err)
 	}
-	_ = pause(ctx, failure.For)
+	_ = sleep(ctx, failure.Duration)
 }
 
-func (world *world) loseServiceReplies(ctx context.Context, failure Failure) {
-	world.serviceFault(ctx, failure, &infra.Fault{Mode: plain.ModeCutAfter, Fraction: 0.6})
+func (deployment *deployment) loseServiceReplies(ctx context.Context, failure Failure) {
+	deployment.injectServiceFault(ctx, failure, &infra.Fault{Mode: plain.ModeCutAfter, Fraction: 0.6})
 }
 
-func (world *world) loseServiceCalls(ctx context.Context, failure Failure) {
-	world.serviceFault(ctx, failure, &infra.Fault{Mode: plain.ModeCutBefore, Fraction: 0.6})
+func (deployment *deployment) loseServiceCalls(ctx context.Context, failure Failure) {
+	deployment.injectServiceFault(ctx, failure, &infra.Fault{Mode: plain.ModeCutBefore, Fraction: 0.6})
 }
 
-// delayReplies delays the replies on new connections by different times, so
-// that answers come late and out of order.
-func (world *world) delayReplies(ctx context.Context, failure Failure) {
-	const longest = 1500 * time.Millisecond
-	world.note("late replies to the entry instances")
-	var ways []direction
-	for _, entry := range world.entries {
-		for _, side := range world.sides {
-			ways = append(ways, direction{side.name, entry.name})
+// delayReplies delays the replies of side processes to entry instances, on each
+// connection by a time of its own, so that responses arrive late and out of order.
+func (deployment *deployment) delayReplies(ctx context.Context, failure Failure) {
+	const maxDelay = 1500 * time.Millisecond
+	deployment.recordEvent("late replies to the entry instances")
+	var directions []direction
+	for _, entry := range deployment.entries {
+		for _, side := range deployment.sides {
+			directions = append(directions, direction{side.name, entry.name})
 		}
 	}
-	for _, way := range ways {
-		world.network.Delay(way, longest)
+	for _, direction := range directions {
+		deployment.network.Delay(direction, maxDelay)
 	}
-	_ = pause(ctx, failure.For)
-	for _, way := range ways {
-		world.network.Delay(way, 0)
+	_ = sleep(ctx, failure.Duration)
+	for _, direction := range directions {
+		deployment.network.Delay(direction, 0)
 	}
 }
 
-func (world *world) engineFault(ctx context.Context, failure Failure, control engsim.ControlRequest) {
-	number := failure.Pick % engineCount
-	world.note("engine %d: %+v", number+1, control)
-	if err := world.engines[number].ApplyControl(control); err != nil {
-		world.problem("%v", err)
+func (deployment *deployment) injectEngineFault(ctx context.Context, failure Failure, control engsim.ControlRequest) {
+	number := failure.Selector % engineCount
+	deployment.recordEvent("engine %d: %+v", number+1, control)
+	if err := deployment.engines[number].ApplyControl(control); err != nil {
+		deployment.recordProblem("%v", err)
 	}
-	_ = pause(ctx, failure.For)
+	_ = sleep(ctx, failure.Duration)
 }
 
-func (world *world) restartEngine(ctx context.Context, failure Failure) {
-	world.engineFault(ctx, failure, engsim.ControlRequest{Restart: &engsim.Restart{DownFor: infra.Duration(failure.For / 3)}})
+func (deployment *deployment) restartEngine(ctx context.Context, failure Failure) {
+	deployment.injectEngineFault(ctx, failure, engsim.ControlRequest{Restart: &engsim.Restart{DownFor: infra.Duration(failure.Duration / 3)}})
 }
 
-func (world *world) freezeEngine(ctx context.Context, failure Failure) {
-	world.engineFault(ctx, failure, engsim.ControlRequest{Freeze: infra.Duration(failure.For)})
+func (deployment *deployment) freezeEngine(ctx context.Context, failure Failure) {
+	deployment.injectEngineFault(ctx, failure, engsim.ControlRequest{Freeze: infra.Duration(failure.Duration)})
 }
 
-func (world *world) breakStreams(ctx context.Context, failure Failure) {
-	fault := &infra.Fault{Mode: engsim.ModeCutStream, For: infra.Duration(failure.For), Fraction: 0.7, AfterTokens: int(failure.Pick >> 8 % 7)}
-	world.engineFault(ctx, failure, engsim.ControlRequest{BreakStreams: true, CompletionFault: fault})
+func (deployment *deployment) breakStreams(ctx context.Context, failure Failure) {
+	fault := &infra.Fault{Mode: engsim.ModeCutStream, For: infra.Duration(failure.Duration), Fraction: 0.7, AfterTokens: int(failure.Selector >> 8 % 7)}
+	deployment.injectEngineFault(ctx, failure, engsim.ControlRequest{BreakStreams: true, CompletionFault: fault})
 }
 
-func (world *world) loseEngineCalls(ctx context.Context, failure Failure) {
-	fault := &infra.Fault{Mode: engsim.ModeCutBefore, For: infra.Duration(failure.For), Fraction: 0.5}
-	world.engineFault(ctx, failure, engsim.ControlRequest{CompletionFault: fault})
+func (deployment *deployment) loseEngineCalls(ctx context.Context, failure Failure) {
+	fault := &infra.Fault{Mode: engsim.ModeCutBefore, For: infra.Duration(failure.Duration), Fraction: 0.5}
+	deployment.injectEngineFault(ctx, failure, engsim.ControlRequest{CompletionFault: fault})
 }
 
-func (world *world) failLoads(ctx context.Context, failure Failure) {
-	fault := &infra.Fault{Mode: engsim.ModeFailing, For: infra.Duration(failure.For), Fraction: 0.7}
-	world.engineFault(ctx, failure, engsim.ControlRequest{LoadFault: fault})
+func (deployment *deployment) failLoads(ctx context.Context, failure Failure) {
+	fault := &infra.Fault{Mode: engsim.ModeFailing, For: infra.Duration(failure.Duration), Fraction: 0.7}
+	deployment.injectEngineFault(ctx, failure, engsim.ControlRequest{LoadFault: fault})
 }
--- a/internal/bench/chaos/link.go
+++ b/internal/bench/chaos/link.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// link is one connection between two processes.
+// link is one connection between two processes, with a pump for each direction.
 type link struct {
-	network *Network
-	ends    [2]net.Conn
-	ways    [2]direction
-	once    sync.Once
-	closed  chan struct{}
+	network    *Network
+	ends       [2]net.Conn
+	directions [2]direction
+	once       sync.Once
+	closed     chan struct{}
 }
 
 func (link *link) close() {
@@ -29,32 +29,33 @@
 	})
 }
 
-// chunk is what one write sent.
+// chunk holds bytes of the sender and the earliest time of their delivery.
 type chunk struct {
-	data []byte
-	due  time.Time
+	data      []byte
+	deliverAt time.Time
 }
 
-// pump carries bytes in one direction.
+// pump forwards bytes of a link in one direction.
 type pump struct {
-	link       *link
-	way        direction
-	from, into net.Conn
-	// fraction of the direction's longest delay that this connection has.
-	fraction float64
-	wake     chan struct{}
+	link      *link
+	direction direction
+	from, to  net.Conn
+	// delayFraction is the fraction of the direction's maximum delay that applies
+	// to this connection.
+	delayFraction float64
+	wake          chan struct{}
 
-	mutex  sync.Mutex
-	queue  []chunk
-	ended  bool
-	recent []byte
+	mutex        sync.Mutex
+	queue        []chunk
+	senderClosed bool
+	tail         []byte
 }
 
-// longestSecret bounds the bytes that are kept to find a secret that two
-// writes split.
-const longestSecret = 64
+// maxSecretLength is the number of delivered bytes that are kept, to find a secret
+// that is split between two writes.
+const maxSecretLength = 64
 
-// read takes bytes from the sender until it closes the connection.
+// read queues the sender's bytes until the sender closes the connection.
 func (pump *pump) read() {
 	buffer := make([]byte, 16<<10)
 	for {
@@ -64,7 +65,7 @@
 			data := bytes.Clone(buffer[:count])
 			pump.queue = append(pump.queue, chunk{data, time.Now().Add(pump.delay())})
 		}
-		pump.ended = err != nil
+		pump.senderClosed = err != nil
 		pump.mutex.Unlock()
 		select {
 		case pump.wake <- struct{}{}:
@@ -76,32 +77,35 @@
 	}
 }
 
-// delay returns the present delay of the connection in its direction.
+// delay returns the current delay of the connection in the pump's direction.
 func (pump *pump) delay() time.Duration {
 	pump.link.network.mutex.Lock()
 	defer pump.link.network.mutex.Unlock()
-	return time.Duration(pump.fraction * float64(pump.link.network.delays[pump.way]))
+	return time.Duration(pump.delayFraction * float64(pump.link.network.maxDelays[pump.direction]))
 }
 
-// write delivers bytes when their time has come and nothing holds them.
+// write delivers queued bytes in order, each chunk when it is due and its
+// direction is not blocked. It closes the link in place of a delivery that is to
+// be cut.
 func (pump *pump) write() {
 	defer pump.link.close()
 	for {
 		next, ok := pump.next()
-		if !ok || !pump.wait(next.due) {
+		if !ok || !pump.waitUntilDeliverable(next.deliverAt) {
 			return
 		}
-		if pump.link.network.lost(pump.way) {
+		if pump.link.network.takeCut(pump.direction) {
 			return
 		}
-		pump.scan(next.data)
-		if _, err := pump.into.Write(next.data); err != nil {
+		pump.scanForSecrets(next.data)
+		if _, err := pump.to.Write(next.data); err != nil {
 			return
 		}
 	}
 }
 
-// next returns the next chunk, or false when the sender has closed.
+// next waits for the next chunk. It returns false when the link or the sender has
+// closed.
 func (pump *pump) next() (chunk, bool) {
 	for {
 		pump.mutex.Lock()
@@ -111,11 +115,11 @@
 			pump.mutex.Unlock()
 			return first, true
 		}
-		ended := pump.ended
+		closed := pump.senderClosed
 		pump.mutex.Unlock()
-		if ended {
-			// The end of a connection is held like its bytes.
-			pump.wait(time.Now().Add(pump.delay()))
+		if closed {
+			// The close of a connection is delayed and blocked like its bytes.
+			pump.waitUntilDeliverable(time.Now().Add(pump.delay()))
 			return chunk{}, false
 		}
 		select {
@@ -126,9 +130,10 @@
 	}
 }
 
-// wait returns true when a chunk may be delivered.
-func (pump *pump) wait(due time.Time) bool {
-	if delay := time.Until(due); delay > 0 {
+// waitUntilDeliverable waits until a chunk is due and its direction is not
+// blocked. It returns false if the link is closed first.
+func (pump *pump) waitUntilDeliverable(deliverAt time.Time) bool {
+	if delay := time.Until(deliverAt); delay > 0 {
 		timer := time.NewTimer(delay)
 		defer timer.Stop()
 		select {
@@ -138,7 +143,7 @@
 		}
 	}
 	for {
-		blocked, changed := pump.link.network.blocked(pump.way)
+		blocked, changed := pump.link.network.blocked(pump.direction)
 		if !blocked {
 			return true
 		}
@@ -150,12 +155,13 @@
 	}
 }
 
-// scan counts callers' secrets on the way to upstreams and platform.
-func (pump *pump) scan(data []byte) {
-	if !isStandIn(pump.way.to) {
+// scanForSecrets counts callers' secrets in bytes sent to upstreams and the
+// platform.
+func (pump *pump) scanForSecrets(data []byte) {
+	if !isSimulator(pump.direction.to) {
 		return
 	}
-	text := slices.Concat(pump.recent, data)
+	text := slices.Concat(pump.tail, data)
 	for _, secret := range pump.link.network.secrets {
 		if bytes.Contains(text, secret) {
 			pump.link.network.mutex.Lock()
@@ -163,5 +169,5 @@
 			pump.link.network.mutex.Unlock()
 		}
 	}
-	pump.recent = bytes.Clone(text[max(0, len(text)-longestSecret):])
+	pump.tail = bytes.Clone(text[max(0, len(text)-maxSecretLength):])
 }
--- a/internal/bench/chaos/long_test.go
+++ b/internal/bench/chaos/long_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// TestLongFailures guards against requests that wait beyond their limit for a
-// process that stays away longer than that.
+// TestLongFailures guards against requests without a final response within their
+// time limit when a process is unreachable for longer than the limit.
 func TestLongFailures(t *testing.T) {
 	for _, name := range []string{"engine-frozen", "side-paused", "connections-held", "log-out", "partition"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				schedule := Generate(*from)
+				schedule := Generate(*firstSeed)
 				schedule.Failures = []Failure{
-					{Name: name, At: time.Second, For: 25 * time.Second, Pick: 6},
+					{Name: name, At: time.Second, Duration: 25 * time.Second, Selector: 6},
 					{Name: "key-withdrawn", At: 2 * time.Second},
 				}
 				report, err := Run(t.Context(), schedule)
--- a/internal/bench/chaos/network.go
+++ b/internal/bench/chaos/network.go
@@ -10,51 +10,61 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
-// direction is what flows from one named process to another.
+// direction is the traffic from one named process to another.
 type direction struct{ from, to string }
 
-// Network is an in-memory network between named processes. It buffers what is
-// sent, as TCP does, and can hold, delay, lose and cut it.
+// Network is an in-memory network between named processes. It buffers sent bytes
+// as TCP does, and can block and delay them and cut connections.
 type Network struct {
 	loopback *infra.PipeNetwork
 
-	mutex   sync.Mutex
-	random  *rand.Rand
-	owners  map[string]string
-	links   map[*link]struct{}
-	paused  map[string]int
-	held    map[direction]int
-	delays  map[direction]time.Duration
-	losses  map[direction]int
-	exempt  map[direction]bool
-	secrets [][]byte
-	leaks   int
+	mutex  sync.Mutex
+	random *rand.Rand
+	// listeners maps an address to the process that listens on it.
+	listeners map[string]string
+	links     map[*link]struct{}
+	// pauses counts the pauses in force per process, blocks those per direction.
+	pauses map[string]int
+	blocks map[direction]int
+	// maxDelays bounds the connections' delays.
+	maxDelays map[direction]time.Duration
+	// pendingCuts counts the deliveries that are still to be replaced by a cut.
+	pendingCuts map[direction]int
+	// pauseExempt marks directions that a pause does not block.
+	pauseExempt map[direction]bool
+	secrets     [][]byte
+	// leaks counts deliveries to simulators that contain a secret.
+	leaks int
+	// changed is closed and replaced at each change.
 	changed chan struct{}
 }
 
-// NewNetwork returns a network whose delays follow from the seed.
+// NewNetwork returns a network. The seed determines the connections' delays.
 func NewNetwork(seed uint64) *Network {
 	return &Network{
 		loopback: infra.NewPipeNetwork(), random: rand.New(rand.NewPCG(seed, 7)),
-		owners: map[string]string{}, links: map[*link]struct{}{}, paused: map[string]int{}, held: map[direction]int{},
-		delays: map[direction]time.Duration{}, losses: map[direction]int{}, exempt: map[direction]bool{},
+		listeners: map[string]string{}, links: map[*link]struct{}{}, pauses: map[string]int{}, blocks: map[direction]int{},
+		maxDelays: map[direction]time.Duration{}, pendingCuts: map[direction]int{}, pauseExempt: map[direction]bool{},
 		changed: make(chan struct{}),
 	}
 }
 
-// Listen binds an address for a process.
+// Listen listens on an address for a process. It returns an error if the address
+// is in use.
 func (network *Network) Listen(process, address string) (net.Listener, error) {
 	network.mutex.Lock()
-	network.owners[address] = process
+	network.listeners[address] = process
 	network.mutex.Unlock()
 	return network.loopback.Listen(address)
 }
 
-// Dial connects a process to an address. A paused process makes no calls.
+// Dial connects a process to an address. While the process is paused, Dial waits
+// until the pause or ctx ends. It returns an error if ctx ends or the address does
+// not accept the connection.
 func (network *Network) Dial(ctx context.Context, process, address string) (net.Conn, error) {
 	for {
 		network.mutex.Lock()
-		paused, changed := network.paused[process] > 0, network.changed
+		paused, changed := network.pauses[process] > 0, network.changed
 		network.mutex.Unlock()
 		if !paused {
 			break
@@ -74,62 +84,66 @@
 	return near, nil
 }
 
-// open joins the two ends of a connection.
+// open starts forwarding between the two ends of a connection.
 func (network *Network) open(process, address string, far, callee net.Conn) {
 	network.mutex.Lock()
 	defer network.mutex.Unlock()
-	to := network.owners[address]
+	to := network.listeners[address]
 	opened := &link{network: network, ends: [2]net.Conn{far, callee}, closed: make(chan struct{})}
 	network.links[opened] = struct{}{}
-	for index, way := range []direction{{process, to}, {to, process}} {
-		pump := &pump{link: opened, way: way, from: opened.ends[index], into: opened.ends[1-index], wake: make(chan struct{}, 1)}
-		pump.fraction = network.random.Float64()
-		opened.ways[index] = way
+	for index, direction := range []direction{{process, to}, {to, process}} {
+		pump := &pump{link: opened, direction: direction, from: opened.ends[index], to: opened.ends[1-index], wake: make(chan struct{}, 1)}
+		pump.delayFraction = network.random.Float64()
+		opened.directions[index] = direction
 		go pump.read()
 		go pump.write()
 	}
 }
 
-// change performs a change and wakes what waits for one.
-func (network *Network) change(perform func()) {
+// update applies a change and wakes all goroutines that wait for one.
+func (network *Network) update(apply func()) {
 	network.mutex.Lock()
 	defer network.mutex.Unlock()
-	perform()
+	apply()
 	close(network.changed)
 	network.changed = make(chan struct{})
 }
 
-// Pause holds all bytes from and to a process until it is called with -1.
+// Pause adds by to the pauses in force of a process. While their number is above
+// 0, no bytes are delivered from or to the process, except in exempt directions.
 func (network *Network) Pause(process string, by int) {
-	network.change(func() { network.paused[process] += by })
+	network.update(func() { network.pauses[process] += by })
 }
 
-// Hold holds what flows in a direction until it is called with -1.
-func (network *Network) Hold(way direction, by int) {
-	network.change(func() { network.held[way] += by })
+// Block adds by to the blocks in force of a direction. While their number is above
+// 0, no bytes are delivered in the direction.
+func (network *Network) Block(direction direction, by int) {
+	network.update(func() { network.blocks[direction] += by })
 }
 
-// Delay gives each connection a delay of its own below limit in a direction.
-func (network *Network) Delay(way direction, limit time.Duration) {
-	network.change(func() { network.delays[way] = limit })
+// Delay delays bytes in a direction, on each connection by a fixed time of its own
+// between 0 and limit.
+func (network *Network) Delay(direction direction, limit time.Duration) {
+	network.update(func() { network.maxDelays[direction] = limit })
 }
 
-// Exempt keeps a direction free from pauses.
-func (network *Network) Exempt(way direction) {
-	network.change(func() { network.exempt[way] = true })
+// ExemptFromPauses lets bytes in a direction pass while either process is paused.
+func (network *Network) ExemptFromPauses(direction direction) {
+	network.update(func() { network.pauseExempt[direction] = true })
 }
 
-// Lose cuts a number of connections in place of the next delivery.
-func (network *Network) Lose(way direction, count int) {
-	network.change(func() { network.losses[way] = count })
+// CutDeliveries closes the connection in place of each of the next count
+// deliveries in a direction. A count of 0 cancels this.
+func (network *Network) CutDeliveries(direction direction, count int) {
+	network.update(func() { network.pendingCuts[direction] = count })
 }
 
-// Cut closes all connections that match.
+// Cut closes all connections of which a direction matches.
 func (network *Network) Cut(match func(direction) bool) {
 	network.mutex.Lock()
 	var cut []*link
 	for link := range network.links {
-		if match(link.ways[0]) || match(link.ways[1]) {
+		if match(link.directions[0]) || match(link.directions[1]) {
 			cut = append(cut, link)
 		}
 	}
@@ -139,31 +153,33 @@
 	}
 }
 
-// isolate cuts all connections of a process.
-func (network *Network) isolate(process string) {
-	network.Cut(func(way direction) bool { return way.from == process })
+// cutProcess closes all connections of a process.
+func (network *Network) cutProcess(process string) {
+	network.Cut(func(direction direction) bool { return direction.from == process })
 }
 
-// Close cuts all connections.
+// Close closes all connections.
 func (network *Network) Close() {
 	network.Cut(func(direction) bool { return true })
 }
 
-// blocked reports whether a direction is held, and when to look again.
-func (network *Network) blocked(way direction) (bool, <-chan struct{}) {
+// blocked reports whether a direction is paused or blocked. The channel is closed
+// at the next change.
+func (network *Network) blocked(direction direction) (bool, <-chan struct{}) {
 	network.mutex.Lock()
 	defer network.mutex.Unlock()
-	paused := !network.exempt[way] && (network.paused[way.from] > 0 || network.paused[way.to] > 0)
-	return paused || network.held[way] > 0, network.changed
+	paused := !network.pauseExempt[direction] && (network.pauses[direction.from] > 0 || network.pauses[direction.to] > 0)
+	return paused || network.blocks[direction] > 0, network.changed
 }
 
-// lost reports whether a delivery is to be lost, and counts it.
-func (network *Network) lost(way direction) bool {
+// takeCut reports whether a delivery is to be replaced by a cut, and counts the
+// cut.
+func (network *Network) takeCut(direction direction) bool {
 	network.mutex.Lock()
 	defer network.mutex.Unlock()
-	if network.losses[way] == 0 {
+	if network.pendingCuts[direction] == 0 {
 		return false
 	}
-	network.losses[way]--
+	network.pendingCuts[direction]--
 	return true
 }
--- a/internal/bench/chaos/platform.go
+++ b/internal/bench/chaos/platform.go
@@ -9,75 +9,77 @@
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 )
 
-func (world *world) control(control infra.Control) {
-	if err := world.platform.Control(control); err != nil {
-		world.problem("%v", err)
+func (deployment *deployment) controlPlatform(control infra.Control) {
+	if err := deployment.platform.Control(control); err != nil {
+		deployment.recordProblem("%v", err)
 	}
 }
 
-func (world *world) withdrawKey(ctx context.Context, _ Failure) {
-	world.publish(ctx, "withdrawal", patch.WithdrawKey{ID: world.keys.withdrawnID})
+func (deployment *deployment) withdrawKey(ctx context.Context, _ Failure) {
+	deployment.publish(ctx, "withdrawal", patch.WithdrawKey{ID: deployment.keys.withdrawnID})
 }
 
-func (world *world) logOut(ctx context.Context, failure Failure) {
-	mode := []string{infra.ModeDown, infra.ModeRefusing}[failure.Pick%2]
-	world.note("log %s", mode)
-	world.mutex.Lock()
-	world.logDown = window{time.Now(), time.Now().Add(failure.For)}
-	world.mutex.Unlock()
-	world.control(infra.Control{Log: &infra.Fault{Mode: mode, For: infra.Duration(failure.For)}})
-	_ = pause(ctx, failure.For)
+func (deployment *deployment) failLog(ctx context.Context, failure Failure) {
+	mode := []string{infra.ModeDown, infra.ModeRefusing}[failure.Selector%2]
+	deployment.recordEvent("log %s", mode)
+	deployment.mutex.Lock()
+	deployment.logOutage = interval{time.Now(), time.Now().Add(failure.Duration)}
+	deployment.mutex.Unlock()
+	deployment.controlPlatform(infra.Control{Log: &infra.Fault{Mode: mode, For: infra.Duration(failure.Duration)}})
+	_ = sleep(ctx, failure.Duration)
 }
 
-func (world *world) loseLogReplies(ctx context.Context, failure Failure) {
-	world.note("log replies lost")
-	world.control(infra.Control{Log: &infra.Fault{Mode: infra.ModeLostReplies, For: infra.Duration(failure.For), Fraction: 0.7}})
-	_ = pause(ctx, failure.For)
+func (deployment *deployment) loseLogReplies(ctx context.Context, failure Failure) {
+	deployment.recordEvent("log replies lost")
+	deployment.controlPlatform(infra.Control{Log: &infra.Fault{Mode: infra.ModeLostReplies, For: infra.Duration(failure.Duration), Fraction: 0.7}})
+	_ = sleep(ctx, failure.Duration)
 }
 
-func (world *world) slowLog(ctx context.Context, failure Failure) {
-	world.note("log slow")
-	fault := &infra.Fault{Mode: infra.ModeSlow, Delay: infra.Duration(500 * time.Millisecond), For: infra.Duration(failure.For)}
-	world.control(infra.Control{Log: fault})
-	_ = pause(ctx, failure.For)
+func (deployment *deployment) slowLog(ctx context.Context, failure Failure) {
+	deployment.recordEvent("log slow")
+	fault := &infra.Fault{Mode: infra.ModeSlow, Delay: infra.Duration(500 * time.Millisecond), For: infra.Duration(failure.Duration)}
+	deployment.controlPlatform(infra.Control{Log: fault})
+	_ = sleep(ctx, failure.Duration)
 }
 
-func (world *world) slowStore(ctx context.Context, failure Failure) {
-	world.note("store slow")
-	fault := &infra.Fault{Mode: infra.ModeSlow, Delay: infra.Duration(time.Second), For: infra.Duration(failure.For)}
-	world.control(infra.Control{Store: fault})
-	_ = pause(ctx, failure.For)
+func (deployment *deployment) slowStore(ctx context.Context, failure Failure) {
+	deployment.recordEvent("store slow")
+	fault := &infra.Fault{Mode: infra.ModeSlow, Delay: infra.Duration(time.Second), For: infra.Duration(failure.Duration)}
+	deployment.controlPlatform(infra.Control{Store: fault})
+	_ = sleep(ctx, failure.Duration)
 }
 
-func (world *world) listFault(ctx context.Context, failure Failure, mode string) {
-	world.note("list %s", mode)
-	world.control(infra.Control{List: &infra.Fault{Mode: mode, For: infra.Duration(failure.For)}})
-	world.mutex.Lock()
-	world.listStale = window{time.Now(), time.Now().Add(failure.For)}
-	world.mutex.Unlock()
-	_ = pause(ctx, failure.For)
+func (deployment *deployment) injectListFault(ctx context.Context, failure Failure, mode string) {
+	deployment.recordEvent("list %s", mode)
+	deployment.controlPlatform(infra.Control{List: &infra.Fault{Mode: mode, For: infra.Duration(failure.Duration)}})
+	deployment.mutex.Lock()
+	deployment.listStale = interval{time.Now(), time.Now().Add(failure.Duration)}
+	deployment.mutex.Unlock()
+	_ = sleep(ctx, failure.Duration)
 }
 
-func (world *world) staleList(ctx context.Context, failure Failure) {
-	world.listFault(ctx, failure, infra.ModeStale)
+func (deployment *deployment) makeListStale(ctx context.Context, failure Failure) {
+	deployment.injectListFault(ctx, failure, infra.ModeStale)
 }
 
-// returningList lets instances that are gone return to the list.
-func (world *world) returningList(ctx context.Context, failure Failure) {
+// showRemovedInstances announces and removes an instance, then makes the platform
+// list removed instances again.
+func (deployment *deployment) showRemovedInstances(ctx context.Context, failure Failure) {
 	gone := infra.Instance{
-		ID: "side-gone", Role: "side", Upstream: world.upstreams[failure.Pick%uint64(len(world.upstreams))],
-		Address: world.address("side-gone", peersPort), FailureDomain: "domain-a",
+		ID: "side-gone", Role: "side", Upstream: deployment.upstreams[failure.Selector%uint64(len(deployment.upstreams))],
+		Address: deployment.address("side-gone", peersPort), FailureDomain: "domain-a",
 	}
-	if err := world.platform.PutInstance(gone); err != nil {
-		world.problem("%v", err)
+	if err := deployment.platform.PutInstance(gone); err != nil {
+		deployment.recordProblem("%v", err)
 	}
-	_ = pause(ctx, 100*time.Millisecond)
-	world.platform.RemoveInstance(gone.ID)
-	world.listFault(ctx, failure, infra.ModeShowRemoved)
+	_ = sleep(ctx, 100*time.Millisecond)
+	deployment.platform.RemoveInstance(gone.ID)
+	deployment.injectListFault(ctx, failure, infra.ModeShowRemoved)
 }
 
-// raceOperators lets three operators change the same things at once.
-func (world *world) raceOperators(ctx context.Context, failure Failure) {
+// publishConflictingPatches lets three operators change the same route, and an
+// adapter each, at the same time.
+func (deployment *deployment) publishConflictingPatches(ctx context.Context, failure Failure) {
 	done := make(chan struct{})
 	for index, operator := range []string{"operator-a", "operator-b", "operator-c"} {
 		go func() {
@@ -85,9 +87,9 @@
 			for round := range 2 {
 				wait := time.Duration(2+index+3*round) * time.Second
 				version := uint32(1 + (index+round)%adapterVersions)
-				world.publish(ctx, operator+string(rune('0'+round)),
-					patch.PutRoute{Route: raceSpec(wait)},
-					patch.PutAdapter{Adapter: adapterSpec(int(failure.Pick%organisations), index, version)})
+				deployment.publish(ctx, operator+string(rune('0'+round)),
+					patch.PutRoute{Route: contendedRouteSpec(wait)},
+					patch.PutAdapter{Adapter: adapterSpec(int(failure.Selector%organisations), index, version)})
 			}
 		}()
 	}
@@ -96,55 +98,56 @@
 	}
 }
 
-// moveUpstream gives an upstream to the other half, or a whole one to half B.
-func (world *world) moveUpstream(ctx context.Context, failure Failure) {
-	index := int(failure.Pick % uint64(len(world.upstreams)))
+// moveUpstream moves an upstream of half B to half A, and any other to half B.
+func (deployment *deployment) moveUpstream(ctx context.Context, failure Failure) {
+	index := int(failure.Selector % uint64(len(deployment.upstreams)))
 	half := config.Half(halfB)
 	if upstreamHalf(index) == halfB {
 		half = halfA
 	}
-	world.note("move %s to half %s", world.upstreams[index], half)
-	world.publish(ctx, "move", patch.PutUpstream{Upstream: upstreamSpec(index, world.upstreams[index], half)})
+	deployment.recordEvent("move %s to half %s", deployment.upstreams[index], half)
+	deployment.publish(ctx, "move", patch.PutUpstream{Upstream: upstreamSpec(index, deployment.upstreams[index], half)})
 }
 
-// leaveTime is how long a leaving instance keeps serving, so that the list's
-// lag and one poll pass.
-const leaveTime = 2 * time.Second
+// drainNotice is the time between the announcement that an instance is draining
+// and its stop. It covers the lag of the instance list and one poll of it.
+const drainNotice = 2 * time.Second
 
-func (world *world) announceLeaving(process *process) {
-	world.note("%s leaves", process.name)
-	process.state = infra.StateDraining
+func (deployment *deployment) announceDraining(process *process) {
+	deployment.recordEvent("%s leaves", process.name)
+	process.listState = infra.StateDraining
 	if err := process.announce(); err != nil {
-		world.problem("%v", err)
+		deployment.recordProblem("%v", err)
 	}
 	if process.upstream != "" {
-		world.mutex.Lock()
-		world.left = append(world.left, leaving{process.upstream, time.Now()})
-		world.mutex.Unlock()
+		deployment.mutex.Lock()
+		deployment.draining = append(deployment.draining, drainingUpstream{process.upstream, time.Now()})
+		deployment.mutex.Unlock()
 	}
 }
 
-// leaveUpstream lists an upstream as leaving. Its side process stays.
-func (world *world) leaveUpstream(_ context.Context, failure Failure) {
-	world.announceLeaving(failure.among(world.sides))
+// drainUpstream lists the side process of an upstream as draining. The side process
+// keeps running.
+func (deployment *deployment) drainUpstream(_ context.Context, failure Failure) {
+	deployment.announceDraining(failure.target(deployment.sides))
 }
 
-func (world *world) stopEntry(ctx context.Context, failure Failure) {
-	world.stopProcess(ctx, failure.among(world.entries))
+func (deployment *deployment) stopEntry(ctx context.Context, failure Failure) {
+	deployment.stopProcess(ctx, failure.target(deployment.entries))
 }
 
-func (world *world) stopSide(ctx context.Context, failure Failure) {
-	world.stopProcess(ctx, failure.among(world.sides))
+func (deployment *deployment) stopSide(ctx context.Context, failure Failure) {
+	deployment.stopProcess(ctx, failure.target(deployment.sides))
 }
 
-func (world *world) stopProcess(ctx context.Context, process *process) {
-	world.announceLeaving(process)
-	_ = pause(ctx, leaveTime)
-	world.note("stop %s", process.name)
+func (deployment *deployment) stopProcess(ctx context.Context, process *process) {
+	deployment.announceDraining(process)
+	_ = sleep(ctx, drainNotice)
+	deployment.recordEvent("stop %s", process.name)
 	err := process.stop(ctx)
-	world.note("%s stopped: %v", process.name, err)
-	world.mutex.Lock()
-	world.stopped = append(world.stopped, stop{process.name, err})
-	world.mutex.Unlock()
-	world.platform.RemoveInstance(process.name)
+	deployment.recordEvent("%s stopped: %v", process.name, err)
+	deployment.mutex.Lock()
+	deployment.plannedStops = append(deployment.plannedStops, plannedStop{process.name, err})
+	deployment.mutex.Unlock()
+	deployment.platform.RemoveInstance(process.name)
 }
--- a/internal/bench/chaos/process.go
+++ b/internal/bench/chaos/process.go
@@ -13,31 +13,37 @@
 	"jacinthfront.dev/jacinthfront/internal/daemon/start"
 )
 
-// window is a time in which a process could not be reached or was not running.
-type window struct{ from, until time.Time }
+// interval is a time in which a process could not be reached or was not running,
+// or a part of the platform failed.
+type interval struct{ from, until time.Time }
 
-// process is one process of ours, which may end and start again.
+// process is an entry instance or a side process under test. It may end and start
+// again.
 type process struct {
-	world    *world
-	name     string
+	deployment *deployment
+	name       string
+	// upstream is empty for an entry instance.
 	upstream string
-	callers  string
-	entry    setup.Entry
-	side     setup.Side
+	// callerAddress is where an entry instance listens for callers.
+	callerAddress string
+	entrySettings setup.Entry
+	sideSettings  setup.Side
 
 	mutex sync.Mutex
-	// probe replaces the readiness of running for a process of the system.
-	probe   func() bool
-	running *start.Process
-	client  *http.Client
-	started time.Time
-	// ended counts unclean ends, and cut says that a caller's connection was cut.
-	ended   int
-	stopped bool
-	// state is the one on the instance list.
-	state string
-	// windows are the times without touch, absences those without a process.
-	windows, absences []window
+	// readyProbe reports readiness in place of running, if the process is one of
+	// the operating system.
+	readyProbe func() bool
+	running    *start.Process
+	client     *http.Client
+	started    time.Time
+	// disruptions counts kills and the beginnings and ends of pauses.
+	disruptions int
+	stopped     bool
+	// listState is the state on the instance list.
+	listState string
+	// unreachable holds the times in which the process could not reach others,
+	// down those in which it was not running.
+	unreachable, down []interval
 }
 
 const (
@@ -46,59 +52,59 @@
 	callersPort   = 8080
 )
 
-func (world *world) settings(process setup.Process, name string) setup.Process {
+func (deployment *deployment) settings(process setup.Process, name string) setup.Process {
 	process.Instance, process.FailureDomain = name, "domain-a"
-	process.Listen.Peers, process.Listen.Operators = world.address(name, peersPort), world.address(name, operatorsPort)
-	platform := "http://" + world.address(platformName, servicePort)
+	process.Listen.Peers, process.Listen.Operators = deployment.address(name, peersPort), deployment.address(name, operatorsPort)
+	platform := "http://" + deployment.address(platformName, servicePort)
 	process.Platform = setup.Platform{LogURL: platform, InstancesURL: platform}
-	process.Shutdown.DrainLimit = requestLimit + 3*time.Second
+	process.Shutdown.DrainLimit = requestTimeout + 3*time.Second
 	return process
 }
 
-func (world *world) newSide(index int, upstream string) *process {
+func (deployment *deployment) newSide(index int, upstream string) *process {
 	side := setup.DefaultSide()
 	name := "side-" + upstream
-	side.Process = world.settings(side.Process, name)
-	side.Upstream.ID, side.Upstream.URL = upstream, "http://"+world.address(upstream, servicePort)
-	side.RequestLimit, side.Seed = requestLimit, world.schedule.Seed+uint64(index)+1
+	side.Process = deployment.settings(side.Process, name)
+	side.Upstream.ID, side.Upstream.URL = upstream, "http://"+deployment.address(upstream, servicePort)
+	side.RequestLimit, side.Seed = requestTimeout, deployment.schedule.Seed+uint64(index)+1
 	side.Claims.Partitions = 8
-	world.network.Exempt(direction{name, upstream})
-	return &process{world: world, name: name, upstream: upstream, side: side}
+	deployment.network.ExemptFromPauses(direction{name, upstream})
+	return &process{deployment: deployment, name: name, upstream: upstream, sideSettings: side}
 }
 
-func (world *world) newEntry(index int) *process {
+func (deployment *deployment) newEntry(index int) *process {
 	entry := setup.DefaultEntry()
 	name := fmt.Sprintf("entry-%d", index+1)
-	entry.Process = world.settings(entry.Process, name)
-	entry.Listen.Callers = world.address(name, callersPort)
-	entry.Limits.RequestLimit = requestLimit
-	entry.Routing.Seed = world.schedule.Seed + uint64(index) + 1
-	return &process{world: world, name: name, callers: entry.Listen.Callers, entry: entry}
+	entry.Process = deployment.settings(entry.Process, name)
+	entry.Listen.Callers = deployment.address(name, callersPort)
+	entry.Limits.RequestLimit = requestTimeout
+	entry.Routing.Seed = deployment.schedule.Seed + uint64(index) + 1
+	return &process{deployment: deployment, name: name, callerAddress: entry.Listen.Callers, entrySettings: entry}
 }
 
-func (world *world) dialer(name string) func(ctx context.Context, network, address string) (net.Conn, error) {
+func (deployment *deployment) dialer(name string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
-		return world.network.Dial(ctx, name, address)
+		return deployment.network.Dial(ctx, name, address)
 	}
 }
 
 // start starts the process and puts it on the instance list.
 func (process *process) start() error {
-	world := process.world
-	client := world.httpClient(process.name)
+	deployment := process.deployment
+	client := deployment.httpClient(process.name)
 	environment := start.Environment{
-		Listen: func(address string) (net.Listener, error) { return world.network.Listen(process.name, address) },
+		Listen: func(address string) (net.Listener, error) { return deployment.network.Listen(process.name, address) },
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
-			return world.network.Dial(ctx, process.name, address)
+			return deployment.network.Dial(ctx, process.name, address)
 		},
-		HTTP: client, Logger: world.logger,
+		HTTP: client, Logger: deployment.logger,
 	}
 	var running *start.Process
 	var err error
 	if process.upstream == "" {
-		running, err = start.Entry(process.entry, environment)
+		running, err = start.Entry(process.entrySettings, environment)
 	} else {
-		running, err = start.Side(process.side, environment)
+		running, err = start.Side(process.sideSettings, environment)
 	}
 	if err != nil {
 		return err
@@ -109,21 +115,21 @@
 	return process.announce()
 }
 
-// announce puts the process on the instance list in its state.
+// announce puts the process with its state on the instance list.
 func (process *process) announce() error {
-	if process.state == "" {
-		process.state = infra.StateLive
+	if process.listState == "" {
+		process.listState = infra.StateLive
 	}
-	return process.world.platform.PutInstance(process.listed(process.state))
+	return process.deployment.platform.PutInstance(process.instance(process.listState))
 }
 
-func (process *process) listed(state string) infra.Instance {
+func (process *process) instance(state string) infra.Instance {
 	role := "entry"
 	if process.upstream != "" {
 		role = "side"
 	}
 	return infra.Instance{
-		ID: process.name, Role: role, Upstream: process.upstream, Address: process.world.address(process.name, peersPort),
+		ID: process.name, Role: role, Upstream: process.upstream, Address: process.deployment.address(process.name, peersPort),
 		FailureDomain: "domain-a", State: state,
 	}
 }
@@ -136,30 +142,31 @@
 }
 
 func (process *process) ready() bool {
-	if process.probe != nil {
-		return process.probe()
+	if process.readyProbe != nil {
+		return process.readyProbe()
 	}
 	running := process.current()
 	return running != nil && running.Ready()
 }
 
-// kill ends the process at once. Nothing that it sends while it ends gets out.
+// kill ends the process at once. Nothing that the process sends while it ends is
+// delivered.
 func (process *process) kill() {
 	process.mutex.Lock()
 	running, client := process.running, process.client
 	process.running = nil
-	process.ended++
+	process.disruptions++
 	process.mutex.Unlock()
 	if running == nil {
 		return
 	}
-	world := process.world
-	world.network.Pause(process.name, 1)
-	world.network.isolate(process.name)
+	deployment := process.deployment
+	deployment.network.Pause(process.name, 1)
+	deployment.network.cutProcess(process.name)
 	running.Kill()
 	client.CloseIdleConnections()
-	world.network.isolate(process.name)
-	world.network.Pause(process.name, -1)
+	deployment.network.cutProcess(process.name)
+	deployment.network.Pause(process.name, -1)
 }
 
 // stop stops the process gracefully.
@@ -181,29 +188,30 @@
 	return err
 }
 
-// disturb records a time in which the process was not in touch with others.
-func (process *process) disturb(from time.Time) {
+// recordUnreachable records that the process could not reach others since a time.
+func (process *process) recordUnreachable(from time.Time) {
 	process.mutex.Lock()
 	defer process.mutex.Unlock()
-	process.windows = append(process.windows, window{from, time.Now()})
+	process.unreachable = append(process.unreachable, interval{from, time.Now()})
 }
 
-// absent records a time without a process.
-func (process *process) absent(from time.Time) {
+// recordDown records that the process was not running since a time.
+func (process *process) recordDown(from time.Time) {
 	process.mutex.Lock()
 	defer process.mutex.Unlock()
-	process.absences = append(process.absences, window{from, time.Now()})
+	process.down = append(process.down, interval{from, time.Now()})
 }
 
-// allowance returns how much longer than usual the process may act on what it
-// knew at a time: until it is in touch again.
-func (process *process) allowance(from, until time.Time) time.Duration {
+// stalenessAllowance returns how long after from the process may still act on what
+// it knew then, because it could not reach others between from and until. It
+// returns 0 if it could.
+func (process *process) stalenessAllowance(from, until time.Time) time.Duration {
 	process.mutex.Lock()
 	defer process.mutex.Unlock()
 	extra := time.Duration(0)
-	for _, window := range process.windows {
-		if window.from.Before(until) && window.until.After(from) {
-			extra = max(extra, window.until.Sub(from))
+	for _, interval := range process.unreachable {
+		if interval.from.Before(until) && interval.until.After(from) {
+			extra = max(extra, interval.until.Sub(from))
 		}
 	}
 	return extra
--- a/internal/bench/chaos/processes_test.go
+++ b/internal/bench/chaos/processes_test.go
@@ -21,40 +21,41 @@
 )
 
 const (
-	systemEntries  = 3
-	systemServices = 3
-	systemRequests = 130
-	systemLoad     = 24 * time.Second
-	stopTime       = 1500 * time.Millisecond
+	osEntryCount   = 3
+	osServiceCount = 3
+	osRequestCount = 130
+	osSendWindow   = 24 * time.Second
+	suspendTime    = 1500 * time.Millisecond
 )
 
-// system is a deployment of operating system processes.
-type system struct {
-	*world
+// osDeployment is a deployment of operating system processes on TCP. The simulators
+// run in the test's process.
+type osDeployment struct {
+	*deployment
 	t         *testing.T
 	directory string
 	commands  map[string]*command
 }
 
-// command is one process of the operating system.
+// command is an operating system process that runs jacinthfront.
 type command struct {
 	*exec.Cmd
 	exited chan struct{}
 	ready  atomic.Bool
 }
 
-// reserve returns free addresses for all listeners of a deployment.
-func reserve(t *testing.T) map[string]string {
+// reserveAddresses returns free addresses for all listeners of a deployment.
+func reserveAddresses(t *testing.T) map[string]string {
 	addresses := map[string]string{}
 	var names []string
-	for index := range systemEntries {
+	for index := range osEntryCount {
 		name := fmt.Sprintf("entry-%d", index+1)
 		for _, port := range []int{peersPort, operatorsPort, callersPort} {
 			names = append(names, fmt.Sprintf("%s:%d", name, port))
 		}
 	}
 	names = append(names, fmt.Sprintf("%s:%d", platformName, servicePort))
-	for index := range engineCount + systemServices {
+	for index := range engineCount + osServiceCount {
 		name := fmt.Sprintf("%s-%d", modelService, index+1)
 		if index >= engineCount {
 			name = fmt.Sprintf("%s-%d", plainService, index-engineCount+1)
@@ -75,60 +76,60 @@
 	return addresses
 }
 
-func newSystem(t *testing.T) *system {
-	random := rand.New(rand.NewPCG(*from, 13))
-	schedule := Schedule{Seed: *from}
-	for index := range systemRequests {
+func newOSDeployment(t *testing.T) *osDeployment {
+	random := rand.New(rand.NewPCG(*firstSeed, 13))
+	schedule := Schedule{Seed: *firstSeed}
+	for index := range osRequestCount {
 		request := generateRequest(random, index)
-		request.At = time.Duration(random.Int64N(int64(systemLoad)))
-		request.Entry = random.IntN(systemEntries)
+		request.At = time.Duration(random.Int64N(int64(osSendWindow)))
+		request.Entry = random.IntN(osEntryCount)
 		schedule.Requests = append(schedule.Requests, request)
 	}
-	world, err := newWorld(schedule, systemServices, reserve(t))
-	t.Cleanup(world.close)
+	deployment, err := newDeployment(schedule, osServiceCount, reserveAddresses(t))
+	t.Cleanup(deployment.close)
 	if err != nil {
 		t.Fatal(err)
 	}
-	system := &system{world: world, t: t, directory: t.TempDir(), commands: map[string]*command{}}
-	build := exec.Command("go", "build", "-o", system.directory, "./cmd/jacinthfront")
+	osDeployment := &osDeployment{deployment: deployment, t: t, directory: t.TempDir(), commands: map[string]*command{}}
+	build := exec.Command("go", "build", "-o", osDeployment.directory, "./cmd/jacinthfront")
 	build.Dir = "../../.."
 	if output, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, output)
 	}
-	return system
+	return osDeployment
 }
 
-// settings writes the settings file of a process and returns its name.
-func (system *system) settings(process *process) string {
-	var settings any = process.side
+// writeSettings writes the settings file of a process and returns its path.
+func (osDeployment *osDeployment) writeSettings(process *process) string {
+	var settings any = process.sideSettings
 	if process.upstream == "" {
-		settings = process.entry
+		settings = process.entrySettings
 	}
 	var text bytes.Buffer
 	if err := toml.NewEncoder(&text).Encode(settings); err != nil {
-		system.t.Fatal(err)
+		osDeployment.t.Fatal(err)
 	}
-	file := filepath.Join(system.directory, process.name+".toml")
+	file := filepath.Join(osDeployment.directory, process.name+".toml")
 	if err := os.WriteFile(file, text.Bytes(), 0o600); err != nil {
-		system.t.Fatal(err)
+		osDeployment.t.Fatal(err)
 	}
 	return file
 }
 
-func (system *system) run(process *process) *command {
+func (osDeployment *osDeployment) run(process *process) *command {
 	role := "side"
 	if process.upstream == "" {
 		role = "entry"
 	}
-	file := system.settings(process)
-	check := exec.Command(filepath.Join(system.directory, "jacinthfront"), "check", "--role", role, "--settings", file)
+	file := osDeployment.writeSettings(process)
+	check := exec.Command(filepath.Join(osDeployment.directory, "jacinthfront"), "check", "--role", role, "--settings", file)
 	if output, err := check.CombinedOutput(); err != nil {
-		system.t.Fatalf("%s: %v\n%s", file, err, output)
+		osDeployment.t.Fatalf("%s: %v\n%s", file, err, output)
 	}
-	command := &command{Cmd: exec.Command(filepath.Join(system.directory, "jacinthfront"), role, "--settings", file), exited: make(chan struct{})}
-	command.Stderr = system.lines
+	command := &command{Cmd: exec.Command(filepath.Join(osDeployment.directory, "jacinthfront"), role, "--settings", file), exited: make(chan struct{})}
+	command.Stderr = osDeployment.logScanner
 	if err := command.Start(); err != nil {
-		system.t.Fatal(err)
+		osDeployment.t.Fatal(err)
 	}
 	go func() {
 		_ = command.Wait()
@@ -137,14 +138,15 @@
 	return command
 }
 
-// startProcess starts a process, follows its readiness and lists it.
-func (system *system) startProcess(process *process) {
-	command := system.run(process)
-	system.commands[process.name] = command
+// startProcess starts a process, polls its readiness until it exits, and puts it on
+// the instance list.
+func (osDeployment *osDeployment) startProcess(process *process) {
+	command := osDeployment.run(process)
+	osDeployment.commands[process.name] = command
 	process.mutex.Lock()
-	process.probe, process.started = command.ready.Load, time.Now()
+	process.readyProbe, process.started = command.ready.Load, time.Now()
 	process.mutex.Unlock()
-	url := "http://" + system.address(process.name, operatorsPort) + "/readyz"
+	url := "http://" + osDeployment.address(process.name, operatorsPort) + "/readyz"
 	client := &http.Client{Timeout: 300 * time.Millisecond}
 	go func() {
 		for {
@@ -161,157 +163,156 @@
 			}
 		}
 	}()
-	process.state = infra.StateLive
+	process.listState = infra.StateLive
 	if err := process.announce(); err != nil {
-		system.t.Error(err)
+		osDeployment.t.Error(err)
 	}
 }
 
-func (system *system) await(process *process) {
+func (osDeployment *osDeployment) awaitReady(process *process) {
 	for limit := time.Now().Add(10 * time.Second); !process.ready(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(limit) {
-			system.t.Fatalf("%s is not ready after 10 s", process.name)
+			osDeployment.t.Fatalf("%s is not ready after 10 s", process.name)
 		}
 	}
 }
 
 // signal sends a signal to a process that this test started.
-func (system *system) signal(process *process, signal syscall.Signal) {
-	if err := system.commands[process.name].Process.Signal(signal); err != nil {
-		system.t.Errorf("%s: %v: %v", process.name, signal, err)
+func (osDeployment *osDeployment) signal(process *process, signal syscall.Signal) {
+	if err := osDeployment.commands[process.name].Process.Signal(signal); err != nil {
+		osDeployment.t.Errorf("%s: %v: %v", process.name, signal, err)
 	}
 }
 
 // kill kills a process under load and starts it again.
-func (system *system) kill(process *process) {
-	process.disturbCallers()
-	system.signal(process, syscall.SIGKILL)
-	<-system.commands[process.name].exited
+func (osDeployment *osDeployment) kill(process *process) {
+	process.countDisruption()
+	osDeployment.signal(process, syscall.SIGKILL)
+	<-osDeployment.commands[process.name].exited
 	time.Sleep(300 * time.Millisecond)
-	system.startProcess(process)
+	osDeployment.startProcess(process)
 }
 
-// suspend stops a process and continues it.
-func (system *system) suspend(process *process) {
-	begin := time.Now()
-	process.disturbCallers()
-	system.signal(process, syscall.SIGSTOP)
-	time.Sleep(stopTime)
-	process.disturbCallers()
-	process.disturb(begin)
-	system.signal(process, syscall.SIGCONT)
+// suspend stops a process with SIGSTOP and continues it after suspendTime.
+func (osDeployment *osDeployment) suspend(process *process) {
+	since := time.Now()
+	process.countDisruption()
+	osDeployment.signal(process, syscall.SIGSTOP)
+	time.Sleep(suspendTime)
+	process.countDisruption()
+	process.recordUnreachable(since)
+	osDeployment.signal(process, syscall.SIGCONT)
 }
 
-// terminate stops a process gracefully under load, checks that this cuts
-// nothing, and starts it again.
-func (system *system) terminate(process *process) {
-	begin := time.Now()
-	system.announceLeaving(process)
-	system.signal(process, syscall.SIGTERM)
-	command := system.commands[process.name]
+// terminate stops a process gracefully under load, checks that no request was cut,
+// and starts the process again.
+func (osDeployment *osDeployment) terminate(process *process) {
+	since := time.Now()
+	osDeployment.announceDraining(process)
+	osDeployment.signal(process, syscall.SIGTERM)
+	command := osDeployment.commands[process.name]
 	select {
 	case <-command.exited:
-	case <-time.After(requestLimit):
-		system.t.Errorf("%s did not end within %s after SIGTERM", process.name, requestLimit)
+	case <-time.After(requestTimeout):
+		osDeployment.t.Errorf("%s did not end within %s after SIGTERM", process.name, requestTimeout)
 		return
 	}
 	if code := command.ProcessState.ExitCode(); code != 0 {
-		system.t.Errorf("%s ended with code %d after SIGTERM", process.name, code)
+		osDeployment.t.Errorf("%s ended with code %d after SIGTERM", process.name, code)
 	}
-	system.checkUncut(process, begin)
-	// A restart ends the upstream's leaving.
-	system.left = nil
-	system.startProcess(process)
+	osDeployment.checkNothingCut(process, since)
+	// After the restart the upstream is no longer draining.
+	osDeployment.draining = nil
+	osDeployment.startProcess(process)
 }
 
-// checkUncut checks that no request that ran beside a terminated side process
-// was cut.
-func (system *system) checkUncut(process *process, begin time.Time) {
-	for index, engine := range system.engines {
-		if system.upstreams[index] != process.upstream {
+// checkNothingCut checks that no request at the engine of a terminated side process
+// was cut after a time.
+func (osDeployment *osDeployment) checkNothingCut(process *process, since time.Time) {
+	for index, engine := range osDeployment.engines {
+		if osDeployment.upstreams[index] != process.upstream {
 			continue
 		}
 		for _, start := range engine.Observed().AcceptedRequests {
-			if start.Ended.After(begin) && start.Outcome != "finished" {
-				system.t.Errorf("SIGTERM of %s cut a request: %+v", process.name, start)
+			if start.Ended.After(since) && start.Outcome != "finished" {
+				osDeployment.t.Errorf("SIGTERM of %s cut a request: %+v", process.name, start)
 			}
 		}
 	}
 }
 
-// second checks that a second process at the same address does not start.
-func (system *system) second(process *process) {
-	command := system.run(process)
+// startSecond checks that a second process at the same addresses fails to start.
+func (osDeployment *osDeployment) startSecond(process *process) {
+	command := osDeployment.run(process)
 	select {
 	case <-command.exited:
 		if command.ProcessState.Success() {
-			system.t.Errorf("a second %s ended without an error", process.name)
+			osDeployment.t.Errorf("a second %s ended without an error", process.name)
 		}
 	case <-time.After(5 * time.Second):
-		system.t.Errorf("a second %s started at the same address", process.name)
+		osDeployment.t.Errorf("a second %s started at the same address", process.name)
 		_ = command.Process.Kill()
 		<-command.exited
 	}
 }
 
-// TestProcesses guards against what the in-memory network cannot show: the
-// real signals, the kernel's buffers, and the address that a stopped process
-// keeps.
+// TestProcesses guards against failures that the in-memory network cannot show:
+// those caused by real signals, by the kernel's socket buffers, and by the address
+// that a suspended process keeps in use.
 func TestProcesses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs for 50 s")
 	}
-	system := newSystem(t)
+	osDeployment := newOSDeployment(t)
 	t.Cleanup(func() {
-		for _, command := range system.commands {
+		for _, command := range osDeployment.commands {
 			_ = command.Process.Kill()
 			<-command.exited
 		}
 	})
-	for index, upstream := range system.upstreams {
-		system.sides = append(system.sides, system.newSide(index, upstream))
+	for index, upstream := range osDeployment.upstreams {
+		osDeployment.sides = append(osDeployment.sides, osDeployment.newSide(index, upstream))
 	}
-	for index := range systemEntries {
-		system.entries = append(system.entries, system.newEntry(index))
+	for index := range osEntryCount {
+		osDeployment.entries = append(osDeployment.entries, osDeployment.newEntry(index))
 	}
-	for _, process := range system.processes() {
-		system.startProcess(process)
+	for _, process := range osDeployment.processes() {
+		osDeployment.startProcess(process)
 	}
-	for _, process := range system.processes() {
-		system.await(process)
+	for _, process := range osDeployment.processes() {
+		osDeployment.awaitReady(process)
 	}
 	time.Sleep(settleTime)
-	system.begin = time.Now()
+	osDeployment.startedAt = time.Now()
 	sent := make(chan struct{})
 	go func() {
 		defer close(sent)
-		system.sendAll(context.Background())
+		osDeployment.sendAll(context.Background())
 	}()
-	system.disturbInTurn()
+	osDeployment.disruptAll()
 	<-sent
 	time.Sleep(time.Second)
-	checked := system.check()
-	for _, violation := range checked.found {
+	checker := osDeployment.check()
+	for _, violation := range checker.violations {
 		t.Error(violation)
 	}
-	system.summarize(checked)
+	osDeployment.logSummary(checker)
 }
 
-// disturbInTurn kills, suspends or terminates each process.
-func (system *system) disturbInTurn() {
+// disruptAll kills, suspends or terminates each process, one after the other.
+func (osDeployment *osDeployment) disruptAll() {
 	actions := []struct {
 		name string
 		act  func(*process)
-	}{{"SIGKILL", system.kill}, {"SIGSTOP", system.suspend}, {"SIGTERM", system.terminate}}
-	for index, process := range system.processes() {
-		// Each role meets each signal: three entry instances and twice three
-		// side processes.
+	}{{"SIGKILL", osDeployment.kill}, {"SIGSTOP", osDeployment.suspend}, {"SIGTERM", osDeployment.terminate}}
+	for index, process := range osDeployment.processes() {
+		// Each signal goes to one entry instance and two side processes.
 		action := actions[index%len(actions)]
-		system.note("%s to %s", action.name, process.name)
+		osDeployment.recordEvent("%s to %s", action.name, process.name)
 		if process.upstream != "" && action.name == "SIGSTOP" {
 			go func() {
-				time.Sleep(stopTime / 3)
-				system.second(process)
+				time.Sleep(suspendTime / 3)
+				osDeployment.startSecond(process)
 			}()
 		}
 		action.act(process)
@@ -319,23 +320,23 @@
 	}
 }
 
-func (system *system) summarize(checked *checker) {
+func (osDeployment *osDeployment) logSummary(checker *checker) {
 	counts := map[string]int{}
-	for _, answer := range system.answers {
+	for _, result := range osDeployment.results {
 		switch {
-		case answer.Complete:
+		case result.Complete:
 			counts["complete"]++
-		case answer.Err != nil:
+		case result.Err != nil:
 			counts["broken"]++
 		default:
-			counts[answer.Ran]++
+			counts[result.Ran]++
 		}
 	}
-	system.t.Logf("%d dispatches, answers %v in %s", len(checked.dispatched), counts, time.Since(system.begin).Round(time.Second))
-	for _, note := range system.notes {
-		system.t.Log(note)
+	osDeployment.t.Logf("%d dispatches, responses %v in %s", len(checker.dispatched), counts, time.Since(osDeployment.startedAt).Round(time.Second))
+	for _, event := range osDeployment.events {
+		osDeployment.t.Log(event)
 	}
-	if counts["complete"] < len(system.answers)/2 {
-		system.t.Errorf("only %d of %d answers are complete", counts["complete"], len(system.answers))
+	if counts["complete"] < len(osDeployment.results)/2 {
+		osDeployment.t.Errorf("only %d of %d responses are complete", counts["complete"], len(osDeployment.results))
 	}
 }
--- a/internal/bench/chaos/naive.go
+++ b/internal/bench/chaos/reference.go
@@ -12,20 +12,23 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/codec"
 )
 
-// version is one accepted patch.
+// version is a configuration version and the accepted patch that made it.
 type version struct {
-	number   uint64
-	patch    patch.Patch
-	at       time.Time
-	raceWait time.Duration
+	number uint64
+	patch  patch.Patch
+	at     time.Time
+	// contendedMaxWait is the contended route's MaxWait in this version.
+	contendedMaxWait time.Duration
 }
 
-// foldNaively returns the accepted patches of the log in order. All patches of
-// the schedules are valid, so only their ids and bases decide.
-func foldNaively(records []infra.Record) []version {
+// referenceReplay returns the accepted patches of the log in order. All patches of
+// the schedules are valid, so acceptance depends only on their ids and base
+// versions: the first record with an id counts, and its base must be the current
+// version.
+func referenceReplay(records []infra.Record) []version {
 	var versions []version
 	seen := map[string]bool{}
-	raceWait := time.Duration(0)
+	contendedMaxWait := time.Duration(0)
 	for _, record := range records {
 		decoded, err := codec.DecodeRecord(record.Data)
 		if err != nil || decoded.Patch == nil || seen[decoded.Patch.ID] {
@@ -36,22 +39,24 @@
 			continue
 		}
 		for _, op := range decoded.Patch.Ops {
-			if put, ok := op.(patch.PutRoute); ok && put.Route.Name == raceRoute {
-				raceWait = put.Route.MaxWait
+			if put, ok := op.(patch.PutRoute); ok && put.Route.Name == contendedRoute {
+				contendedMaxWait = put.Route.MaxWait
 			}
 		}
-		versions = append(versions, version{uint64(len(versions) + 1), *decoded.Patch, record.Time, raceWait})
+		versions = append(versions, version{uint64(len(versions) + 1), *decoded.Patch, record.Time, contendedMaxWait})
 	}
 	return versions
 }
 
-// naiveShares reports whether work of one half may run at the other.
-func naiveShares(asked, served config.Half) bool {
+// mayRunInHalf reports whether a request of one half may run at an upstream of
+// another. An empty half matches every half.
+func mayRunInHalf(asked, served config.Half) bool {
 	return asked == "" || served == "" || asked == served
 }
 
-// find returns the accepted version with an operation that matches.
-func find[T patch.Op](versions []version, match func(T) bool) (version, T, bool) {
+// findVersion returns the first accepted version after the initial one with a
+// matching operation.
+func findVersion[T patch.Op](versions []version, match func(T) bool) (version, T, bool) {
 	for _, version := range versions {
 		if version.number == 1 {
 			continue
@@ -66,10 +71,10 @@
 	return version{}, none, false
 }
 
-// naiveAnswer returns the text and the finish reason that a single process
-// without failures answers with.
-func naiveAnswer(request Request, adapter string, version uint32) (text, finish string) {
-	if !request.Kind.Model() {
+// referenceResponse returns the text and the finish reason of the response that a
+// single process gives in the absence of failures.
+func referenceResponse(request Request, adapter string, version uint32) (text, finish string) {
+	if !request.Kind.UsesAdapter() {
 		method, _, body := request.encode()
 		return plain.Result(method, request.path(), body), ""
 	}
@@ -81,7 +86,7 @@
 	return engsim.AnswerText(adapter, version, prompt, request.maxTokens()), finish
 }
 
-// plainResult returns the result in a plain service's answer.
+// plainResult returns the result in a response of the plain service.
 func plainResult(body string) string {
 	var reply plain.Response
 	if err := json.Unmarshal([]byte(body), &reply); err != nil {
@@ -90,9 +95,10 @@
 	return reply.Result
 }
 
-// dispatch is what an upstream received for one request.
+// dispatch is a request as an upstream received it.
 type dispatch struct {
-	request      Request
+	request Request
+	// known says that a request of the schedule was found.
 	known        bool
 	upstream     int
 	at           time.Time
@@ -101,37 +107,39 @@
 	adapter      string
 	version      uint32
 	tokens       int64
-	resumed      bool
-	effect       bool
+	// resumed says that the upstream continued a response of an earlier dispatch.
+	resumed bool
+	// effect says that the upstream ran the request.
+	effect bool
 }
 
-// dispatches returns all that upstreams received.
-func (world *world) dispatches() []dispatch {
+// dispatches returns all requests that upstreams received.
+func (deployment *deployment) dispatches() []dispatch {
 	var all []dispatch
-	for index, engine := range world.engines {
+	for index, engine := range deployment.engines {
 		for _, start := range engine.Observed().AcceptedRequests {
 			found := dispatch{
 				upstream: index, at: start.Accepted, id: start.RequestID, organisation: start.Organisation,
 				adapter: start.Adapter, version: start.Version, tokens: start.PromptTokens + start.GeneratedTokens, effect: true,
 			}
 			if start.ResumedFrom > 0 {
-				// The prompt was counted when the request began.
+				// The prompt's tokens were counted in the first dispatch.
 				found.resumed, found.effect, found.tokens = true, false, start.GeneratedTokens
 			}
-			found.request, found.known = world.request(func(request Request) bool {
-				return request.Kind.Model() && request.maxTokens() == start.MaxTokens
+			found.request, found.known = deployment.findRequest(func(request Request) bool {
+				return request.Kind.UsesAdapter() && request.maxTokens() == start.MaxTokens
 			})
 			all = append(all, found)
 		}
 	}
-	for index, service := range world.services {
+	for index, service := range deployment.services {
 		for _, call := range service.Observed().Calls {
 			found := dispatch{
 				upstream: engineCount + index, at: call.Time, id: call.RequestID, organisation: call.Organisation,
 				tokens: plainCost, effect: call.Effect,
 			}
-			found.request, found.known = world.request(func(request Request) bool {
-				return !request.Kind.Model() && request.path() == call.Path
+			found.request, found.known = deployment.findRequest(func(request Request) bool {
+				return !request.Kind.UsesAdapter() && request.path() == call.Path
 			})
 			all = append(all, found)
 		}
@@ -139,8 +147,8 @@
 	return all
 }
 
-func (world *world) request(match func(Request) bool) (Request, bool) {
-	for _, request := range world.schedule.Requests {
+func (deployment *deployment) findRequest(match func(Request) bool) (Request, bool) {
+	for _, request := range deployment.schedule.Requests {
 		if match(request) {
 			return request, true
 		}
@@ -148,9 +156,10 @@
 	return Request{}, false
 }
 
-// excess returns the largest amount by which the tokens of any interval exceed
-// rate × length + burst, by trying every interval between two dispatches.
-func excess(dispatches []dispatch, rate, burst config.Tokens) float64 {
+// excessTokens returns the largest number of tokens by which the dispatches of any
+// interval exceed rate × duration + burst, by trying every interval between two
+// dispatches. It returns 0 if none exceeds that.
+func excessTokens(dispatches []dispatch, rate, burst config.Tokens) float64 {
 	largest := 0.0
 	for _, first := range dispatches {
 		for _, last := range dispatches {
--- a/internal/bench/chaos/report.go
+++ b/internal/bench/chaos/report.go
@@ -6,33 +6,34 @@
 	"time"
 )
 
-// Lines describes the run; details adds every answer.
+// Lines describes the run, one line per violation and event. With details, it
+// adds one line per response.
 func (report *Report) Lines(details bool) []string {
 	lines := []string{fmt.Sprintf("seed %d: %v", report.Schedule.Seed, report.Schedule.Failures)}
 	for _, violation := range report.Violations {
 		lines = append(lines, "  "+violation.String())
 	}
-	for _, note := range report.Notes {
-		lines = append(lines, "  "+note)
+	for _, event := range report.Events {
+		lines = append(lines, "  "+event)
 	}
 	if !details {
 		return lines
 	}
-	for _, answer := range report.Answers {
-		lines = append(lines, fmt.Sprintf("  sent %s: %s", answer.Sent.Format("15:04:05.000"), answer))
+	for _, result := range report.Results {
+		lines = append(lines, fmt.Sprintf("  sent %s: %s", result.Sent.Format("15:04:05.000"), result))
 	}
 	return lines
 }
 
-// Totals sums up reports.
+// Totals holds the sums over reports.
 type Totals struct {
 	Schedules, Failed                 int
 	Complete, NotRun, Unknown, Broken int
 	Dispatches                        int
-	spread                            []time.Duration
+	propagationDelays                 []time.Duration
 }
 
-// Add adds a report.
+// Add adds the counts of a report.
 func (totals *Totals) Add(report *Report) {
 	totals.Schedules++
 	if len(report.Violations) > 0 {
@@ -43,17 +44,17 @@
 	totals.Unknown += report.Unknown
 	totals.Broken += report.Broken
 	totals.Dispatches += report.Dispatches
-	totals.spread = append(totals.spread, report.Spread...)
+	totals.propagationDelays = append(totals.propagationDelays, report.PropagationDelays...)
 }
 
 // String describes the totals.
 func (totals *Totals) String() string {
 	text := fmt.Sprintf("%d schedules, %d failed; answers: %d complete, %d not-run, %d unknown or ran, %d broken by their entry instance's end; %d dispatches",
 		totals.Schedules, totals.Failed, totals.Complete, totals.NotRun, totals.Unknown, totals.Broken, totals.Dispatches)
-	if count := len(totals.spread); count > 0 {
-		slices.Sort(totals.spread)
+	if count := len(totals.propagationDelays); count > 0 {
+		slices.Sort(totals.propagationDelays)
 		text += fmt.Sprintf("; %d versions in force at a process, p99 %s, slowest %s", count,
-			totals.spread[count*99/100], totals.spread[count-1])
+			totals.propagationDelays[count*99/100], totals.propagationDelays[count-1])
 	}
 	return text
 }
--- a/internal/bench/chaos/schedule.go
+++ b/internal/bench/chaos/schedule.go
@@ -6,85 +6,97 @@
 	"time"
 )
 
-// Kind is a kind of request.
-type Kind int
+// RequestKind is a kind of request.
+type RequestKind int
 
 const (
-	// Chat and Text are idempotent model requests.
-	Chat Kind = iota
-	// Text is a text completion.
+	// Chat is a chat completion. It is idempotent.
+	Chat RequestKind = iota
+	// Text is a text completion. It is idempotent.
 	Text
 	// KeyedText is a text completion with an Idempotency-Key.
 	KeyedText
-	// Stock is an idempotent call of the plain service.
-	Stock
-	// Order is a non-idempotent call without an Idempotency-Key.
-	Order
-	// KeyedOrder is a non-idempotent call with an Idempotency-Key.
+	// StockQuery is an idempotent GET request to the plain service.
+	StockQuery
+	// UnkeyedOrder is a non-idempotent POST request to the plain service without
+	// an Idempotency-Key.
+	UnkeyedOrder
+	// KeyedOrder is a non-idempotent POST request to the plain service with an
+	// Idempotency-Key.
 	KeyedOrder
-	// Foreign asks for another organisation's adapter and must be refused.
+	// Foreign is a text completion on another organisation's adapter. It must be
+	// refused.
 	Foreign
 )
 
 var kindNames = [...]string{"chat", "text", "keyed-text", "stock", "order", "keyed-order", "foreign"}
 
 // String returns the kind's name.
-func (kind Kind) String() string { return kindNames[kind] }
+func (kind RequestKind) String() string { return kindNames[kind] }
 
-// Model reports whether the kind runs on an adapter.
-func (kind Kind) Model() bool { return kind <= KeyedText || kind == Foreign }
+// UsesAdapter reports whether requests of the kind run on an adapter.
+func (kind RequestKind) UsesAdapter() bool { return kind <= KeyedText || kind == Foreign }
 
-// Keyed reports whether the kind carries an Idempotency-Key.
-func (kind Kind) Keyed() bool { return kind == KeyedText || kind == KeyedOrder }
+// Keyed reports whether requests of the kind carry an Idempotency-Key.
+func (kind RequestKind) Keyed() bool { return kind == KeyedText || kind == KeyedOrder }
 
-// Once reports whether the kind may run at most once.
-func (kind Kind) Once() bool { return kind.Keyed() || kind == Order }
+// AtMostOnce reports whether a request of the kind may run at most once.
+func (kind RequestKind) AtMostOnce() bool { return kind.Keyed() || kind == UnkeyedOrder }
 
-// Request is one logical request. Its index names it at the upstreams: model
-// requests have distinct max_tokens, calls have distinct paths.
+// Request is one logical request. Upstreams see its index, by which a dispatch is
+// matched with its request: model requests have distinct max_tokens, and requests
+// to the plain service have distinct paths.
 type Request struct {
-	Index        int
-	Kind         Kind
-	At           time.Duration
+	Index int
+	Kind  RequestKind
+	// At is the time after the start of the load.
+	At time.Duration
+	// Organisation and Adapter are indices.
 	Organisation int
 	Adapter      int
-	// Version is 0 for the default version.
+	// Version is the adapter's version, or 0 for the default version.
 	Version uint32
 	Stream  bool
-	Words   int
-	Entry   int
-	// Withdrawn says that it presents the key that is withdrawn.
+	// Words is the prompt's length in words or the quantity of an order.
+	Words int
+	// Entry is the index of the preferred entry instance.
+	Entry int
+	// Withdrawn says that the request presents the key that may be
+	// withdrawn during the run.
 	Withdrawn bool
-	// Copies are the delays after which a keyed request is sent again through
-	// the other entry instance.
+	// Copies are the delays after which copies of a keyed request are sent.
+	// Each copy goes to the entry instance after that of the previous one.
 	Copies []time.Duration
 }
 
-// maxTokens is distinct for each request, so that a run tells whose it is.
-func (request Request) maxTokens() int64 { return int64(leastTokens + request.Index) }
+// maxTokens is distinct for each request, so that it identifies the request at an
+// engine.
+func (request Request) maxTokens() int64 { return int64(minMaxTokens + request.Index) }
 
 func (request Request) path() string {
-	if request.Kind == Stock {
+	if request.Kind == StockQuery {
 		return fmt.Sprintf("/stock/%d", request.Index)
 	}
 	return fmt.Sprintf("/orders/%d", request.Index)
 }
 
-// Failure is one failure of a schedule.
+// Failure is one planned failure of a schedule.
 type Failure struct {
+	// Name is the name of a failure kind.
 	Name string
-	At   time.Duration
-	For  time.Duration
-	// Pick selects the target among those that the failure fits.
-	Pick uint64
+	// At is the time after the start of the load.
+	At       time.Duration
+	Duration time.Duration
+	// Selector selects the targets among the possible ones.
+	Selector uint64
 }
 
 // String describes the failure.
 func (failure Failure) String() string {
-	return fmt.Sprintf("%s at %s for %s (pick %d)", failure.Name, failure.At, failure.For, failure.Pick)
+	return fmt.Sprintf("%s at %s for %s (pick %d)", failure.Name, failure.At, failure.Duration, failure.Selector)
 }
 
-// Schedule is what happens in one run.
+// Schedule holds the requests and failures of one run.
 type Schedule struct {
 	Seed     uint64
 	Requests []Request
@@ -92,42 +104,43 @@
 }
 
 const (
-	leastTokens = 6
-	// loadTime is the time over which requests are sent.
-	loadTime        = 6 * time.Second
-	leastRequests   = 25
-	spreadRequests  = 20
-	organisations   = 3
-	adaptersEach    = 3
-	adapterVersions = 2
-	failuresAtOnce  = 2
+	minMaxTokens = 6
+	// sendWindow is the time over which requests are sent.
+	sendWindow              = 6 * time.Second
+	minRequests             = 25
+	extraRequests           = 20
+	organisations           = 3
+	adaptersPerOrganisation = 3
+	adapterVersions         = 2
+	failuresPerSchedule     = 2
 )
 
-// Generate returns the schedule of a seed.
+// Generate returns the schedule of a seed. The same seed always gives the same
+// schedule.
 func Generate(seed uint64) Schedule {
 	random := rand.New(rand.NewPCG(seed, 11))
 	schedule := Schedule{Seed: seed}
-	for index := range leastRequests + random.IntN(spreadRequests) {
+	for index := range minRequests + random.IntN(extraRequests) {
 		schedule.Requests = append(schedule.Requests, generateRequest(random, index))
 	}
-	for _, number := range random.Perm(len(failures))[:failuresAtOnce] {
+	for _, number := range random.Perm(len(failureKinds))[:failuresPerSchedule] {
 		schedule.Failures = append(schedule.Failures, Failure{
-			Name: failures[number].name,
-			At:   500*time.Millisecond + time.Duration(random.Int64N(int64(4*time.Second))).Round(time.Millisecond),
-			For:  300*time.Millisecond + time.Duration(random.Int64N(int64(5*time.Second))).Round(time.Millisecond),
-			Pick: random.Uint64(),
+			Name:     failureKinds[number].name,
+			At:       500*time.Millisecond + time.Duration(random.Int64N(int64(4*time.Second))).Round(time.Millisecond),
+			Duration: 300*time.Millisecond + time.Duration(random.Int64N(int64(5*time.Second))).Round(time.Millisecond),
+			Selector: random.Uint64(),
 		})
 	}
 	return schedule
 }
 
-// kindWeights are the shares of the kinds of request.
-var kindWeights = [...]int{Chat: 4, Text: 4, KeyedText: 3, Stock: 2, Order: 4, KeyedOrder: 5, Foreign: 1}
+// kindWeights are the relative frequencies of the kinds of request.
+var kindWeights = [...]int{Chat: 4, Text: 4, KeyedText: 3, StockQuery: 2, UnkeyedOrder: 4, KeyedOrder: 5, Foreign: 1}
 
 func generateRequest(random *rand.Rand, index int) Request {
 	request := Request{
-		Index: index, Kind: pickKind(random), Organisation: random.IntN(organisations), Adapter: random.IntN(adaptersEach),
-		At:     time.Duration(random.Int64N(int64(loadTime))).Round(time.Millisecond),
+		Index: index, Kind: pickKind(random), Organisation: random.IntN(organisations), Adapter: random.IntN(adaptersPerOrganisation),
+		At:     time.Duration(random.Int64N(int64(sendWindow))).Round(time.Millisecond),
 		Stream: random.IntN(2) == 0, Words: 1 + random.IntN(12), Entry: random.IntN(entryCount),
 	}
 	if random.IntN(2) == 0 {
@@ -136,13 +149,13 @@
 	request.Withdrawn = request.Organisation == 0 && random.IntN(2) == 0
 	if request.Kind.Keyed() {
 		for range random.IntN(3) {
-			request.Copies = append(request.Copies, copyDelay(random))
+			request.Copies = append(request.Copies, drawCopyDelay(random))
 		}
 	}
 	return request
 }
 
-func pickKind(random *rand.Rand) Kind {
+func pickKind(random *rand.Rand) RequestKind {
 	total := 0
 	for _, weight := range kindWeights {
 		total += weight
@@ -150,15 +163,16 @@
 	pick := random.IntN(total)
 	for kind, weight := range kindWeights {
 		if pick < weight {
-			return Kind(kind)
+			return RequestKind(kind)
 		}
 		pick -= weight
 	}
 	return Chat
 }
 
-// copyDelay lets copies meet in flight in half of the cases.
-func copyDelay(random *rand.Rand) time.Duration {
+// drawCopyDelay returns a delay below 30 ms in half of the cases, so that copies
+// of a request are in flight at the same time.
+func drawCopyDelay(random *rand.Rand) time.Duration {
 	if random.IntN(2) == 0 {
 		return time.Duration(random.IntN(30)) * time.Millisecond
 	}
--- a/internal/bench/chaos/versions.go
+++ b/internal/bench/chaos/versions.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// checkVersions checks that no process goes back and that each version is the
-// accepted one.
+// checkVersions checks that the configuration version of an incarnation never
+// decreases and that each version has the content of the accepted patch.
 func (checker *checker) checkVersions() {
 	type incarnation struct {
 		process string
 		started time.Time
 	}
-	newest := map[incarnation]uint64{}
+	latest := map[incarnation]uint64{}
 	for _, sample := range checker.samples {
-		of := incarnation{sample.process, sample.started}
-		if sample.version < newest[of] {
-			checker.fail(12, "%s went back from version %d to %d", sample.process, newest[of], sample.version)
+		key := incarnation{sample.process, sample.started}
+		if sample.version < latest[key] {
+			checker.fail(12, "%s went back from version %d to %d", sample.process, latest[key], sample.version)
 		}
-		newest[of] = sample.version
+		latest[key] = sample.version
 		if sample.version > uint64(len(checker.versions)) {
 			checker.fail(12, "%s has version %d, but only %d patches are accepted", sample.process, sample.version, len(checker.versions))
 			continue
@@ -24,25 +24,26 @@
 			continue
 		}
 		accepted := checker.versions[sample.version-1]
-		if sample.raceWait != accepted.raceWait {
-			checker.fail(12, "%s has %s in force as version %d, but %s is accepted", sample.process, sample.raceWait, sample.version, accepted.raceWait)
+		if sample.contendedMaxWait != accepted.contendedMaxWait {
+			checker.fail(12, "%s has %s in force as version %d, but %s is accepted", sample.process, sample.contendedMaxWait, sample.version, accepted.contendedMaxWait)
 		}
 	}
 }
 
-// checkSpread checks that each accepted version is in force everywhere in time.
-func (checker *checker) checkSpread() {
+// checkPropagation checks that each accepted version is in force at each process
+// within configBound, extended by failures that kept the process from the log.
+func (checker *checker) checkPropagation() {
 	for _, process := range checker.processes() {
 		for _, version := range checker.versions[1:] {
-			checker.checkArrival(process, version)
+			checker.checkPropagationTo(process, version)
 		}
 	}
 }
 
-func (checker *checker) checkArrival(process *process, version version) {
-	bound := configBound + process.allowance(version.at, version.at.Add(configBound))
-	if down := checker.logDown; down.from.Sub(version.at) < readTime && down.until.After(version.at) {
-		bound = max(bound, configBound+down.until.Sub(version.at))
+func (checker *checker) checkPropagationTo(process *process, version version) {
+	bound := configBound + process.stalenessAllowance(version.at, version.at.Add(configBound))
+	if outage := checker.logOutage; outage.from.Sub(version.at) < logReadWindow && outage.until.After(version.at) {
+		bound = max(bound, configBound+outage.until.Sub(version.at))
 	}
 	for _, sample := range checker.samples {
 		if sample.process != process.name || sample.started.After(version.at) || sample.at.Before(version.at) {
@@ -50,12 +51,12 @@
 		}
 		took := sample.at.Sub(version.at)
 		if sample.version >= version.number {
-			if bound == configBound && checker.logDown == (window{}) {
-				checker.spread = append(checker.spread, took)
+			if bound == configBound && checker.logOutage == (interval{}) {
+				checker.propagationDelays = append(checker.propagationDelays, took)
 			}
 			return
 		}
-		if took > bound+samplePause {
+		if took > bound+sampleInterval {
 			checker.fail(12, "version %d is not in force at %s after %s", version.number, process.name, took)
 			return
 		}
