--- a/internal/bench/demo/config.go
+++ b/internal/bench/demo/config.go
@@ -11,31 +11,33 @@
 )
 
 const (
-	// operator is who publishes the patches of a demo.
-	operator        = "demo"
+	// operatorName is the operator that the patches of a demo name.
+	operatorName    = "demo"
 	interactiveWait = 5 * time.Second
 	patientWait     = 30 * time.Second
-	// adaptersPerPatch keeps a patch well below the log's record limit.
+	// adaptersPerPatch keeps a patch well below the size limit of log records.
 	adaptersPerPatch = 1000
 	loadBurst        = 8
 	adapterVersion   = 1
 )
 
-// runnerID and plainID name the upstreams.
-func (deployment Deployment) runnerID(index int) string {
+// engineID returns the upstream id of an engine.
+func (deployment Deployment) engineID(index int) string {
 	return fmt.Sprintf("%s-%02d", deployment.ModelService, index+1)
 }
 
-func (deployment Deployment) plainID(index int) string {
+// plainUpstreamID returns the upstream id of an upstream of the plain service.
+func (deployment Deployment) plainUpstreamID(index int) string {
 	return fmt.Sprintf("%s-%02d", deployment.PlainService, index+1)
 }
 
-func (deployment Deployment) domain(index int) string {
+// failureDomain assigns indexes to the failure domains in turn.
+func (deployment Deployment) failureDomain(index int) string {
 	return deployment.FailureDomains[index%len(deployment.FailureDomains)]
 }
 
-// initialPatches returns the configuration as patches on versions 0, 1, …, and
-// sets the keys of the plan's organisations.
+// initialPatches returns the initial configuration as patches with the base
+// versions 0, 1, …. It issues a key to each organisation and sets it in the plan.
 func (deployment Deployment) initialPatches(plan *reqgen.Plan) []patch.Patch {
 	ops := deployment.upstreamOps()
 	ops = append(ops, deployment.routeOps()...)
@@ -48,7 +50,7 @@
 		organisation.Key = key
 		ops = append(ops, patch.PutKey{Key: spec})
 	}
-	patches := []patch.Patch{{ID: "initial-0", Operator: operator, Ops: ops}}
+	patches := []patch.Patch{{ID: "initial-0", Operator: operatorName, Ops: ops}}
 	return append(patches, deployment.adapterPatches(plan.Organisations)...)
 }
 
@@ -56,13 +58,13 @@
 	var ops []patch.Op
 	for index := range deployment.Engines {
 		ops = append(ops, patch.PutUpstream{Upstream: conf.UpstreamSpec{
-			ID: deployment.runnerID(index), Service: deployment.ModelService,
-			FailureDomain: deployment.domain(index), FencingChecked: true,
+			ID: deployment.engineID(index), Service: deployment.ModelService,
+			FailureDomain: deployment.failureDomain(index), FencingChecked: true,
 		}})
 	}
 	for index := range deployment.PlainUpstreams {
 		ops = append(ops, patch.PutUpstream{Upstream: conf.UpstreamSpec{
-			ID: deployment.plainID(index), Service: deployment.PlainService, Plain: true, FailureDomain: deployment.domain(index),
+			ID: deployment.plainUpstreamID(index), Service: deployment.PlainService, Plain: true, FailureDomain: deployment.failureDomain(index),
 		}})
 	}
 	return append(ops, patch.PutFleet{Fleet: conf.FleetSpec{
@@ -99,7 +101,7 @@
 	for start := 0; start < len(ops); start += adaptersPerPatch {
 		number := len(patches) + 1
 		patches = append(patches, patch.Patch{
-			ID: fmt.Sprintf("initial-%d", number), BaseVersion: uint64(number), Operator: operator,
+			ID: fmt.Sprintf("initial-%d", number), BaseVersion: uint64(number), Operator: operatorName,
 			Ops: ops[start:min(start+adaptersPerPatch, len(ops))],
 		})
 	}
--- a/internal/bench/demo/delays.go
+++ b/internal/bench/demo/delays.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// delays is a network with a delay between failure domains. Addresses that no
-// process of ours listens on, such as those of stand-ins, are near.
-type delays struct {
+// delayedNetwork adds a delay to connections between failure domains. Connections
+// to addresses that were not passed to inDomain, such as those of simulators, have
+// no delay.
+type delayedNetwork struct {
 	Network
 	delay time.Duration
 
@@ -19,84 +20,87 @@
 	domains map[string]string
 }
 
-func newDelays(network Network, delay time.Duration) *delays {
-	return &delays{Network: network, delay: delay, domains: map[string]string{}}
+func newDelayedNetwork(network Network, delay time.Duration) *delayedNetwork {
+	return &delayedNetwork{Network: network, delay: delay, domains: map[string]string{}}
 }
 
-// from returns the network as a process in a failure domain sees it, which
-// others reach at the given address.
-func (delays *delays) from(domain, address string) Network {
-	delays.mu.Lock()
-	defer delays.mu.Unlock()
-	delays.domains[address] = domain
-	return &domainNetwork{delays: delays, domain: domain}
+// inDomain returns the network for a process that runs in a failure domain and
+// listens on an address.
+func (network *delayedNetwork) inDomain(domain, address string) Network {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	network.domains[address] = domain
+	return &domainNetwork{delayedNetwork: network, domain: domain}
 }
 
-// far reports whether an address is in another failure domain.
-func (delays *delays) far(domain, address string) bool {
-	delays.mu.Lock()
-	defer delays.mu.Unlock()
-	other, known := delays.domains[address]
-	return known && other != domain
+// crossesDomains reports whether an address is known to be in another failure
+// domain.
+func (network *delayedNetwork) crossesDomains(domain, address string) bool {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	other, found := network.domains[address]
+	return found && other != domain
 }
 
-// domainNetwork is the network as seen in one failure domain.
+// domainNetwork is a delayedNetwork as used by a process in one failure domain.
 type domainNetwork struct {
-	*delays
+	*delayedNetwork
 	domain string
 }
 
-// DialContext connects and delays both directions when the address is far.
+// DialContext connects to an address. If the address is in another failure domain,
+// both directions of the connection are delayed.
 func (network *domainNetwork) DialContext(ctx context.Context, kind, address string) (net.Conn, error) {
 	conn, err := network.Network.DialContext(ctx, kind, address)
-	if err != nil || !network.far(network.domain, address) {
+	if err != nil || !network.crossesDomains(network.domain, address) {
 		return conn, err
 	}
 	return newDelayedConn(conn, network.delay), nil
 }
 
-// packet is data that arrives at a time.
+// packet is data, or the error of a read, to be delivered at a time.
 type packet struct {
 	due  time.Time
 	data []byte
 	err  error
 }
 
-// packetBuffer bounds the packets on their way in one direction.
-const packetBuffer = 1024
+// maxQueuedPackets bounds the delayed packets of one direction.
+const maxQueuedPackets = 1024
 
-// readBuffer is the largest packet.
-const readBuffer = 16 << 10
+// maxPacketBytes bounds the size of a received packet.
+const maxPacketBytes = 16 << 10
 
-// delayedConn delays what it reads and writes.
+// delayedConn is a connection that delays the data of both directions.
 type delayedConn struct {
 	net.Conn
-	delay    time.Duration
-	incoming chan packet
-	outgoing chan packet
-	rest     []byte
-	once     sync.Once
-	closed   chan struct{}
+	delay     time.Duration
+	received  chan packet
+	unsent    chan packet
+	unread    []byte
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
 func newDelayedConn(conn net.Conn, delay time.Duration) *delayedConn {
 	delayed := &delayedConn{
 		Conn: conn, delay: delay, closed: make(chan struct{}),
-		incoming: make(chan packet, packetBuffer), outgoing: make(chan packet, packetBuffer),
+		received: make(chan packet, maxQueuedPackets), unsent: make(chan packet, maxQueuedPackets),
 	}
 	go delayed.receive()
 	go delayed.send()
 	return delayed
 }
 
-// receive reads ahead, so that the delay of one packet does not add to the next.
+// receive reads packets as they arrive, so that the delays of successive packets
+// do not add up.
 func (conn *delayedConn) receive() {
-	defer close(conn.incoming)
-	buffer := make([]byte, readBuffer)
+	defer close(conn.received)
+	buffer := make([]byte, maxPacketBytes)
 	for {
 		count, err := conn.Conn.Read(buffer)
 		select {
-		case conn.incoming <- packet{time.Now().Add(conn.delay), bytes.Clone(buffer[:count]), err}:
+		case conn.received <- packet{time.Now().Add(conn.delay), bytes.Clone(buffer[:count]), err}:
 		case <-conn.closed:
 			return
 		}
@@ -106,11 +110,12 @@
 	}
 }
 
+// send writes packets to the connection when they are due.
 func (conn *delayedConn) send() {
 	for {
 		select {
-		case packet := <-conn.outgoing:
-			if !conn.await(packet.due) {
+		case packet := <-conn.unsent:
+			if !conn.waitUntil(packet.due) {
 				return
 			}
 			if _, err := conn.Conn.Write(packet.data); err != nil {
@@ -122,9 +127,10 @@
 	}
 }
 
-// await waits until a time and reports whether the connection is still open. A
-// close must not wait for packets under way: callers close under locks.
-func (conn *delayedConn) await(due time.Time) bool {
+// waitUntil waits until a time and reports whether the connection is still open.
+// It returns early when the connection is closed: callers close connections while
+// they hold locks, so Close must not wait for delayed packets.
+func (conn *delayedConn) waitUntil(due time.Time) bool {
 	timer := time.NewTimer(time.Until(due))
 	defer timer.Stop()
 	select {
@@ -137,24 +143,25 @@
 
 // Read implements net.Conn.
 func (conn *delayedConn) Read(into []byte) (int, error) {
-	for len(conn.rest) == 0 {
-		packet, ok := <-conn.incoming
+	for len(conn.unread) == 0 {
+		packet, ok := <-conn.received
 		if !ok {
 			return 0, io.EOF
 		}
-		if !conn.await(packet.due) {
+		if !conn.waitUntil(packet.due) {
 			return 0, net.ErrClosed
 		}
-		if conn.rest = packet.data; len(packet.data) == 0 && packet.err != nil {
+		if conn.unread = packet.data; len(packet.data) == 0 && packet.err != nil {
 			return 0, packet.err
 		}
 	}
-	count := copy(into, conn.rest)
-	conn.rest = conn.rest[count:]
+	count := copy(into, conn.unread)
+	conn.unread = conn.unread[count:]
 	return count, nil
 }
 
-// Write implements net.Conn. Errors show at a later call.
+// Write implements net.Conn. It queues the data. An error of the delayed write is
+// not reported; it only ends the sending.
 func (conn *delayedConn) Write(data []byte) (int, error) {
 	select {
 	case <-conn.closed:
@@ -162,16 +169,16 @@
 	default:
 	}
 	select {
-	case conn.outgoing <- packet{due: time.Now().Add(conn.delay), data: append([]byte(nil), data...)}:
+	case conn.unsent <- packet{due: time.Now().Add(conn.delay), data: append([]byte(nil), data...)}:
 		return len(data), nil
 	case <-conn.closed:
 		return 0, net.ErrClosed
 	}
 }
 
-// Close implements net.Conn. What was written and has not left yet is lost, as
-// with a connection that is reset.
+// Close implements net.Conn. Delayed data that was not sent yet is lost, as when a
+// connection is reset.
 func (conn *delayedConn) Close() error {
-	conn.once.Do(func() { close(conn.closed) })
+	conn.closeOnce.Do(func() { close(conn.closed) })
 	return conn.Conn.Close()
 }
--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -13,7 +13,7 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/reqgen"
 )
 
-// Config configures a demo run.
+// Config configures a run of a deployment.
 type Config struct {
 	Deployment Deployment
 	Network    Network
@@ -23,11 +23,11 @@
 	Length     time.Duration
 	TLS        setup.TLS
 	Logger     *zap.Logger
-	// Progress receives one line a second; nil means none.
+	// Progress receives one line each second; nil means no output.
 	Progress io.Writer
 }
 
-// Result is the outcome of a demo run.
+// Result is the outcome of a run.
 type Result struct {
 	Deployment string      `json:"deployment"`
 	Seed       uint64      `json:"seed"`
@@ -37,18 +37,19 @@
 	Problems   []string    `json:"problems"`
 }
 
-// Held reports whether all promises held.
+// Held reports whether all invariants held.
 func (result Result) Held() bool {
-	for _, promise := range result.Invariants {
-		if !promise.Held {
+	for _, invariant := range result.Invariants {
+		if !invariant.Held {
 			return false
 		}
 	}
 	return true
 }
 
-// Run runs a deployment under load, with operators' actions, and checks the
-// promises.
+// Run runs a deployment under load and operators' actions, checks the invariants
+// and computes the measures. It returns an error if the deployment does not start
+// or ctx ends early.
 func Run(ctx context.Context, config Config) (Result, error) {
 	fleet, err := NewFleet(FleetConfig{
 		Deployment: config.Deployment, Network: config.Network, Policy: config.Policy,
@@ -65,10 +66,10 @@
 		EntryURLs: fleet.EntryURLs, Client: fleet.client, Plan: fleet.plan, Seed: config.Seed, ExpectedToken: ExpectedToken,
 	})
 	stopProgress := showProgress(config.Progress, generator.Report())
-	acted := make(chan *Events, 1)
-	go func() { acted <- fleet.RunEvents(ctx, config.Length) }()
+	finished := make(chan *OperatorActions, 1)
+	go func() { finished <- fleet.RunOperatorActions(ctx, config.Length) }()
 	generator.Run(ctx, config.Length)
-	events := <-acted
+	actions := <-finished
 	stopProgress()
 	if ctx.Err() != nil {
 		return Result{}, ctx.Err()
@@ -76,16 +77,17 @@
 	report := generator.Report()
 	return Result{
 		Deployment: config.Deployment.Name, Seed: config.Seed, Length: config.Length.String(),
-		Invariants: fleet.CheckInvariants(report, events), Measures: fleet.Measure(report), Problems: report.Problems(),
+		Invariants: fleet.CheckInvariants(report, actions), Measures: fleet.Measure(report), Problems: report.Problems(),
 	}, nil
 }
 
-// ExpectedToken returns the text of a token as the engine stand-in generates it.
+// ExpectedToken returns the text of a token as the engine simulator generates it.
 func ExpectedToken(adapter string, version uint32, prompt string, index int) string {
 	return engsim.TokenText(adapter, version, prompt, int64(index))
 }
 
-// showProgress writes a line a second until the returned function is called.
+// showProgress writes the request counts each second until the returned function
+// is called.
 func showProgress(writer io.Writer, report *reqgen.Report) func() {
 	if writer == nil {
 		return func() {}
@@ -113,14 +115,14 @@
 	}
 }
 
-// ExampleCommands returns shell commands that work against the running deployment.
+// ExampleCommands returns shell commands for trying out the running deployment.
 func (fleet *Fleet) ExampleCommands() []string {
 	organisation := fleet.plan.Organisations[0]
 	base := fleet.EntryURLs()[0]
 	header := fmt.Sprintf("-H 'Authorization: Bearer %s' -H 'Content-Type: application/json'", organisation.Key)
 	adapter := reqgen.AdapterName(organisation.Name, 0)
 	fleet.mu.Lock()
-	operators := fleet.entries[0].operators
+	operators := fleet.entries[0].operatorURL
 	fleet.mu.Unlock()
 	return []string{
 		fmt.Sprintf("curl -s %s %s/v1/models | head -c 400", header, base),
--- a/internal/bench/demo/demo_test.go
+++ b/internal/bench/demo/demo_test.go
@@ -9,8 +9,8 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/certs"
 )
 
-// small returns a deployment that runs quickly in virtual time.
-func small(deployment Deployment) Deployment {
+// shrink reduces a deployment so that it runs quickly in virtual time.
+func shrink(deployment Deployment) Deployment {
 	deployment.Engines = 4
 	deployment.PlainUpstreams = 2
 	deployment.Adapters = 100
@@ -18,6 +18,8 @@
 	return deployment
 }
 
+// TestPromisesInVirtualTime runs whole deployments with operators' actions and
+// guards against a violated invariant.
 func TestPromisesInVirtualTime(t *testing.T) {
 	tests := []struct {
 		name       string
@@ -25,9 +27,9 @@
 		deployment Deployment
 		tls        bool
 	}{
-		{"bonsai", "a promise broken by operators' actions under load", small(Bonsai()), false},
-		{"gourd", "the same with the other deployment's load", small(Gourd()), false},
-		{"mutual TLS", "a connection between processes that does not come up with certificates", small(Bonsai()), true},
+		{"bonsai", "an invariant violated by operators' actions under load", shrink(Bonsai()), false},
+		{"gourd", "an invariant violated under the other deployment's load", shrink(Gourd()), false},
+		{"mutual TLS", "a connection between processes that cannot be established with mutual TLS", shrink(Bonsai()), true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -42,9 +44,9 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				for _, promise := range result.Invariants {
-					if !promise.Held {
-						t.Errorf("%s: %s: %s", test.guards, promise.Name, promise.Observed)
+				for _, invariant := range result.Invariants {
+					if !invariant.Held {
+						t.Errorf("%s: %s: %s", test.guards, invariant.Name, invariant.Observed)
 					}
 				}
 				t.Logf("%+v", result.Measures)
@@ -56,7 +58,8 @@
 	}
 }
 
-// issueCertificates returns files of a new authority, valid in virtual time.
+// issueCertificates returns certificate files of a new authority. They are issued,
+// and thus valid, in virtual time.
 func issueCertificates(t *testing.T) setup.TLS {
 	t.Helper()
 	authority, err := certs.NewAuthority()
--- a/internal/bench/demo/deployment.go
+++ b/internal/bench/demo/deployment.go
@@ -1,5 +1,7 @@
-// Package demo runs a whole deployment on stand-ins: entry instances, side
-// processes, engines, plain services and the platform, with a seeded load.
+// Package demo runs a whole deployment in one process: entry instances and side
+// processes against simulators of the engines, the plain services and the platform,
+// under a seeded load. It checks invariants and computes measures from what the
+// simulators and the callers observe.
 package demo
 
 import (
@@ -10,7 +12,7 @@
 	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// Deployment describes one of the users' deployments.
+// Deployment describes the size and the load of a user's deployment.
 type Deployment struct {
 	Name           string
 	FailureDomains []string
@@ -20,58 +22,59 @@
 	Engines        int
 	PlainService   string
 	PlainUpstreams int
-	// LoadRate is the weight store's loads per second.
+	// LoadRate is the number of adapter loads per second that the weight store
+	// starts.
 	LoadRate float64
 	Adapters int
 	// RequestRate is the steady load in requests per second.
 	RequestRate float64
 	Mix         [4]float64
-	// Skew is the exponent of the Zipf distribution of each organisation's
-	// adapters.
+	// Skew is the exponent of the Zipf distribution of requests over each
+	// organisation's adapters.
 	Skew float64
-	// Weights splits the load among the organisations.
-	Weights []float64
+	// OrganisationWeights holds each organisation's fraction of RequestRate.
+	OrganisationWeights []float64
 }
 
 // Bonsai returns the deployment of Tatranská Dielňa Stolov.
 func Bonsai() Deployment {
 	return Deployment{
-		Name:           "bonsai",
-		FailureDomains: []string{"zilina-a", "zilina-b", "zilina-c", "zilina-d"},
-		DomainDelay:    time.Millisecond,
-		ModelService:   "advisor",
-		Engines:        12,
-		PlainService:   "counter",
-		PlainUpstreams: 4,
-		LoadRate:       3,
-		Adapters:       3000,
-		RequestRate:    45,
-		Mix:            [4]float64{0.4, 0.15, 0.15, 0.3},
-		Skew:           skew,
-		Weights:        []float64{0.4, 0.3, 0.15, 0.1, 0.05},
+		Name:                "bonsai",
+		FailureDomains:      []string{"zilina-a", "zilina-b", "zilina-c", "zilina-d"},
+		DomainDelay:         time.Millisecond,
+		ModelService:        "advisor",
+		Engines:             12,
+		PlainService:        "counter",
+		PlainUpstreams:      4,
+		LoadRate:            3,
+		Adapters:            3000,
+		RequestRate:         45,
+		Mix:                 [4]float64{0.4, 0.15, 0.15, 0.3},
+		Skew:                adapterSkew,
+		OrganisationWeights: []float64{0.4, 0.3, 0.15, 0.1, 0.05},
 	}
 }
 
 // Gourd returns the deployment of Kalamaki Gourd Works.
 func Gourd() Deployment {
 	return Deployment{
-		Name:           "gourd",
-		FailureDomains: []string{"attica-a", "attica-b", "attica-c"},
-		DomainDelay:    500 * time.Microsecond,
-		ModelService:   "scribe-models",
-		Engines:        9,
-		PlainService:   "ledger-app",
-		PlainUpstreams: 3,
-		LoadRate:       2,
-		Adapters:       3000,
-		RequestRate:    32,
-		Mix:            [4]float64{0.5, 0.1, 0.1, 0.3},
-		Skew:           skew,
-		Weights:        []float64{0.4, 0.3, 0.15, 0.1, 0.05},
+		Name:                "gourd",
+		FailureDomains:      []string{"attica-a", "attica-b", "attica-c"},
+		DomainDelay:         500 * time.Microsecond,
+		ModelService:        "scribe-models",
+		Engines:             9,
+		PlainService:        "ledger-app",
+		PlainUpstreams:      3,
+		LoadRate:            2,
+		Adapters:            3000,
+		RequestRate:         32,
+		Mix:                 [4]float64{0.5, 0.1, 0.1, 0.3},
+		Skew:                adapterSkew,
+		OrganisationWeights: []float64{0.4, 0.3, 0.15, 0.1, 0.05},
 	}
 }
 
-// ByName returns a deployment by its name.
+// ByName returns the deployment with a name, or an error if there is none.
 func ByName(name string) (Deployment, error) {
 	for _, deployment := range []Deployment{Bonsai(), Gourd()} {
 		if deployment.Name == name {
@@ -82,23 +85,23 @@
 }
 
 const (
-	// skew makes the steady load one that the weight store can serve: with the
-	// most popular adapters in all slots, the others need about half of the
-	// store's loads. At 1.4, they need one and a half times all of them, and the
-	// queues grow under any policy.
-	skew = 1.8
-	// meanCost is the mean reservation of a model request in tokens.
-	meanCost  = 170
-	plainCost = 10
-	// headroom is the ratio of an organisation's rate to its steady load.
-	headroom = 1.6
-	// burstTime is the burst in seconds of the rate.
-	burstTime  = 5
-	leastBurst = 4000
+	// adapterSkew is an exponent at which the weight store can sustain the steady
+	// load: while all slots hold the most popular adapters, the others need about
+	// half of the store's load rate. At 1.4 they need one and a half times the
+	// load rate, and the queues grow under any policy.
+	adapterSkew = 1.8
+	// meanModelCost is the mean reservation of a model request in tokens.
+	meanModelCost = 170
+	plainCost     = 10
+	// rateHeadroom is the ratio of an organisation's token rate to its steady load.
+	rateHeadroom = 1.6
+	// burstSeconds is the burst as a multiple of the tokens of one second.
+	burstSeconds = 5
+	minBurst     = 4000
 )
 
-// modelShare returns the part of the load that runs on adapters.
-func (deployment Deployment) modelShare() float64 {
+// modelFraction returns the fraction of requests that run on adapters.
+func (deployment Deployment) modelFraction() float64 {
 	total := 0.0
 	for _, weight := range deployment.Mix {
 		total += weight
@@ -106,25 +109,28 @@
 	return (deployment.Mix[reqgen.Letter] + deployment.Mix[reqgen.Chat]) / total
 }
 
+// organisations returns the organisations with rates that their steady load does
+// not exceed.
 func (deployment Deployment) organisations() []reqgen.Organisation {
 	var organisations []reqgen.Organisation
-	for index, weight := range deployment.Weights {
+	for index, weight := range deployment.OrganisationWeights {
 		requests := deployment.RequestRate * weight
-		share := deployment.modelShare()
-		tokens := requests * (share*meanCost + (1-share)*plainCost)
-		rate := conf.Tokens(tokens*headroom) + 1
+		fraction := deployment.modelFraction()
+		tokens := requests * (fraction*meanModelCost + (1-fraction)*plainCost)
+		rate := conf.Tokens(tokens*rateHeadroom) + 1
 		organisations = append(organisations, reqgen.Organisation{
 			Name:         fmt.Sprintf("organisation-%d", index+1),
 			Rate:         rate,
-			Burst:        max(rate*burstTime, leastBurst),
+			Burst:        max(rate*burstSeconds, minBurst),
 			RequestRate:  requests,
-			AdapterCount: deployment.Adapters / len(deployment.Weights),
+			AdapterCount: deployment.Adapters / len(deployment.OrganisationWeights),
 		})
 	}
 	return organisations
 }
 
-// Plan returns the steady load of the deployment. The keys are still empty.
+// Plan returns the steady load of the deployment. The organisations' keys are
+// empty until initialPatches sets them.
 func (deployment Deployment) Plan() reqgen.Plan {
 	return reqgen.Plan{
 		ModelService:   deployment.ModelService,
--- a/internal/bench/demo/disturb.go
+++ b/internal/bench/demo/failures.go
@@ -5,53 +5,53 @@
 	"fmt"
 	"time"
 
-	engine "jacinthfront.dev/jacinthfront/internal/bench/engsim"
+	"jacinthfront.dev/jacinthfront/internal/bench/engsim"
 	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 	"jacinthfront.dev/jacinthfront/internal/bench/reqgen"
 	"jacinthfront.dev/jacinthfront/internal/state/conf"
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 )
 
-// SetSurge sets the surge of the plan, whose organisation the measures leave
-// out of the worst-served one.
+// SetSurge sets the surge of the plan. The measures by class and the worst-served
+// organisation leave out the organisation whose load surges.
 func (fleet *Fleet) SetSurge(surge reqgen.Surge) { fleet.plan.Surge = surge }
 
-// RestartEngine restarts an engine with nothing loaded.
-func (fleet *Fleet) RestartEngine(index int, down time.Duration) error {
-	return fleet.engines[index].ApplyControl(engine.ControlRequest{Restart: &engine.Restart{DownFor: infra.Duration(down)}})
+// RestartEngine restarts an engine after a downtime. It loses its loaded adapters.
+func (fleet *Fleet) RestartEngine(index int, downtime time.Duration) error {
+	return fleet.engines[index].ApplyControl(engsim.ControlRequest{Restart: &engsim.Restart{DownFor: infra.Duration(downtime)}})
 }
 
-// FailLoads makes a part of the adapter loads of all engines fail for a time.
+// FailLoads makes a fraction of the adapter loads of all engines fail for a time.
 func (fleet *Fleet) FailLoads(share float64, length time.Duration) error {
-	for _, runner := range fleet.engines {
-		fault := infra.Fault{Mode: engine.ModeFailing, Fraction: share, For: infra.Duration(length)}
-		if err := runner.ApplyControl(engine.ControlRequest{LoadFault: &fault}); err != nil {
+	for _, engine := range fleet.engines {
+		fault := infra.Fault{Mode: engsim.ModeFailing, Fraction: share, For: infra.Duration(length)}
+		if err := engine.ApplyControl(engsim.ControlRequest{LoadFault: &fault}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// FailLog takes the platform's log down for a time.
+// FailLog makes the platform's log unavailable for a time.
 func (fleet *Fleet) FailLog(length time.Duration) error {
 	return fleet.platform.Control(infra.Control{Log: &infra.Fault{Mode: infra.ModeDown, For: infra.Duration(length)}})
 }
 
-// FailDomain ends the upstreams of the last failure domain and their side
-// processes at once. The engines stay away for a time.
-func (fleet *Fleet) FailDomain(ctx context.Context, away time.Duration) error {
+// FailDomain kills the side processes in the last failure domain and restarts its
+// engines after a downtime. The plain services keep running.
+func (fleet *Fleet) FailDomain(ctx context.Context, downtime time.Duration) error {
 	deployment := fleet.config.Deployment
-	lost := deployment.FailureDomains[len(deployment.FailureDomains)-1]
+	failed := deployment.FailureDomains[len(deployment.FailureDomains)-1]
 	for index := range fleet.urls {
-		place := index
+		domainIndex := index
 		if index >= deployment.Engines {
-			place -= deployment.Engines
+			domainIndex -= deployment.Engines
 		}
-		if deployment.domain(place) != lost {
+		if deployment.failureDomain(domainIndex) != failed {
 			continue
 		}
 		if index < deployment.Engines {
-			if err := fleet.RestartEngine(index, away); err != nil {
+			if err := fleet.RestartEngine(index, downtime); err != nil {
 				return err
 			}
 		}
@@ -62,12 +62,13 @@
 	return nil
 }
 
-// The halves of a split.
+// The halves into which a deployment can be split.
 const (
 	firstHalf  conf.Half = "first"
 	secondHalf conf.Half = "second"
 )
 
+// half assigns indexes to the two halves in turn.
 func half(index int) conf.Half {
 	if index%2 == 0 {
 		return firstHalf
@@ -75,7 +76,8 @@
 	return secondHalf
 }
 
-// SplitHalves gives each half every other upstream and organisation.
+// SplitHalves splits the deployment by a patch that assigns upstreams and
+// organisations to the two halves in turn.
 func (fleet *Fleet) SplitHalves(context.Context) error {
 	deployment := fleet.config.Deployment
 	var ops []patch.Op
@@ -93,30 +95,30 @@
 			Name: organisation.Name, Rate: organisation.Rate, Burst: organisation.Burst, Half: half(index),
 		}})
 	}
-	fleet.split = time.Now()
-	return fleet.append(patch.Patch{ID: "split", BaseVersion: fleet.version(), Operator: operator, Ops: ops})
+	fleet.splitAt = time.Now()
+	return fleet.appendPatch(patch.Patch{ID: "split", BaseVersion: fleet.version(), Operator: operatorName, Ops: ops})
 }
 
-// CheckHalves checks that no request ran in the other half after the split was
-// to be in force everywhere.
+// CheckHalves checks that, once the split must be in force everywhere, no request
+// ran in the other half than its organisation's.
 func (fleet *Fleet) CheckHalves() Invariant {
 	halves := map[string]conf.Half{}
 	for index, organisation := range fleet.plan.Organisations {
 		halves[organisation.Name] = half(index)
 	}
 	foreign, runs := 0, 0
-	for index, runner := range fleet.engines {
-		for _, start := range runner.Observed().AcceptedRequests {
-			if fleet.split.IsZero() || start.Accepted.Before(fleet.split.Add(configBound)) {
+	for index, engine := range fleet.engines {
+		for _, request := range engine.Observed().AcceptedRequests {
+			if fleet.splitAt.IsZero() || request.Accepted.Before(fleet.splitAt.Add(configDelayLimit)) {
 				continue
 			}
 			runs++
-			if halves[start.Organisation] != half(index) {
+			if halves[request.Organisation] != half(index) {
 				foreign++
 			}
 		}
 	}
-	if fleet.split.IsZero() || fleet.version() == 0 {
+	if fleet.splitAt.IsZero() || fleet.version() == 0 {
 		return Invariant{Name: "halves stay apart", Observed: "the split was not published"}
 	}
 	return Invariant{Name: "halves stay apart", Held: foreign == 0, Observed: fmt.Sprintf("%d of %d runs after the split were in the other half", foreign, runs)}
--- a/internal/bench/demo/fleet.go
+++ b/internal/bench/demo/fleet.go
@@ -24,70 +24,73 @@
 type FleetConfig struct {
 	Deployment Deployment
 	Network    Network
-	// Policy is default or naive.
+	// Policy is the routing policy, default or naive.
 	Policy  string
 	Entries int
 	Seed    uint64
-	// Delays adds the deployment's delays between failure domains.
+	// Delays turns on the deployment's delay between failure domains.
 	Delays bool
-	// TLS names the certificate files of all processes; empty means plain
-	// connections between them.
+	// TLS names the certificate files of all processes; if empty, connections
+	// between processes are unencrypted.
 	TLS    setup.TLS
 	Logger *zap.Logger
 }
 
-// instance is a running process of ours with its entry in the instance list.
+// instance is a running entry instance or side process with its entry in the
+// instance list.
 type instance struct {
-	process *start.Process
-	listed  infra.Instance
-	// callers is the base URL of an entry instance.
-	callers string
-	// operators is the base URL of the operator interface.
-	operators string
-	upstream  int
+	process   *start.Process
+	listEntry infra.Instance
+	// callerURL is the base URL of an entry instance.
+	callerURL string
+	// operatorURL is the base URL of the operator interface of an entry instance.
+	operatorURL string
+	// upstream is the index of a side process's upstream.
+	upstream int
 }
 
-// Fleet is a running deployment.
+// Fleet is a running deployment: simulators, entry instances and side processes.
 type Fleet struct {
 	config FleetConfig
 	plan   reqgen.Plan
 	client *http.Client
-	// delays is nil without delays between failure domains.
-	delays   *delays
-	platform *infra.Platform
-	address  string
-	engines  []*engsim.Engine
-	plains   []*plain.Service
-	// urls holds the addresses of engines and, after them, plain services.
-	urls  []string
-	stops []func()
+	// delays is nil if there are no delays between failure domains.
+	delays          *delayedNetwork
+	platform        *infra.Platform
+	platformAddress string
+	engines         []*engsim.Engine
+	plainServices   []*plain.Service
+	// urls holds the base URLs of the engines, followed by those of the plain
+	// services. Its indexes are the upstream indexes of all methods.
+	urls     []string
+	cleanups []func()
 
-	mu      sync.Mutex
-	entries []*instance
-	sides   []*instance
-	next    int
-	// baseline holds the engines' counts at the end of the warm-up time.
-	baseline []counts
-	// split is when the deployment was split into halves.
-	split time.Time
+	mu           sync.Mutex
+	entries      []*instance
+	sides        []*instance
+	lastInstance int
+	// baselineCounts holds the engines' counts at the end of the warm-up time.
+	baselineCounts []engineCounts
+	// splitAt is when the deployment was split into halves.
+	splitAt time.Time
 }
 
-// NewFleet starts the stand-ins and publishes the initial configuration. The
-// processes of ours follow with Start.
+// NewFleet starts the simulators and publishes the initial configuration. Start
+// then starts the entry instances and side processes.
 func NewFleet(config FleetConfig) (*Fleet, error) {
 	if config.Logger == nil {
 		config.Logger = zap.NewNop()
 	}
-	fleet := &Fleet{config: config, plan: config.Deployment.Plan(), client: client(config.Network)}
+	fleet := &Fleet{config: config, plan: config.Deployment.Plan(), client: newClient(config.Network)}
 	if config.Delays {
-		fleet.delays = newDelays(config.Network, config.Deployment.DomainDelay)
+		fleet.delays = newDelayedNetwork(config.Network, config.Deployment.DomainDelay)
 	}
-	if err := fleet.startStandIns(); err != nil {
+	if err := fleet.startSimulators(); err != nil {
 		fleet.Close()
 		return nil, err
 	}
 	for _, patch := range config.Deployment.initialPatches(&fleet.plan) {
-		if err := fleet.append(patch); err != nil {
+		if err := fleet.appendPatch(patch); err != nil {
 			fleet.Close()
 			return nil, err
 		}
@@ -95,11 +98,11 @@
 	return fleet, nil
 }
 
-// Plan returns the steady load with the organisations' keys.
+// Plan returns the steady load, with the organisations' keys.
 func (fleet *Fleet) Plan() reqgen.Plan { return fleet.plan }
 
-// append publishes a patch by the platform's log.
-func (fleet *Fleet) append(record patch.Patch) error {
+// appendPatch publishes a patch in the platform's log.
+func (fleet *Fleet) appendPatch(record patch.Patch) error {
 	data, err := codec.EncodePatch(record)
 	if err != nil {
 		return err
@@ -108,7 +111,7 @@
 	return nil
 }
 
-func (fleet *Fleet) startStandIns() error {
+func (fleet *Fleet) startSimulators() error {
 	deployment := fleet.config.Deployment
 	config := infra.DefaultConfig()
 	config.Seed = fleet.config.Seed
@@ -118,7 +121,7 @@
 		return err
 	}
 	fleet.platform = platform
-	if fleet.address, err = fleet.serve(platform); err != nil {
+	if fleet.platformAddress, err = fleet.serve(platform); err != nil {
 		return err
 	}
 	for index := range deployment.Engines {
@@ -135,7 +138,7 @@
 		if err != nil {
 			return err
 		}
-		fleet.plains = append(fleet.plains, service)
+		fleet.plainServices = append(fleet.plainServices, service)
 		fleet.urls = append(fleet.urls, "http://"+address)
 	}
 	return nil
@@ -153,15 +156,15 @@
 	if err != nil {
 		return err
 	}
-	fleet.stops = append(fleet.stops, engine.Close)
+	fleet.cleanups = append(fleet.cleanups, engine.Close)
 	fleet.engines = append(fleet.engines, engine)
 	fleet.urls = append(fleet.urls, "http://"+address)
 	return nil
 }
 
-// serve serves a stand-in at a new address.
+// serve serves a simulator at a new address and returns the address.
 func (fleet *Fleet) serve(handler http.Handler) (string, error) {
-	address, err := fleet.config.Network.Reserve()
+	address, err := fleet.config.Network.ReserveAddress()
 	if err != nil {
 		return "", err
 	}
@@ -171,12 +174,12 @@
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
 	go func() { _ = server.Serve(listener) }()
-	fleet.stops = append(fleet.stops, func() { _ = server.Close() })
+	fleet.cleanups = append(fleet.cleanups, func() { _ = server.Close() })
 	return address, nil
 }
 
-// Start starts all entry instances and side processes and waits until they
-// have the configuration and the instance list.
+// Start starts all side processes and entry instances and waits until they are
+// ready and the instance list is settled.
 func (fleet *Fleet) Start(ctx context.Context) error {
 	for index := range fleet.urls {
 		if err := fleet.StartSide(ctx, index); err != nil {
@@ -188,23 +191,24 @@
 			return err
 		}
 	}
-	return fleet.settle(ctx)
+	return fleet.awaitReady(ctx)
 }
 
 const (
-	settlePoll = 20 * time.Millisecond
-	// settleTime covers the lag of the instance list, one poll of it, and the
-	// time in which a fresh quota shard issues nothing.
-	settleTime = 3 * time.Second
+	readyPollInterval = 20 * time.Millisecond
+	// settlingTime covers the lag of the instance list, the interval between two
+	// polls of it, and the time in which a new quota shard issues no grants.
+	settlingTime = 3 * time.Second
 )
 
-func (fleet *Fleet) settle(ctx context.Context) error {
+// awaitReady waits until all instances are ready, and then for settlingTime.
+func (fleet *Fleet) awaitReady(ctx context.Context) error {
 	for !fleet.allReady() {
-		if err := pause(ctx, settlePoll); err != nil {
+		if err := sleep(ctx, readyPollInterval); err != nil {
 			return err
 		}
 	}
-	return pause(ctx, settleTime)
+	return sleep(ctx, settlingTime)
 }
 
 func (fleet *Fleet) allReady() bool {
@@ -222,8 +226,9 @@
 	return append(slices.Clone(fleet.entries), fleet.sides...)
 }
 
-func pause(ctx context.Context, length time.Duration) error {
-	timer := time.NewTimer(length)
+// sleep waits for a duration. It returns an error if ctx ends first.
+func sleep(ctx context.Context, duration time.Duration) error {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -233,12 +238,12 @@
 	}
 }
 
-// environment is that of a process in a failure domain, whose peers reach it at
-// the given address.
+// environment returns the environment of a process that runs in a failure domain
+// and listens for peers on an address.
 func (fleet *Fleet) environment(domain, address string) start.Environment {
 	network := fleet.config.Network
 	if fleet.delays != nil {
-		network = fleet.delays.from(domain, address)
+		network = fleet.delays.inDomain(domain, address)
 	}
 	return start.Environment{
 		Listen: network.Listen,
@@ -248,37 +253,38 @@
 	}
 }
 
-// process returns the settings that both roles share, at new addresses.
-func (fleet *Fleet) process(process setup.Process, role, domain string) (setup.Process, error) {
+// processSettings fills in the settings that entry instances and side processes
+// share, with a new instance id and new addresses.
+func (fleet *Fleet) processSettings(process setup.Process, role, domain string) (setup.Process, error) {
 	fleet.mu.Lock()
-	fleet.next++
-	process.Instance = fmt.Sprintf("%s-%d", role, fleet.next)
+	fleet.lastInstance++
+	process.Instance = fmt.Sprintf("%s-%d", role, fleet.lastInstance)
 	fleet.mu.Unlock()
 	process.FailureDomain = domain
 	process.TLS = fleet.config.TLS
-	process.Platform = setup.Platform{LogURL: "http://" + fleet.address, InstancesURL: "http://" + fleet.address}
+	process.Platform = setup.Platform{LogURL: "http://" + fleet.platformAddress, InstancesURL: "http://" + fleet.platformAddress}
 	var err error
-	if process.Listen.Peers, err = fleet.config.Network.Reserve(); err != nil {
+	if process.Listen.Peers, err = fleet.config.Network.ReserveAddress(); err != nil {
 		return process, err
 	}
-	process.Listen.Operators, err = fleet.config.Network.Reserve()
+	process.Listen.Operators, err = fleet.config.Network.ReserveAddress()
 	return process, err
 }
 
-// StartSide starts the side process of an upstream.
+// StartSide starts the side process of an upstream and lists it.
 func (fleet *Fleet) StartSide(ctx context.Context, upstream int) error {
 	deployment := fleet.config.Deployment
 	settings := setup.DefaultSide()
 	settings.Policy = fleet.config.Policy
 	settings.Seed = fleet.config.Seed + uint64(upstream) + 1
-	settings.Upstream.ID = deployment.runnerID(upstream)
+	settings.Upstream.ID = deployment.engineID(upstream)
 	settings.Upstream.URL = fleet.urls[upstream]
-	domain := deployment.domain(upstream)
+	domain := deployment.failureDomain(upstream)
 	if upstream >= deployment.Engines {
-		settings.Upstream.ID = deployment.plainID(upstream - deployment.Engines)
-		domain = deployment.domain(upstream - deployment.Engines)
+		settings.Upstream.ID = deployment.plainUpstreamID(upstream - deployment.Engines)
+		domain = deployment.failureDomain(upstream - deployment.Engines)
 	}
-	process, err := fleet.process(settings.Process, "side", domain)
+	process, err := fleet.processSettings(settings.Process, "side", domain)
 	if err != nil {
 		return err
 	}
@@ -287,65 +293,65 @@
 	if err != nil {
 		return err
 	}
-	side := &instance{process: started, upstream: upstream, listed: infra.Instance{
+	side := &instance{process: started, upstream: upstream, listEntry: infra.Instance{
 		ID: process.Instance, Role: "side", Upstream: settings.Upstream.ID, Address: process.Listen.Peers,
 		FailureDomain: domain, State: infra.StateLive,
 	}}
 	fleet.mu.Lock()
 	fleet.sides = append(fleet.sides, side)
 	fleet.mu.Unlock()
-	return fleet.list(ctx, side.listed)
+	return fleet.putInstance(ctx, side.listEntry)
 }
 
-// StartEntry starts an entry instance.
+// StartEntry starts an entry instance and lists it.
 func (fleet *Fleet) StartEntry(ctx context.Context) error {
 	settings := setup.DefaultEntry()
 	settings.Routing = setup.Routing{Policy: fleet.config.Policy, Profile: fleet.config.Deployment.Name, Seed: fleet.config.Seed + 1}
 	fleet.mu.Lock()
-	domain := fleet.config.Deployment.domain(len(fleet.entries))
+	domain := fleet.config.Deployment.failureDomain(len(fleet.entries))
 	fleet.mu.Unlock()
-	process, err := fleet.process(settings.Process, "entry", domain)
+	process, err := fleet.processSettings(settings.Process, "entry", domain)
 	if err != nil {
 		return err
 	}
 	settings.Process = process
-	if settings.Listen.Callers, err = fleet.config.Network.Reserve(); err != nil {
+	if settings.Listen.Callers, err = fleet.config.Network.ReserveAddress(); err != nil {
 		return err
 	}
 	started, err := start.Entry(settings, fleet.environment(domain, process.Listen.Peers))
 	if err != nil {
 		return err
 	}
-	entry := &instance{process: started, callers: "http://" + settings.Listen.Callers, operators: "http://" + settings.Listen.Operators, listed: infra.Instance{
+	entry := &instance{process: started, callerURL: "http://" + settings.Listen.Callers, operatorURL: "http://" + settings.Listen.Operators, listEntry: infra.Instance{
 		ID: process.Instance, Role: "entry", Address: process.Listen.Peers, FailureDomain: domain, State: infra.StateLive,
 	}}
 	fleet.mu.Lock()
 	fleet.entries = append(fleet.entries, entry)
 	fleet.mu.Unlock()
-	return fleet.list(ctx, entry.listed)
+	return fleet.putInstance(ctx, entry.listEntry)
 }
 
-// EntryURLs returns the base URLs of the ready entry instances, as a load
-// balancer sees them.
+// EntryURLs returns the base URLs of the ready entry instances, to which a load
+// balancer would send requests.
 func (fleet *Fleet) EntryURLs() []string {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	var urls []string
 	for _, entry := range fleet.entries {
 		if entry.process.Ready() {
-			urls = append(urls, entry.callers)
+			urls = append(urls, entry.callerURL)
 		}
 	}
 	return urls
 }
 
-// Close ends all processes and stand-ins at once.
+// Close kills all processes and stops the simulators.
 func (fleet *Fleet) Close() {
 	for _, instance := range fleet.instances() {
 		instance.process.Kill()
 	}
-	for _, stop := range slices.Backward(fleet.stops) {
-		stop()
+	for _, cleanup := range slices.Backward(fleet.cleanups) {
+		cleanup()
 	}
 	fleet.client.CloseIdleConnections()
 }
--- a/internal/bench/demo/lifecycle.go
+++ b/internal/bench/demo/lifecycle.go
@@ -20,22 +20,23 @@
 	}
 }
 
-// list puts an instance on the platform's list.
-func (fleet *Fleet) list(ctx context.Context, listed infra.Instance) error {
-	body, err := json.Marshal(listed)
+// putInstance adds or changes an instance in the platform's list.
+func (fleet *Fleet) putInstance(ctx context.Context, entry infra.Instance) error {
+	body, err := json.Marshal(entry)
 	if err != nil {
 		return err
 	}
-	return fleet.change(ctx, http.MethodPut, listed.ID, body)
+	return fleet.changeList(ctx, http.MethodPut, entry.ID, body)
 }
 
-// unlist removes an instance from the platform's list.
-func (fleet *Fleet) unlist(ctx context.Context, listed infra.Instance) error {
-	return fleet.change(ctx, http.MethodDelete, listed.ID, nil)
+// removeInstance removes an instance from the platform's list.
+func (fleet *Fleet) removeInstance(ctx context.Context, entry infra.Instance) error {
+	return fleet.changeList(ctx, http.MethodDelete, entry.ID, nil)
 }
 
-func (fleet *Fleet) change(ctx context.Context, method, id string, body []byte) error {
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+fleet.address+"/v1/instances/"+id, bytes.NewReader(body))
+// changeList sends a request to the platform's instance list.
+func (fleet *Fleet) changeList(ctx context.Context, method, id string, body []byte) error {
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+fleet.platformAddress+"/v1/instances/"+id, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -51,8 +52,8 @@
 	return nil
 }
 
-// take removes the first process of a list.
-func (fleet *Fleet) take(list *[]*instance, match func(*instance) bool) (*instance, error) {
+// takeInstance removes the first matching instance from a list and returns it.
+func (fleet *Fleet) takeInstance(list *[]*instance, match func(*instance) bool) (*instance, error) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	index := slices.IndexFunc(*list, match)
@@ -66,68 +67,69 @@
 
 func anyInstance(*instance) bool { return true }
 
-func besideUpstream(upstream int) func(*instance) bool {
+func servesUpstream(upstream int) func(*instance) bool {
 	return func(instance *instance) bool { return instance.upstream == upstream }
 }
 
-// ReplaceEntry starts a new entry instance and stops the oldest gracefully.
+// ReplaceEntry starts a new entry instance, and then drains and stops the oldest.
 func (fleet *Fleet) ReplaceEntry(ctx context.Context) error {
 	if err := fleet.StartEntry(ctx); err != nil {
 		return err
 	}
-	entry, err := fleet.take(&fleet.entries, anyInstance)
+	entry, err := fleet.takeInstance(&fleet.entries, anyInstance)
 	if err != nil {
 		return err
 	}
-	return fleet.retire(ctx, entry)
+	return fleet.drainAndStop(ctx, entry)
 }
 
-// KillEntry ends the oldest entry instance without a drain.
+// KillEntry kills the oldest entry instance without draining it.
 func (fleet *Fleet) KillEntry(ctx context.Context) error {
-	entry, err := fleet.take(&fleet.entries, anyInstance)
+	entry, err := fleet.takeInstance(&fleet.entries, anyInstance)
 	if err != nil {
 		return err
 	}
 	entry.process.Kill()
-	return fleet.unlist(ctx, entry.listed)
+	return fleet.removeInstance(ctx, entry.listEntry)
 }
 
-// leaveTime is how long a leaving instance keeps serving, so that the list's
-// lag and one poll pass before it refuses work.
-const leaveTime = 2 * time.Second
+// drainingTime is how long an instance keeps accepting requests after it was listed
+// as draining. It covers the lag of the list and the interval between two polls.
+const drainingTime = 2 * time.Second
 
-// retire marks a process as leaving, stops it gracefully and unlists it.
-func (fleet *Fleet) retire(ctx context.Context, retired *instance) error {
-	listed := retired.listed
-	listed.State = infra.StateDraining
-	if err := fleet.list(ctx, listed); err != nil {
+// drainAndStop lists an instance as draining, stops it gracefully and removes it
+// from the list.
+func (fleet *Fleet) drainAndStop(ctx context.Context, instance *instance) error {
+	entry := instance.listEntry
+	entry.State = infra.StateDraining
+	if err := fleet.putInstance(ctx, entry); err != nil {
 		return err
 	}
-	if err := pause(ctx, leaveTime); err != nil {
+	if err := sleep(ctx, drainingTime); err != nil {
 		return err
 	}
-	if err := retired.process.Stop(ctx); err != nil {
+	if err := instance.process.Stop(ctx); err != nil {
 		return err
 	}
-	return fleet.unlist(ctx, listed)
+	return fleet.removeInstance(ctx, entry)
 }
 
-// StopSide stops the side process of an upstream gracefully. It returns when
-// the instance list was told that the process is leaving.
+// StopSide drains and stops the side process of an upstream. It returns when the
+// process has stopped and is removed from the instance list.
 func (fleet *Fleet) StopSide(ctx context.Context, upstream int) error {
-	side, err := fleet.take(&fleet.sides, besideUpstream(upstream))
+	side, err := fleet.takeInstance(&fleet.sides, servesUpstream(upstream))
 	if err != nil {
 		return err
 	}
-	return fleet.retire(ctx, side)
+	return fleet.drainAndStop(ctx, side)
 }
 
-// KillSide ends the side process of an upstream without a drain.
+// KillSide kills the side process of an upstream without draining it.
 func (fleet *Fleet) KillSide(ctx context.Context, upstream int) error {
-	side, err := fleet.take(&fleet.sides, besideUpstream(upstream))
+	side, err := fleet.takeInstance(&fleet.sides, servesUpstream(upstream))
 	if err != nil {
 		return err
 	}
 	side.process.Kill()
-	return fleet.unlist(ctx, side.listed)
+	return fleet.removeInstance(ctx, side.listEntry)
 }
--- a/internal/bench/demo/network.go
+++ b/internal/bench/demo/network.go
@@ -12,20 +12,20 @@
 
 // Network connects the processes of a deployment.
 type Network interface {
-	// Reserve returns a new address that Listen can be called with.
-	Reserve() (string, error)
+	// ReserveAddress returns an unused address for a later call of Listen.
+	ReserveAddress() (string, error)
 	Listen(address string) (net.Listener, error)
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// client returns an HTTP client of the network.
-func client(network Network) *http.Client {
+// newClient returns an HTTP client that connects through a network.
+func newClient(network Network) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext: network.DialContext, DisableCompression: true, MaxIdleConnsPerHost: 256,
 	}}
 }
 
-// TCPNetwork is the real loopback network.
+// TCPNetwork is the loopback interface of the host.
 type TCPNetwork struct {
 	net.Dialer
 
@@ -33,11 +33,12 @@
 	reserved map[string]net.Listener
 }
 
-// NewTCPNetwork returns a TCP network.
+// NewTCPNetwork returns a TCPNetwork without reserved addresses.
 func NewTCPNetwork() *TCPNetwork { return &TCPNetwork{reserved: map[string]net.Listener{}} }
 
-// Reserve binds a free port, so that no other process takes it.
-func (network *TCPNetwork) Reserve() (string, error) {
+// ReserveAddress binds a free port, so that no other process can take it before Listen
+// is called.
+func (network *TCPNetwork) ReserveAddress() (string, error) {
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -61,7 +62,7 @@
 	return listener, nil
 }
 
-// MemoryNetwork is a network for virtual time.
+// MemoryNetwork is an in-memory network for tests in virtual time.
 type MemoryNetwork struct {
 	*infra.PipeNetwork
 
@@ -69,11 +70,11 @@
 	next int
 }
 
-// NewMemoryNetwork returns an in-memory network.
+// NewMemoryNetwork returns a MemoryNetwork without listeners.
 func NewMemoryNetwork() *MemoryNetwork { return &MemoryNetwork{PipeNetwork: infra.NewPipeNetwork()} }
 
-// Reserve returns an unused address.
-func (network *MemoryNetwork) Reserve() (string, error) {
+// ReserveAddress returns an unused address.
+func (network *MemoryNetwork) ReserveAddress() (string, error) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	network.next++
--- a/internal/bench/infra/control_test.go
+++ b/internal/bench/infra/control_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestWrongInput guards against wrong input that is taken and has no effect, and
-// against errors that do not say what to write.
+// TestWrongInput guards against invalid input that is accepted without effect, and
+// against error messages that do not name the valid input.
 func TestWrongInput(t *testing.T) {
 	tests := []struct {
 		method, path, body string
@@ -44,7 +44,7 @@
 	}
 }
 
-// TestKeyLeaks guards against a caller's key that reaches an upstream unnoticed.
+// TestKeyLeaks guards against a caller's key that reaches an upstream undetected.
 func TestKeyLeaks(t *testing.T) {
 	const key = "jf_42_0123456789abcdefABCDEF0123456789_-x"
 	tests := []struct {
@@ -58,12 +58,12 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			requests := NewRequestLog()
+			log := NewRequestLog()
 			request := httptest.NewRequest("POST", test.path, nil)
 			request.Header.Set("Authorization", test.header)
-			requests.Add(request, []byte(test.body))
-			if seen := requests.Summary(); len(seen.KeyLeaks) != test.want {
-				t.Errorf("leaks %v, want %d", seen.KeyLeaks, test.want)
+			log.Add(request, []byte(test.body))
+			if summary := log.Summary(); len(summary.KeyLeaks) != test.want {
+				t.Errorf("leaks %v, want %d", summary.KeyLeaks, test.want)
 			}
 		})
 	}
--- a/internal/bench/infra/duration.go
+++ b/internal/bench/infra/duration.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Duration is a time.Duration that JSON writes as text such as "1.5s".
+// Duration is a time.Duration that is encoded in JSON as text such as "1.5s".
 type Duration time.Duration
 
 // MarshalText implements encoding.TextMarshaler.
@@ -24,7 +24,8 @@
 	return nil
 }
 
-// UnmarshalJSON implements json.Unmarshaler, to name the remedy for a number.
+// UnmarshalJSON implements json.Unmarshaler. Without it, the error for a JSON
+// number would not say that a string is expected.
 func (duration *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
--- a/internal/bench/infra/fault.go
+++ b/internal/bench/infra/fault.go
@@ -9,29 +9,30 @@
 	"time"
 )
 
-// Fault asks a stand-in to misbehave in one way.
+// Fault describes a failure to inject into one part of a simulator.
 type Fault struct {
-	// Mode names the way; "none" ends all faults of the part.
+	// Mode names the kind of failure; "none" ends all faults of the part.
 	Mode string `json:"mode"`
-	// For is how long the fault lasts; 0 means until it is ended.
+	// For is how long the fault lasts; 0 means until it is replaced or ended.
 	For Duration `json:"for,omitempty"`
-	// Delay is the additional time of slow modes.
+	// Delay is the additional latency of slow modes.
 	Delay Duration `json:"delay,omitempty"`
-	// Fraction is the part of calls affected; 0 stands for all.
+	// Fraction is the fraction of calls affected; 0 means all.
 	Fraction float64 `json:"share,omitempty"`
-	// Count is the number of calls affected; 0 stands for no limit.
+	// Count is the number of calls affected; 0 means no limit.
 	Count int `json:"count,omitempty"`
-	// AfterTokens is the number of tokens after which streams are cut.
+	// AfterTokens is the number of tokens after which a stream is interrupted.
 	AfterTokens int `json:"after,omitempty"`
-	// ID restricts the fault to one stream, adapter, instance or request id;
-	// empty affects all.
+	// ID restricts the fault to the stream, adapter, instance or request with
+	// this name or id; empty affects all.
 	ID string `json:"id,omitempty"`
 }
 
-// modeNone ends all faults of a part.
+// modeNone ends all faults of a part of a simulator.
 const modeNone = "none"
 
-// FaultInjector holds the faults in force at one part of a stand-in.
+// FaultInjector holds the active faults of one part of a simulator, at most one
+// of each mode.
 type FaultInjector struct {
 	modes  []string
 	mutex  sync.Mutex
@@ -39,24 +40,25 @@
 	active map[string]activeFault
 }
 
-// activeFault is a fault with its period.
+// activeFault is a fault with its start and end. A zero end means no end.
 type activeFault struct {
 	Fault
-	since, until time.Time
+	startedAt, endsAt time.Time
 }
 
-// NewFaultInjector returns a part without faults that knows the given modes.
+// NewFaultInjector returns an injector without faults that accepts the given
+// modes. The seed determines which calls a fractional fault affects.
 func NewFaultInjector(seed uint64, modes ...string) *FaultInjector {
 	return &FaultInjector{modes: modes, random: rand.New(rand.NewPCG(seed, uint64(len(modes)))), active: map[string]activeFault{}}
 }
 
 // Check returns an error if the fault cannot be set.
-func (faults *FaultInjector) Check(fault *Fault) error {
+func (injector *FaultInjector) Check(fault *Fault) error {
 	switch {
 	case fault == nil, fault.Mode == modeNone:
 		return nil
-	case !slices.Contains(faults.modes, fault.Mode):
-		return fmt.Errorf("mode %q is not known; write one of none, %s", fault.Mode, strings.Join(faults.modes, ", "))
+	case !slices.Contains(injector.modes, fault.Mode):
+		return fmt.Errorf("mode %q is not known; write one of none, %s", fault.Mode, strings.Join(injector.modes, ", "))
 	case fault.Fraction < 0 || fault.Fraction > 1:
 		return fmt.Errorf("share %v is not between 0 and 1", fault.Fraction)
 	case fault.For < 0 || fault.Delay < 0 || fault.Count < 0 || fault.AfterTokens < 0:
@@ -65,58 +67,59 @@
 	return nil
 }
 
-// Set puts a checked fault in force. A nil fault changes nothing.
-func (faults *FaultInjector) Set(fault *Fault) {
+// Set activates a fault that Check accepted. A nil fault changes nothing.
+func (injector *FaultInjector) Set(fault *Fault) {
 	if fault == nil {
 		return
 	}
-	faults.mutex.Lock()
-	defer faults.mutex.Unlock()
+	injector.mutex.Lock()
+	defer injector.mutex.Unlock()
 	if fault.Mode == modeNone {
-		clear(faults.active)
+		clear(injector.active)
 		return
 	}
-	active := activeFault{Fault: *fault, since: time.Now()}
+	active := activeFault{Fault: *fault, startedAt: time.Now()}
 	if fault.For > 0 {
-		active.until = active.since.Add(time.Duration(fault.For))
+		active.endsAt = active.startedAt.Add(time.Duration(fault.For))
 	}
-	faults.active[fault.Mode] = active
+	injector.active[fault.Mode] = active
 }
 
-// Inject reports whether a call is affected by a mode, and counts it.
-func (faults *FaultInjector) Inject(mode, id string) (Fault, bool) {
-	faults.mutex.Lock()
-	defer faults.mutex.Unlock()
-	active, ok := faults.current(mode)
+// Inject reports whether the active fault of a mode affects a call for id, and
+// returns the fault. An affected call counts against the fault's Count.
+func (injector *FaultInjector) Inject(mode, id string) (Fault, bool) {
+	injector.mutex.Lock()
+	defer injector.mutex.Unlock()
+	active, ok := injector.lookup(mode)
 	if !ok || active.ID != "" && active.ID != id {
 		return Fault{}, false
 	}
-	if active.Fraction > 0 && faults.random.Float64() >= active.Fraction {
+	if active.Fraction > 0 && injector.random.Float64() >= active.Fraction {
 		return Fault{}, false
 	}
 	if active.Count > 0 {
 		active.Count--
-		faults.active[mode] = active
+		injector.active[mode] = active
 		if active.Count == 0 {
-			delete(faults.active, mode)
+			delete(injector.active, mode)
 		}
 	}
 	return active.Fault, true
 }
 
-// ActiveSince returns when a mode came into force, if it is in force.
-func (faults *FaultInjector) ActiveSince(mode string) (time.Time, bool) {
-	faults.mutex.Lock()
-	defer faults.mutex.Unlock()
-	active, ok := faults.current(mode)
-	return active.since, ok
+// ActiveSince returns when the fault of a mode was set, and whether it is active.
+func (injector *FaultInjector) ActiveSince(mode string) (time.Time, bool) {
+	injector.mutex.Lock()
+	defer injector.mutex.Unlock()
+	active, ok := injector.lookup(mode)
+	return active.startedAt, ok
 }
 
-// current returns the fault of a mode and removes one that is over.
-func (faults *FaultInjector) current(mode string) (activeFault, bool) {
-	active, ok := faults.active[mode]
-	if ok && !active.until.IsZero() && !time.Now().Before(active.until) {
-		delete(faults.active, mode)
+// lookup returns the active fault of a mode, and removes it if it has expired.
+func (injector *FaultInjector) lookup(mode string) (activeFault, bool) {
+	active, ok := injector.active[mode]
+	if ok && !active.endsAt.IsZero() && !time.Now().Before(active.endsAt) {
+		delete(injector.active, mode)
 		return activeFault{}, false
 	}
 	return active, ok
--- a/internal/bench/infra/answer.go
+++ b/internal/bench/infra/http.go
@@ -10,16 +10,17 @@
 	"time"
 )
 
-// maxMessage bounds the JSON bodies that stand-ins accept.
-const maxMessage = 4 << 20
+// maxBodyBytes bounds the JSON request bodies that simulators accept.
+const maxBodyBytes = 4 << 20
 
-// WriteJSON writes a value as JSON.
+// WriteJSON writes a value as a JSON response.
 func WriteJSON(writer http.ResponseWriter, value any) {
 	writer.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(writer).Encode(value)
 }
 
-// WriteError writes an error as JSON.
+// WriteError writes an error response as JSON. The message is built from format
+// and args.
 func WriteError(writer http.ResponseWriter, status int, format string, args ...any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
@@ -27,16 +28,18 @@
 	_ = json.NewEncoder(writer).Encode(map[string]any{"error": message})
 }
 
-// WriteRetryableError is Refuse with the time after which to come back.
+// WriteRetryableError is WriteError with a Retry-After header, in seconds with
+// three decimals.
 func WriteRetryableError(writer http.ResponseWriter, status int, after time.Duration, format string, args ...any) {
 	writer.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 	WriteError(writer, status, format, args...)
 }
 
-// DecodeJSON reads a JSON body of known fields into value. If it cannot, it refuses
-// the request and returns false.
+// DecodeJSON decodes a JSON request body into value and reports whether it
+// succeeded. Otherwise it has written an error response: 413 for a body above
+// maxBodyBytes, 400 for malformed JSON, unknown fields or more than one value.
 func DecodeJSON(writer http.ResponseWriter, request *http.Request, value any) bool {
-	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxMessage))
+	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxBodyBytes))
 	decoder.DisallowUnknownFields()
 	err := decoder.Decode(value)
 	if err == nil {
@@ -54,10 +57,12 @@
 	return false
 }
 
-// AbortConnection ends the request without an answer and closes its connection.
+// AbortConnection ends the request without a response and closes its connection.
+// It does not return: net/http recovers from its panic.
 func AbortConnection() { panic(http.ErrAbortHandler) }
 
-// Pause waits and reports whether the whole time passed before the request ended.
+// Pause waits for a duration and reports whether it elapsed before the request
+// was cancelled.
 func Pause(request *http.Request, duration time.Duration) bool {
 	if duration <= 0 {
 		return request.Context().Err() == nil
--- a/internal/bench/infra/list.go
+++ b/internal/bench/infra/list.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// The states of instances.
+// The states of instances in the list.
 const (
 	StateLive     = "live"
 	StateDraining = "leaving"
 )
 
-// The faults of the instance list.
+// The fault modes of the instance list.
 const (
-	// ModeStale shows the list as it was when the fault began.
+	// ModeStale makes readers see the list as of the start of the fault.
 	ModeStale = "stale"
-	// ModeShowRemoved shows removed instances again, with their last state.
+	// ModeShowRemoved makes readers see removed instances with their last state.
 	ModeShowRemoved = "returning"
 )
 
@@ -32,28 +32,29 @@
 	Address       string `json:"address"`
 	FailureDomain string `json:"failure-domain"`
 	State         string `json:"state"`
-	// Announced is when the instance was added, as set by the list.
+	// Announced is when the instance was added. The list sets it.
 	Announced time.Time `json:"announced"`
 }
 
-// change is one change of the list, seen by readers from a later time on.
+// change is one change of the list, which readers see from visibleAt on.
 type change struct {
-	visible  time.Time
-	sequence int
-	instance Instance
-	removed  bool
+	visibleAt time.Time
+	sequence  int
+	instance  Instance
+	removed   bool
 }
 
-// instanceList shows changes late.
+// instanceList is a list of instances whose changes become visible to readers
+// after a lag with jitter. Changes may become visible out of order.
 type instanceList struct {
-	lag, spread time.Duration
+	lag, jitter time.Duration
 	faults      *FaultInjector
 
 	mutex    sync.Mutex
 	random   *rand.Rand
 	sequence int
 	pending  []change
-	// entries holds the latest visible change of each instance.
+	// entries holds the latest visible change of each instance, by its id.
 	entries   map[string]change
 	revisions *revisions
 }
@@ -61,35 +62,35 @@
 // newInstanceList returns an empty list.
 func newInstanceList(config Config) *instanceList {
 	return &instanceList{
-		lag: config.ListLag, spread: config.ListLagJitter,
+		lag: config.ListLag, jitter: config.ListLagJitter,
 		faults:  NewFaultInjector(config.Seed+2, ModeDown, ModeRefusing, ModeSlow, ModeStale, ModeShowRemoved),
 		random:  rand.New(rand.NewPCG(config.Seed, 2)),
 		entries: map[string]change{}, revisions: newRevisions(),
 	}
 }
 
-// put records a change.
+// put records a change, which becomes visible after the lag.
 func (list *instanceList) put(instance Instance, removed bool) {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
 	lag := list.lag
-	if list.spread > 0 {
-		lag += time.Duration(list.random.Int64N(int64(list.spread)))
+	if list.jitter > 0 {
+		lag += time.Duration(list.random.Int64N(int64(list.jitter)))
 	}
 	list.sequence++
 	instance.Announced = time.Now().Round(0)
 	list.pending = append(list.pending, change{time.Now().Add(lag), list.sequence, instance, removed})
 }
 
-// advance makes the changes visible whose time has come. A change never undoes
-// a later one of the same instance.
-func (list *instanceList) advance() {
+// applyDue makes the changes visible whose lag has passed. While the list is
+// stale, these are the changes that were due when the fault began.
+func (list *instanceList) applyDue() {
 	now := time.Now()
 	if since, stale := list.faults.ActiveSince(ModeStale); stale {
 		now = since
 	}
 	list.pending = slices.DeleteFunc(list.pending, func(change change) bool {
-		if change.visible.After(now) {
+		if change.visibleAt.After(now) {
 			return false
 		}
 		list.apply(change)
@@ -97,30 +98,33 @@
 	})
 }
 
-// apply makes one change visible.
+// apply makes one change visible, unless a later change of the same instance
+// already is. An instance keeps the time of its first announcement until it is
+// removed.
 func (list *instanceList) apply(change change) {
 	id := change.instance.ID
-	known, ok := list.entries[id]
-	if ok && known.sequence > change.sequence {
+	visible, ok := list.entries[id]
+	if ok && visible.sequence > change.sequence {
 		return
 	}
-	if ok && !known.removed {
-		change.instance.Announced = known.instance.Announced
+	if ok && !visible.removed {
+		change.instance.Announced = visible.instance.Announced
 	}
 	if change.removed {
-		change.instance = known.instance
+		change.instance = visible.instance
 		change.instance.ID = id
 	}
 	list.entries[id] = change
 }
 
-// view returns what readers see. The caller holds the mutex.
+// view returns the instances that readers see, ordered by announcement. The
+// caller holds the mutex.
 func (list *instanceList) view() []Instance {
-	list.advance()
+	list.applyDue()
 	instances := make([]Instance, 0, len(list.entries))
 	for id, entry := range list.entries {
 		if entry.removed {
-			if _, returns := list.faults.Inject(ModeShowRemoved, id); !returns || entry.instance.Role == "" {
+			if _, shown := list.faults.Inject(ModeShowRemoved, id); !shown || entry.instance.Role == "" {
 				continue
 			}
 		}
@@ -132,16 +136,17 @@
 	return instances
 }
 
-// since returns what a reader lacks that has seen a revision.
-func (list *instanceList) since(revision string) listAnswer {
+// changesSince returns the changes after the revision that a reader has seen.
+func (list *instanceList) changesSince(revision string) listResponse {
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
 	list.revisions.update(list.view())
-	return list.revisions.since(revision)
+	return list.revisions.changesSince(revision)
 }
 
-// disturb applies the faults of all calls.
-func (list *instanceList) disturb(writer http.ResponseWriter, request *http.Request) bool {
+// injectFaults applies the faults that affect every call, and reports whether
+// the call may proceed.
+func (list *instanceList) injectFaults(writer http.ResponseWriter, request *http.Request) bool {
 	if _, hit := list.faults.Inject(ModeDown, ""); hit {
 		AbortConnection()
 	}
@@ -157,20 +162,20 @@
 
 // serveList handles GET /v1/instances?since=REVISION.
 func (list *instanceList) serveList(writer http.ResponseWriter, request *http.Request) {
-	if !list.disturb(writer, request) {
+	if !list.injectFaults(writer, request) {
 		return
 	}
-	WriteJSON(writer, list.since(request.URL.Query().Get("since")))
+	WriteJSON(writer, list.changesSince(request.URL.Query().Get("since")))
 }
 
 // servePut handles PUT /v1/instances/ID.
 func (list *instanceList) servePut(writer http.ResponseWriter, request *http.Request) {
 	var instance Instance
-	if !DecodeJSON(writer, request, &instance) || !list.disturb(writer, request) {
+	if !DecodeJSON(writer, request, &instance) || !list.injectFaults(writer, request) {
 		return
 	}
 	instance.ID = request.PathValue("id")
-	if err := instance.check(); err != nil {
+	if err := instance.validate(); err != nil {
 		WriteError(writer, http.StatusBadRequest, "instance %q: %v", instance.ID, err)
 		return
 	}
@@ -178,8 +183,9 @@
 	WriteJSON(writer, instance)
 }
 
-// check returns an error if a field has no usable value.
-func (instance *Instance) check() error {
+// validate returns an error if a field has an invalid value. An empty state
+// becomes StateLive.
+func (instance *Instance) validate() error {
 	if instance.State == "" {
 		instance.State = StateLive
 	}
@@ -198,7 +204,7 @@
 
 // serveDelete handles DELETE /v1/instances/ID.
 func (list *instanceList) serveDelete(writer http.ResponseWriter, request *http.Request) {
-	if !list.disturb(writer, request) {
+	if !list.injectFaults(writer, request) {
 		return
 	}
 	list.put(Instance{ID: request.PathValue("id")}, true)
--- a/internal/bench/infra/list_test.go
+++ b/internal/bench/infra/list_test.go
@@ -8,8 +8,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestListFaults guards against a list that is fresher than the platform's: the
-// instance s1 leaves at once and s2 is removed, after which a fault may hide it.
+// TestListFaults guards against a list that shows changes earlier than the
+// platform's list does. One second after both instances were added, s1 starts to
+// drain and s2 is removed while a fault may be active.
 func TestListFaults(t *testing.T) {
 	tests := []struct {
 		name  string
--- a/internal/bench/infra/observe.go
+++ b/internal/bench/infra/observe.go
@@ -5,40 +5,42 @@
 	"sync"
 )
 
-// Observed is what the platform has seen.
+// Observed holds what the platform has counted and recorded.
 type Observed struct {
-	// Records counts the records that streams have got, expired ones included.
+	// Records counts the records appended to each stream, expired ones included.
 	Records map[string]uint64 `json:"records"`
-	// RefusedAppends counts appends above the rate limit.
+	// RefusedAppends counts the appends refused by the rate limit.
 	RefusedAppends int `json:"refused-appends"`
-	// LostReplies counts appends whose connection was cut after their effect.
-	LostReplies int    `json:"lost-replies"`
-	Loads       []Load `json:"loads"`
+	// LostReplies counts the appends that took effect and whose connection was
+	// then aborted.
+	LostReplies int `json:"lost-replies"`
+	// Loads lists the loads from the weight store that have ended.
+	Loads []Load `json:"loads"`
 }
 
-// counts collects what the parts of the platform have seen.
-type counts struct {
+// counters collects counts and loads of all parts of the platform.
+type counters struct {
 	mutex          sync.Mutex
 	refusedAppends int
 	lostReplies    int
 	loads          []Load
 }
 
-// add raises one of the counts.
-func (counts *counts) add(count *int, by int) {
-	counts.mutex.Lock()
-	defer counts.mutex.Unlock()
+// increment adds to one of the counters.
+func (counters *counters) increment(count *int, by int) {
+	counters.mutex.Lock()
+	defer counters.mutex.Unlock()
 	*count += by
 }
 
-// addLoad records a load that has ended.
-func (counts *counts) addLoad(load Load) {
-	counts.mutex.Lock()
-	defer counts.mutex.Unlock()
-	counts.loads = append(counts.loads, load)
+// addLoad records a finished load.
+func (counters *counters) addLoad(load Load) {
+	counters.mutex.Lock()
+	defer counters.mutex.Unlock()
+	counters.loads = append(counters.loads, load)
 }
 
-// Observed returns what the platform has seen so far.
+// Observed returns what the platform has counted and recorded so far.
 func (platform *Platform) Observed() Observed {
 	observed := Observed{Records: map[string]uint64{}}
 	platform.log.mutex.Lock()
@@ -46,10 +48,10 @@
 		observed.Records[name] = stream.next()
 	}
 	platform.log.mutex.Unlock()
-	platform.counts.mutex.Lock()
-	defer platform.counts.mutex.Unlock()
-	observed.RefusedAppends = platform.counts.refusedAppends
-	observed.LostReplies = platform.counts.lostReplies
-	observed.Loads = slices.Clone(platform.counts.loads)
+	platform.counters.mutex.Lock()
+	defer platform.counters.mutex.Unlock()
+	observed.RefusedAppends = platform.counters.refusedAppends
+	observed.LostReplies = platform.counters.lostReplies
+	observed.Loads = slices.Clone(platform.counters.loads)
 	return observed
 }
--- a/internal/bench/infra/infra.go
+++ b/internal/bench/infra/platform.go
@@ -1,5 +1,7 @@
-// Package infra stands in for the platform: its log service, weight store and
-// instance list. It serves the protocols of section 14 of the design page.
+// Package infra simulates the platform: its log service, weight store and instance
+// list. It serves the protocols of section 14 of the design page. It also holds
+// what all simulators share: fault injection, JSON over HTTP, a log of request
+// headers, and an in-memory network.
 package infra
 
 import (
@@ -12,24 +14,27 @@
 
 // Config configures a Platform. DefaultConfig holds the defaults.
 type Config struct {
+	// Seed determines the jitter of the instance list and the calls that
+	// fractional faults affect.
 	Seed uint64
-	// Retention is the age at which records of the log expire.
+	// Retention is the age at which log records expire.
 	Retention time.Duration
-	// AppendRate limits appends per second over all streams.
+	// AppendRate limits the appends per second over all streams.
 	AppendRate float64
-	// LoadRate limits the loads started per second, LoadBurst those at once.
+	// LoadRate and LoadBurst configure the token bucket, in loads per second and
+	// loads, that limits the starts of loads.
 	LoadRate  float64
 	LoadBurst int
-	// LoadTime is the duration of a load while at most LoadsAtFullSpeed are in
-	// flight.
+	// LoadTime is the duration of a load while at most LoadsAtFullSpeed loads
+	// are in flight.
 	LoadTime         time.Duration
 	LoadsAtFullSpeed int
-	// ListLag is the least time after which a change of the instance list can be
-	// seen; ListLagJitter is the range of what each change takes longer.
+	// ListLag is the minimum time until a change of the instance list becomes
+	// visible. A random part of ListLagJitter is added to it.
 	ListLag, ListLagJitter time.Duration
 }
 
-// DefaultConfig returns the figures of section 1 of the design page.
+// DefaultConfig returns the limits and times of section 1 of the design page.
 func DefaultConfig() Config {
 	return Config{
 		Seed: 1, Retention: 7 * 24 * time.Hour, AppendRate: 300,
@@ -38,8 +43,8 @@
 	}
 }
 
-// check returns an error that names a value that cannot be used.
-func (config Config) check() error {
+// validate returns an error that names an invalid value.
+func (config Config) validate() error {
 	switch {
 	case config.Retention <= 0:
 		return fmt.Errorf("retention %v; write a time above 0", config.Retention)
@@ -55,24 +60,26 @@
 	return nil
 }
 
-// Platform is an http.Handler for all three services.
+// Platform is an http.Handler that serves the log service, the weight store and
+// the instance list.
 type Platform struct {
-	mux    *http.ServeMux
-	counts *counts
-	log    *logService
-	store  *weightStore
-	list   *instanceList
+	mux      *http.ServeMux
+	counters *counters
+	log      *logService
+	store    *weightStore
+	list     *instanceList
 }
 
-// New returns a Platform without records and instances.
+// New returns a Platform without records and instances, or an error if the
+// configuration is invalid.
 func New(config Config) (*Platform, error) {
-	if err := config.check(); err != nil {
+	if err := config.validate(); err != nil {
 		return nil, fmt.Errorf("platform stand-in: %w", err)
 	}
-	counts := &counts{}
+	counters := &counters{}
 	platform := &Platform{
-		mux: http.NewServeMux(), counts: counts,
-		log: newLogService(config, counts), store: newWeightStore(config, counts), list: newInstanceList(config),
+		mux: http.NewServeMux(), counters: counters,
+		log: newLogService(config, counters), store: newWeightStore(config, counters), list: newInstanceList(config),
 	}
 	platform.mux.HandleFunc("POST /v1/streams/{name}/records", platform.log.serveAppend)
 	platform.mux.HandleFunc("GET /v1/streams/{name}/records", platform.log.serveRead)
@@ -92,50 +99,53 @@
 	platform.mux.ServeHTTP(writer, request)
 }
 
-// Fetch loads an adapter from the weight store without HTTP.
+// Fetch loads an adapter from the weight store without HTTP. It returns an error
+// if a fault affects the load or ctx ends before the load does.
 func (platform *Platform) Fetch(ctx context.Context, adapter string, version uint32) error {
 	return platform.store.fetch(ctx, adapter, version)
 }
 
-// Append adds a record to a stream without HTTP, rate limit and faults.
+// Append adds a record to a stream without HTTP, rate limit or faults, and
+// returns its offset.
 func (platform *Platform) Append(stream string, data []byte) uint64 {
 	return platform.log.append(stream, slices.Clone(data))
 }
 
-// Records returns the records that a stream holds.
+// Records returns the records of a stream that have not expired.
 func (platform *Platform) Records(stream string) []Record {
 	platform.log.mutex.Lock()
 	defer platform.log.mutex.Unlock()
-	return slices.Clone(platform.log.open(stream).records)
+	return slices.Clone(platform.log.openStream(stream).records)
 }
 
-// PutInstance adds or changes an instance, seen after the lag.
+// PutInstance adds or changes an instance. Readers see the change after the lag.
 func (platform *Platform) PutInstance(instance Instance) error {
-	if err := instance.check(); err != nil {
+	if err := instance.validate(); err != nil {
 		return fmt.Errorf("instance %q: %w", instance.ID, err)
 	}
 	platform.list.put(instance, false)
 	return nil
 }
 
-// RemoveInstance removes an instance, seen after the lag.
+// RemoveInstance removes an instance. Readers see the change after the lag.
 func (platform *Platform) RemoveInstance(id string) { platform.list.put(Instance{ID: id}, true) }
 
-// Instances returns the list as readers see it now.
+// Instances returns the instances that readers see now.
 func (platform *Platform) Instances() []Instance {
 	platform.list.mutex.Lock()
 	defer platform.list.mutex.Unlock()
 	return platform.list.view()
 }
 
-// Control sets faults; nil parts keep theirs.
+// Control holds the faults to set. A part whose fault is nil keeps its faults.
 type Control struct {
 	Log   *Fault `json:"log,omitempty"`
 	Store *Fault `json:"store,omitempty"`
 	List  *Fault `json:"list,omitempty"`
 }
 
-// Control sets the faults of all parts or, if one cannot be set, of none.
+// Control sets the faults of all parts. If one of them is invalid, it returns an
+// error and sets none.
 func (platform *Platform) Control(control Control) error {
 	parts := []struct {
 		name   string
--- a/internal/bench/infra/revisions.go
+++ b/internal/bench/infra/revisions.go
@@ -6,30 +6,33 @@
 	"time"
 )
 
-// maxRemoved bounds the removals that a list remembers for partial answers.
-const maxRemoved = 4096
+// maxRememberedRemovals bounds the removals kept for partial responses.
+const maxRememberedRemovals = 4096
 
-// listAnswer is the answer to GET /v1/instances?since=REVISION. Unless it is
-// complete, it holds only what has changed since that revision. Without partial
-// answers, a daemon that polls 7,600 instances would exceed 3 KB/s.
-type listAnswer struct {
+// listResponse is the response to GET /v1/instances?since=REVISION. Unless it is
+// complete, it holds only the changes since that revision. Without partial
+// responses, a daemon that polls a list of 7,600 instances would exceed 3 KB/s.
+type listResponse struct {
 	Revision  string     `json:"revision"`
 	Complete  bool       `json:"complete"`
 	Instances []Instance `json:"instances"`
 	Removed   []string   `json:"removed,omitempty"`
 }
 
-// revisions numbers the views of the instance list.
+// revisions numbers the distinct views of the instance list and remembers in which
+// revision each instance last changed or was removed.
 type revisions struct {
+	// epoch distinguishes the revisions of this process from those of earlier
+	// processes.
 	epoch string
-	// floor is the oldest revision from which a partial answer can be given.
-	floor, number uint64
-	shown         []Instance
-	changed       map[string]uint64
-	removed       map[string]uint64
+	// oldest is the oldest revision from which a partial response is possible.
+	oldest, latest uint64
+	current        []Instance
+	changed        map[string]uint64
+	removed        map[string]uint64
 }
 
-// newRevisions returns revisions that no earlier process has used.
+// newRevisions returns revisions with a new epoch.
 func newRevisions() *revisions {
 	return &revisions{
 		epoch:   fmt.Sprintf("%x", time.Now().UnixNano()),
@@ -37,55 +40,57 @@
 	}
 }
 
-// update takes a view and gives it a number if it differs from the last one.
+// update sets the current view and starts a new revision if the view differs from
+// the last one.
 func (revisions *revisions) update(view []Instance) {
-	if slices.Equal(revisions.shown, view) {
+	if slices.Equal(revisions.current, view) {
 		return
 	}
-	next := revisions.number + 1
-	before := make(map[string]Instance, len(revisions.shown))
-	for _, instance := range revisions.shown {
-		before[instance.ID] = instance
+	next := revisions.latest + 1
+	previous := make(map[string]Instance, len(revisions.current))
+	for _, instance := range revisions.current {
+		previous[instance.ID] = instance
 	}
 	for _, instance := range view {
-		if known, ok := before[instance.ID]; !ok || known != instance {
+		if known, ok := previous[instance.ID]; !ok || known != instance {
 			revisions.changed[instance.ID] = next
 			delete(revisions.removed, instance.ID)
-			revisions.number = next
+			revisions.latest = next
 		}
-		delete(before, instance.ID)
+		delete(previous, instance.ID)
 	}
-	for id := range before {
+	for id := range previous {
 		delete(revisions.changed, id)
 		revisions.removed[id] = next
-		revisions.number = next
+		revisions.latest = next
 	}
-	if len(revisions.removed) > maxRemoved {
+	if len(revisions.removed) > maxRememberedRemovals {
 		clear(revisions.removed)
-		revisions.floor = revisions.number
+		revisions.oldest = revisions.latest
 	}
-	revisions.shown = view
+	revisions.current = view
 }
 
-// since returns what a reader lacks that has seen a revision.
-func (revisions *revisions) since(revision string) listAnswer {
-	answer := listAnswer{Revision: fmt.Sprintf("%s-%d", revisions.epoch, revisions.number), Instances: []Instance{}}
+// changesSince returns the changes after a revision, or the complete view if the
+// revision is empty, from another epoch or too old.
+func (revisions *revisions) changesSince(revision string) listResponse {
+	response := listResponse{Revision: fmt.Sprintf("%s-%d", revisions.epoch, revisions.latest), Instances: []Instance{}}
 	var number uint64
 	_, err := fmt.Sscanf(revision, revisions.epoch+"-%d", &number)
-	if err != nil || number < revisions.floor || number > revisions.number {
-		answer.Complete = true
-		answer.Instances = append(answer.Instances, revisions.shown...)
-		return answer
+	if err != nil || number < revisions.oldest || number > revisions.latest {
+		response.Complete = true
+		response.Instances = append(response.Instances, revisions.current...)
+		return response
 	}
-	for _, instance := range revisions.shown {
+	for _, instance := range revisions.current {
 		if revisions.changed[instance.ID] > number {
-			answer.Instances = append(answer.Instances, instance)
+			response.Instances = append(response.Instances, instance)
 		}
 	}
 	for id, removed := range revisions.removed {
 		if removed > number {
-			answer.Removed = append(answer.Removed, id)
+			response.Removed = append(response.Removed, id)
 		}
 	}
-	return answer
+	return response
 }
--- a/internal/bench/infra/streams.go
+++ b/internal/bench/infra/streams.go
@@ -13,29 +13,30 @@
 )
 
 const (
-	// MaxRecord is the largest record of the log.
+	// MaxRecord is the maximum size of a log record in bytes.
 	MaxRecord = 1 << 20
-	// maxPageData bounds the data in one answer, apart from its last record.
-	maxPageData = 3 << 20
-	// maxPageRecords bounds the number of records in one answer.
+	// maxPageBytes bounds the record data in one page, without its last record.
+	maxPageBytes = 3 << 20
+	// maxPageRecords bounds the number of records in one page.
 	maxPageRecords = 1000
-	// maxWait bounds a long poll.
-	maxWait = 30 * time.Second
+	// maxPollWait bounds the wait of a long poll.
+	maxPollWait = 30 * time.Second
 )
 
-// The faults of the log.
+// The fault modes of the log. ModeDown, ModeRefusing and ModeSlow are also modes
+// of the weight store and the instance list.
 const (
-	// ModeDown cuts connections before any effect.
+	// ModeDown aborts the connection of a call before it takes effect.
 	ModeDown = "down"
-	// ModeRefusing answers 503.
+	// ModeRefusing responds with status 503.
 	ModeRefusing = "refusing"
 	// ModeSlow delays each call.
 	ModeSlow = "slow"
-	// ModeLostReplies cuts the connection of an append after its effect.
+	// ModeLostReplies aborts the connection of an append after it took effect.
 	ModeLostReplies = "lost-replies"
 )
 
-// streamName is the form of a stream's name.
+// streamName matches valid stream names.
 var streamName = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,63}$`)
 
 // Record is one entry of a stream.
@@ -45,68 +46,70 @@
 	Data   []byte    `json:"data"`
 }
 
-// page is the answer to a read.
+// page is the response to a read: some records, the offset of the oldest record
+// that has not expired, and the offset of the next append.
 type page struct {
 	First   uint64   `json:"first"`
 	Next    uint64   `json:"next"`
 	Records []Record `json:"records"`
 }
 
-// stream is an append-only sequence of which the oldest records expire.
+// stream is an append-only sequence of records. The oldest records expire; first
+// is the offset of the oldest one left. The next append closes changed.
 type stream struct {
 	first   uint64
 	records []Record
 	changed chan struct{}
 }
 
-// next returns the offset of the next record.
+// next returns the offset of the next append.
 func (stream *stream) next() uint64 { return stream.first + uint64(len(stream.records)) }
 
-// logService serves all streams.
+// logService simulates the platform's log service.
 type logService struct {
 	retention time.Duration
 	limiter   *rate.Limiter
 	faults    *FaultInjector
-	counts    *counts
+	counters  *counters
 
 	mutex   sync.Mutex
 	streams map[string]*stream
 }
 
-// newLogService returns a log without records.
-func newLogService(config Config, counts *counts) *logService {
+// newLogService returns a log service without streams.
+func newLogService(config Config, counters *counters) *logService {
 	return &logService{
 		retention: config.Retention,
 		limiter:   rate.NewLimiter(rate.Limit(config.AppendRate), max(1, int(config.AppendRate))),
 		faults:    NewFaultInjector(config.Seed, ModeDown, ModeRefusing, ModeSlow, ModeLostReplies),
-		counts:    counts,
+		counters:  counters,
 		streams:   map[string]*stream{},
 	}
 }
 
-// open returns a stream without its expired records, and creates it if needed.
+// openStream returns a stream without its expired records, and creates it if needed.
 // The caller holds the mutex.
-func (service *logService) open(name string) *stream {
-	known, ok := service.streams[name]
+func (service *logService) openStream(name string) *stream {
+	existing, ok := service.streams[name]
 	if !ok {
-		known = &stream{changed: make(chan struct{})}
-		service.streams[name] = known
+		existing = &stream{changed: make(chan struct{})}
+		service.streams[name] = existing
 	}
 	oldest := time.Now().Add(-service.retention)
 	expired := 0
-	for expired < len(known.records) && known.records[expired].Time.Before(oldest) {
+	for expired < len(existing.records) && existing.records[expired].Time.Before(oldest) {
 		expired++
 	}
-	known.first += uint64(expired)
-	known.records = known.records[expired:]
-	return known
+	existing.first += uint64(expired)
+	existing.records = existing.records[expired:]
+	return existing
 }
 
-// append adds a record and wakes the long polls.
+// append adds a record, wakes the long polls and returns the record's offset.
 func (service *logService) append(name string, data []byte) uint64 {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
-	stream := service.open(name)
+	stream := service.openStream(name)
 	offset := stream.next()
 	stream.records = append(stream.records, Record{Offset: offset, Time: time.Now(), Data: data})
 	close(stream.changed)
@@ -114,26 +117,28 @@
 	return offset
 }
 
-// read returns a page and a channel that is closed at the next append.
-func (service *logService) read(name string, from uint64) (page, <-chan struct{}) {
+// readPage returns the records from an offset on and a channel that the next
+// append closes.
+func (service *logService) readPage(name string, from uint64) (page, <-chan struct{}) {
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
-	stream := service.open(name)
-	answer := page{First: stream.first, Next: stream.next(), Records: []Record{}}
+	stream := service.openStream(name)
+	result := page{First: stream.first, Next: stream.next(), Records: []Record{}}
 	size := 0
-	for offset := max(from, stream.first); offset < answer.Next; offset++ {
+	for offset := max(from, stream.first); offset < result.Next; offset++ {
 		record := stream.records[offset-stream.first]
-		if len(answer.Records) == maxPageRecords || size >= maxPageData {
+		if len(result.Records) == maxPageRecords || size >= maxPageBytes {
 			break
 		}
 		size += len(record.Data)
-		answer.Records = append(answer.Records, record)
+		result.Records = append(result.Records, record)
 	}
-	return answer, stream.changed
+	return result, stream.changed
 }
 
-// disturb applies the faults of calls that have had no effect yet.
-func (service *logService) disturb(writer http.ResponseWriter, request *http.Request, name string) bool {
+// injectFaults applies the faults that act before a call takes effect, and reports
+// whether the call may proceed.
+func (service *logService) injectFaults(writer http.ResponseWriter, request *http.Request, name string) bool {
 	if _, hit := service.faults.Inject(ModeDown, name); hit {
 		AbortConnection()
 	}
@@ -147,7 +152,7 @@
 	return true
 }
 
-// serveAppend handles POST /v1/streams/NAME/records.
+// serveAppend handles POST /v1/streams/NAME/records, which appends the body.
 func (service *logService) serveAppend(writer http.ResponseWriter, request *http.Request) {
 	name := request.PathValue("name")
 	if !streamName.MatchString(name) {
@@ -159,25 +164,26 @@
 		WriteError(writer, http.StatusRequestEntityTooLarge, "record: %v; the limit is %d bytes", err, MaxRecord)
 		return
 	}
-	if !service.disturb(writer, request, name) {
+	if !service.injectFaults(writer, request, name) {
 		return
 	}
 	reservation := service.limiter.Reserve()
 	if delay := reservation.Delay(); delay > 0 {
 		reservation.Cancel()
-		service.counts.add(&service.counts.refusedAppends, 1)
+		service.counters.increment(&service.counters.refusedAppends, 1)
 		WriteRetryableError(writer, http.StatusTooManyRequests, delay, "more than %v appends/s", service.limiter.Limit())
 		return
 	}
 	offset := service.append(name, data)
 	if _, hit := service.faults.Inject(ModeLostReplies, name); hit {
-		service.counts.add(&service.counts.lostReplies, 1)
+		service.counters.increment(&service.counters.lostReplies, 1)
 		AbortConnection()
 	}
 	WriteJSON(writer, map[string]uint64{"offset": offset})
 }
 
-// serveRead handles GET /v1/streams/NAME/records.
+// serveRead handles GET /v1/streams/NAME/records?from=OFFSET&wait-ms=MILLISECONDS.
+// If there are no records yet, it waits for the next append.
 func (service *logService) serveRead(writer http.ResponseWriter, request *http.Request) {
 	name := request.PathValue("name")
 	from, wait, err := readQuery(request)
@@ -185,15 +191,15 @@
 		WriteError(writer, http.StatusBadRequest, "read of stream %q: %v; write ?from=OFFSET&wait-ms=MILLISECONDS", name, err)
 		return
 	}
-	if !service.disturb(writer, request, name) {
+	if !service.injectFaults(writer, request, name) {
 		return
 	}
-	answer, changed := service.read(name, from)
-	if from > answer.Next {
-		WriteError(writer, http.StatusRequestedRangeNotSatisfiable, "offset %d of stream %q is beyond its end %d", from, name, answer.Next)
+	result, changed := service.readPage(name, from)
+	if from > result.Next {
+		WriteError(writer, http.StatusRequestedRangeNotSatisfiable, "offset %d of stream %q is beyond its end %d", from, name, result.Next)
 		return
 	}
-	if len(answer.Records) == 0 && wait > 0 {
+	if len(result.Records) == 0 && wait > 0 {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
@@ -205,12 +211,13 @@
 		if _, hit := service.faults.Inject(ModeDown, name); hit {
 			AbortConnection()
 		}
-		answer, _ = service.read(name, from)
+		result, _ = service.readPage(name, from)
 	}
-	WriteJSON(writer, answer)
+	WriteJSON(writer, result)
 }
 
-// readQuery returns the offset and the wait of a read.
+// readQuery returns the offset and the maximum wait of a read. The wait is capped
+// at maxPollWait.
 func readQuery(request *http.Request) (uint64, time.Duration, error) {
 	query := request.URL.Query()
 	var from, wait uint64
@@ -225,5 +232,5 @@
 		}
 		*value = number
 	}
-	return from, min(time.Duration(min(wait, uint64(maxWait/time.Millisecond)))*time.Millisecond, maxWait), nil
+	return from, min(time.Duration(min(wait, uint64(maxPollWait/time.Millisecond)))*time.Millisecond, maxPollWait), nil
 }
--- a/internal/bench/infra/weights.go
+++ b/internal/bench/infra/weights.go
@@ -14,58 +14,60 @@
 
 // Load is one load of an adapter from the weight store.
 type Load struct {
-	Adapter string    `json:"adapter"`
-	Version uint32    `json:"version"`
-	Asked   time.Time `json:"asked"`
-	Started time.Time `json:"started"`
-	Ended   time.Time `json:"ended"`
-	// InFlight is the number of loads asked for and not ended when this one
-	// started, itself included.
+	Adapter     string    `json:"adapter"`
+	Version     uint32    `json:"version"`
+	RequestedAt time.Time `json:"asked"`
+	Started     time.Time `json:"started"`
+	Ended       time.Time `json:"ended"`
+	// InFlight is the number of loads requested and not ended when this load
+	// started, including this load.
 	InFlight int  `json:"in-flight"`
 	Failed   bool `json:"failed,omitempty"`
 }
 
-// weightStore serves adapter weights by the load-time law: loads start at a
-// limited rate with a burst, and take LoadTime while at most LoadsAtFullSpeed
-// are in flight and proportionally longer beyond. Loads that wait for their
-// start count as in flight, so that a fleet that orders too many slows itself.
+// weightStore simulates the platform's weight store with the platform's model of
+// load times: a token bucket limits the starts of loads, and a load takes LoadTime
+// while at most LoadsAtFullSpeed loads are in flight, and proportionally longer
+// above that. Loads that wait for their start count as in flight, so ordering too
+// many loads at once slows all of them down.
 type weightStore struct {
-	config  Config
-	limiter *rate.Limiter
-	faults  *FaultInjector
-	counts  *counts
+	config   Config
+	limiter  *rate.Limiter
+	faults   *FaultInjector
+	counters *counters
 
 	mutex    sync.Mutex
 	inFlight int
 }
 
-// newWeightStore returns a store.
-func newWeightStore(config Config, counts *counts) *weightStore {
+// newWeightStore returns a weight store without loads in flight.
+func newWeightStore(config Config, counters *counters) *weightStore {
 	return &weightStore{
-		config:  config,
-		limiter: rate.NewLimiter(rate.Limit(config.LoadRate), config.LoadBurst),
-		faults:  NewFaultInjector(config.Seed+1, ModeDown, ModeRefusing, ModeSlow),
-		counts:  counts,
+		config:   config,
+		limiter:  rate.NewLimiter(rate.Limit(config.LoadRate), config.LoadBurst),
+		faults:   NewFaultInjector(config.Seed+1, ModeDown, ModeRefusing, ModeSlow),
+		counters: counters,
 	}
 }
 
-// change adjusts the number of loads in flight and returns it.
-func (store *weightStore) change(by int) int {
+// addInFlight adds to the number of loads in flight and returns the sum.
+func (store *weightStore) addInFlight(by int) int {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.inFlight += by
 	return store.inFlight
 }
 
-// fetch loads an adapter.
+// fetch waits as long as the load of an adapter takes and records the load. It
+// returns an error if a fault affects the load or ctx ends before the load does.
 func (store *weightStore) fetch(ctx context.Context, adapter string, version uint32) (err error) {
-	load := Load{Adapter: adapter, Version: version, Asked: time.Now()}
-	store.change(1)
+	load := Load{Adapter: adapter, Version: version, RequestedAt: time.Now()}
+	store.addInFlight(1)
 	defer func() {
-		store.change(-1)
+		store.addInFlight(-1)
 		load.Ended = time.Now()
 		load.Failed = err != nil
-		store.counts.addLoad(load)
+		store.counters.addLoad(load)
 	}()
 	for _, mode := range []string{ModeDown, ModeRefusing} {
 		if _, hit := store.faults.Inject(mode, adapter); hit {
@@ -73,13 +75,13 @@
 		}
 	}
 	reservation := store.limiter.Reserve()
-	if err := wait(ctx, reservation.Delay()); err != nil {
+	if err := sleep(ctx, reservation.Delay()); err != nil {
 		reservation.Cancel()
 		return err
 	}
 	load.Started = time.Now()
-	load.InFlight = store.change(0)
-	if err := wait(ctx, store.duration(load)); err != nil {
+	load.InFlight = store.addInFlight(0)
+	if err := sleep(ctx, store.loadDuration(load)); err != nil {
 		return err
 	}
 	if _, down := store.faults.ActiveSince(ModeDown); down {
@@ -88,8 +90,8 @@
 	return nil
 }
 
-// wait returns after a duration, or with an error when the context ends before.
-func wait(ctx context.Context, duration time.Duration) error {
+// sleep waits for a duration. It returns an error if ctx ends first.
+func sleep(ctx context.Context, duration time.Duration) error {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
@@ -100,8 +102,8 @@
 	}
 }
 
-// duration returns how long a started load takes.
-func (store *weightStore) duration(load Load) time.Duration {
+// loadDuration returns how long a load takes once it has started.
+func (store *weightStore) loadDuration(load Load) time.Duration {
 	duration := store.config.LoadTime
 	if full := store.config.LoadsAtFullSpeed; load.InFlight > full {
 		duration = duration * time.Duration(load.InFlight) / time.Duration(full)
@@ -112,7 +114,7 @@
 	return duration
 }
 
-// unavailableError says that a fault of the given mode affects a load.
+// unavailableError reports that a fault of the given mode affects a load.
 type unavailableError struct{ mode string }
 
 // Error implements error.
--- a/internal/bench/infra/weights_test.go
+++ b/internal/bench/infra/weights_test.go
@@ -12,9 +12,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestLoadTimeLaw guards against a store that does not follow the law on which
-// figures for load stalls rest: starts at 3/s after a burst of 8, 250 ms while
-// at most 8 loads are in flight, proportionally longer beyond.
+// TestLoadTimeLaw guards against load times that differ from the platform's model,
+// on which all measurements of load stalls depend: after a burst of 8, loads start
+// at 3/s; a load takes 250 ms while at most 8 loads are in flight, and
+// proportionally longer above that.
 func TestLoadTimeLaw(t *testing.T) {
 	ms := time.Millisecond
 	burst := slices.Repeat([]time.Duration{250 * ms}, 8)
@@ -22,7 +23,7 @@
 		name  string
 		loads int
 		fault *Fault
-		// want is the time to the end of each load, from the first on.
+		// want holds the times from the start of the test to the end of each load.
 		want []time.Duration
 	}{
 		{"one", 1, nil, []time.Duration{250 * ms}},
@@ -66,7 +67,7 @@
 	}
 }
 
-// TestLoadRate guards against more starts than the store's rate allows.
+// TestLoadRate guards against more load starts than the store's rate allows.
 func TestLoadRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform, err := New(DefaultConfig())
@@ -95,7 +96,8 @@
 	})
 }
 
-// TestStoreFaults guards against a load that succeeds from a store that is down.
+// TestStoreFaults guards against a load that succeeds while the store is down or
+// refuses loads, and against a fault that outlasts its duration.
 func TestStoreFaults(t *testing.T) {
 	tests := []struct {
 		mode   string
@@ -112,8 +114,8 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				loopback := NewPipeNetwork()
-				stop, err := loopback.Serve("platform:80", platform)
+				network := NewPipeNetwork()
+				stop, err := network.Serve("platform:80", platform)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -124,7 +126,7 @@
 				}
 				for _, want := range []int{test.status, http.StatusOK} {
 					status := 0
-					if response, err := loopback.Client().Get("http://platform:80/v1/weights/a/1"); err == nil {
+					if response, err := network.Client().Get("http://platform:80/v1/weights/a/1"); err == nil {
 						_ = response.Body.Close()
 						status = response.StatusCode
 					}
