--- a/cmd/testbed/bench.go
+++ b/cmd/testbed/bench.go
@@ -15,7 +15,7 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/trial"
 )
 
-// benchCommand measures policies on loopback.
+// benchCommand measures and compares routing policies on TCP loopback.
 type benchCommand struct {
 	Deployment string        `long:"deployment" choice:"bonsai" choice:"gourd" default:"bonsai" description:"deployment to run"`
 	Policy     string        `long:"policy" choice:"naive" choice:"default" choice:"all" default:"all" description:"policy to measure; all compares them"`
@@ -30,7 +30,7 @@
 	LogLevel   string        `long:"log-level" default:"error" description:"level of the daemons' log lines"`
 }
 
-// benchResult is the JSON form of a run.
+// benchResult is the JSON output of the bench command.
 type benchResult struct {
 	Results     []trial.Result     `json:"results"`
 	Comparisons []trial.Comparison `json:"comparisons"`
@@ -58,12 +58,13 @@
 	}
 	for index := range results {
 		if !results[index].InvariantsHeld() {
-			return errBroken
+			return errInvariantViolated
 		}
 	}
 	return nil
 }
 
+// config returns the configuration of the trials.
 func (command *benchCommand) config() (trial.Config, error) {
 	deployment, err := demo.ByName(command.Deployment)
 	if err != nil {
@@ -79,6 +80,7 @@
 	}, err
 }
 
+// run runs the chosen scenarios with each chosen policy.
 func (command *benchCommand) run(ctx context.Context, config trial.Config) ([]trial.Result, error) {
 	scenarios, err := trial.SelectScenarios(command.Scenario)
 	if err != nil {
--- a/cmd/testbed/demo.go
+++ b/cmd/testbed/demo.go
@@ -18,10 +18,10 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/demo"
 )
 
-// errBroken reports that a promise was broken.
-var errBroken = errors.New("a promise was broken; see the table")
+// errInvariantViolated reports that a required invariant did not hold.
+var errInvariantViolated = errors.New("a promise was broken; see the table")
 
-// demoCommand runs a deployment on loopback and checks the promises.
+// demoCommand runs a deployment on TCP loopback and checks the invariants.
 type demoCommand struct {
 	Deployment string        `long:"deployment" choice:"bonsai" choice:"gourd" default:"bonsai" description:"deployment to run"`
 	For        time.Duration `long:"for" description:"length of the load; without it the deployment stays up"`
@@ -45,7 +45,7 @@
 		return err
 	}
 	if command.For == 0 {
-		return command.stay(ctx, deployment, logger)
+		return command.runUntilStopped(ctx, deployment, logger)
 	}
 	progress := io.Writer(os.Stderr)
 	result, err := demo.Run(ctx, demo.Config{
@@ -59,7 +59,7 @@
 		return err
 	}
 	if !result.Held() {
-		return errBroken
+		return errInvariantViolated
 	}
 	return nil
 }
@@ -79,11 +79,11 @@
 	return table.Flush()
 }
 
-// resultLines returns the result as lines with tab-separated columns.
+// resultLines formats a result as lines with tab-separated columns.
 func resultLines(result demo.Result) []string {
 	lines := []string{"", "PROMISE\tHELD\tSEEN"}
-	for _, promise := range result.Invariants {
-		lines = append(lines, fmt.Sprintf("%s\t%s\t%s", promise.Name, yes(promise.Held), promise.Observed))
+	for _, invariant := range result.Invariants {
+		lines = append(lines, fmt.Sprintf("%s\t%s\t%s", invariant.Name, yesOrNo(invariant.Held), invariant.Observed))
 	}
 	lines = append(lines, measureLines(result.Measures)...)
 	for _, problem := range result.Problems {
@@ -92,6 +92,7 @@
 	return lines
 }
 
+// measureLines formats the measures as lines with tab-separated columns.
 func measureLines(measures demo.Measures) []string {
 	lines := []string{
 		"", "MEASURE\tVALUE\t",
@@ -113,15 +114,16 @@
 	return fmt.Sprintf("%.0f/%.0f/%.0f ms", latency.P50, latency.P95, latency.P99)
 }
 
-func yes(held bool) string {
+func yesOrNo(held bool) string {
 	if held {
 		return "yes"
 	}
 	return "NO"
 }
 
-// stay keeps a deployment up and prints commands that work against it.
-func (command *demoCommand) stay(ctx context.Context, deployment demo.Deployment, logger *zap.Logger) error {
+// runUntilStopped runs a deployment until a signal arrives, and prints shell
+// commands for trying it out.
+func (command *demoCommand) runUntilStopped(ctx context.Context, deployment demo.Deployment, logger *zap.Logger) error {
 	fleet, err := demo.NewFleet(demo.FleetConfig{
 		Deployment: deployment, Network: demo.NewTCPNetwork(), Policy: command.Policy, Entries: command.Entries, Seed: command.Seed, Logger: logger,
 	})
--- a/cmd/testbed/engine.go
+++ b/cmd/testbed/engine.go
@@ -11,7 +11,7 @@
 		"Serves an inference engine with continuous batching over few adapter slots.", &engineCommand{})
 }
 
-// engineCommand serves an engine.
+// engineCommand serves the engine simulator.
 type engineCommand struct {
 	listenOptions
 	Platform        string        `long:"platform" value-name:"URL" description:"address of the platform, whose weight store is used; without it a load takes 250 ms"`
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,5 +1,5 @@
-// Command testbed serves the stand-ins for the platform, engines and plain
-// services, and runs demonstrations and measurements against them.
+// Command testbed serves simulators of the platform, engines and plain services,
+// and runs deployments, fault schedules and measurements against them.
 package main
 
 import (
@@ -17,23 +17,24 @@
 )
 
 const (
-	// headerTimeout bounds the time that a caller of a stand-in may take for its
-	// headers.
+	// headerTimeout bounds the time in which a simulator reads the headers of a
+	// request.
 	headerTimeout = 5 * time.Second
-	// stopLimit bounds the time that running requests get when a stand-in stops.
-	stopLimit = 2 * time.Second
+	// shutdownTimeout bounds the time in which running requests may end when a
+	// simulator stops.
+	shutdownTimeout = 2 * time.Second
 )
 
-// subcommand is one command of testbed. Each file registers its own.
+// subcommand is one command of testbed. The file of each command registers it.
 type subcommand struct {
 	name, short, long string
 	commander         flags.Commander
 }
 
-// subcommands holds what register has been called with.
+// subcommands holds the registered commands.
 var subcommands []subcommand
 
-// register adds a command; it is called from init functions.
+// register adds a command. It is called from init functions.
 func register(name, short, long string, commander flags.Commander) {
 	subcommands = append(subcommands, subcommand{name, short, long, commander})
 }
@@ -61,14 +62,14 @@
 	}
 }
 
-// listenOptions are the options of all stand-ins.
+// listenOptions holds the options that all simulators share.
 type listenOptions struct {
 	Listen string `long:"listen" value-name:"ADDRESS" default:"127.0.0.1:0" description:"address to serve on; port 0 chooses a free one"`
 	Seed   uint64 `long:"seed" default:"1" description:"seed of everything random"`
 }
 
-// serve serves a stand-in until SIGTERM or SIGINT. It prints the address once it
-// accepts connections.
+// serve serves a simulator until SIGTERM or SIGINT. It prints the address once the
+// simulator accepts connections.
 func (options listenOptions) serve(name string, handler http.Handler) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -85,7 +86,7 @@
 		return fmt.Errorf("%s: %w", name, err)
 	case <-ctx.Done():
 	}
-	limit, cancel := context.WithTimeout(context.Background(), stopLimit)
+	limit, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if server.Shutdown(limit) != nil {
 		return server.Close()
--- a/cmd/testbed/overhead.go
+++ b/cmd/testbed/overhead.go
@@ -9,7 +9,8 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/demo"
 )
 
-// overheadCommand measures what the two hops add to a call.
+// overheadCommand measures the time that an entry instance and a side process add
+// to a call.
 type overheadCommand struct {
 	Rate float64       `long:"rate" default:"500" description:"calls per second"`
 	For  time.Duration `long:"for" default:"10s" description:"length of each of the two measurements"`
--- a/cmd/testbed/platform.go
+++ b/cmd/testbed/platform.go
@@ -11,7 +11,7 @@
 		"Serves a log service, a weight store and an instance list.", &platformCommand{})
 }
 
-// platformCommand serves the platform.
+// platformCommand serves the platform simulator.
 type platformCommand struct {
 	listenOptions
 	Retention        time.Duration `long:"retention" default:"168h" description:"age at which log records expire"`
--- a/cmd/testbed/proof.go
+++ b/cmd/testbed/proof.go
@@ -12,19 +12,21 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/chaos"
 )
 
-// proofCommand runs schedules of failures in virtual time.
+// proofCommand runs seeded failure schedules in virtual time and checks the
+// invariants.
 type proofCommand struct {
 	Seeds uint64 `long:"seeds" default:"100" description:"number of schedules"`
 	From  uint64 `long:"from" default:"1" description:"first seed"`
 	Seed  uint64 `long:"seed" description:"run this seed only and print all that happened"`
 
-	mutex   sync.Mutex
-	totals  chaos.Totals
-	failing []uint64
+	mutex       sync.Mutex
+	totals      chaos.Totals
+	failedSeeds []uint64
 }
 
-// Execute implements flags.Commander. Virtual time needs a test, so the
-// command runs the schedules as tests, which end the program.
+// Execute implements flags.Commander. Package synctest provides virtual time only
+// to tests, so the command runs the schedules as tests. testing.Main then exits the
+// process.
 func (command *proofCommand) Execute([]string) error {
 	if command.Seeds == 0 {
 		return errors.New("--seeds is 0; write a number above 0")
@@ -34,27 +36,31 @@
 	}
 	os.Args = os.Args[:1]
 	match := func(string, string) (bool, error) { return true, nil }
-	testing.Main(match, []testing.InternalTest{{Name: "proof", F: command.runAll}}, nil, nil)
+	testing.Main(match, []testing.InternalTest{{Name: "proof", F: command.runAllSeeds}}, nil, nil)
 	return nil
 }
 
-func (command *proofCommand) runAll(t *testing.T) {
-	began := time.Now()
+// runAllSeeds runs all schedules in parallel, and prints the totals and the failed
+// seeds.
+func (command *proofCommand) runAllSeeds(t *testing.T) {
+	start := time.Now()
 	t.Run("seed", func(t *testing.T) {
 		for seed := command.From; seed < command.From+command.Seeds; seed++ {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				synctest.Test(t, func(t *testing.T) { command.runOne(t, seed) })
+				synctest.Test(t, func(t *testing.T) { command.runSeed(t, seed) })
 			})
 		}
 	})
-	fmt.Printf("%s in %s\n", command.totals.String(), time.Since(began).Round(time.Millisecond))
-	for _, seed := range command.failing {
+	fmt.Printf("%s in %s\n", command.totals.String(), time.Since(start).Round(time.Millisecond))
+	for _, seed := range command.failedSeeds {
 		fmt.Printf("failed: testbed proof --seed %d\n", seed)
 	}
 }
 
-func (command *proofCommand) runOne(t *testing.T, seed uint64) {
+// runSeed runs one schedule. It prints the report if an invariant was violated or
+// the command runs only this seed.
+func (command *proofCommand) runSeed(t *testing.T, seed uint64) {
 	report, err := chaos.Run(t.Context(), chaos.Generate(seed))
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +70,7 @@
 	command.totals.Add(report)
 	if len(report.Violations) > 0 {
 		t.Fail()
-		command.failing = append(command.failing, seed)
+		command.failedSeeds = append(command.failedSeeds, seed)
 	}
 	if command.Seed > 0 || len(report.Violations) > 0 {
 		for _, line := range report.Lines(command.Seed > 0) {
--- a/cmd/testbed/service.go
+++ b/cmd/testbed/service.go
@@ -11,7 +11,7 @@
 		"Serves a plain service that counts the effects of calls.", &serviceCommand{})
 }
 
-// serviceCommand serves a plain service.
+// serviceCommand serves the plain service simulator.
 type serviceCommand struct {
 	listenOptions
 	Latency time.Duration `long:"latency" default:"3ms" description:"time until a call has its effect"`
--- a/cmd/testbed/slopes.go
+++ b/cmd/testbed/slopes.go
@@ -12,7 +12,7 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/slope"
 )
 
-// slopesCommand measures how costs grow.
+// slopesCommand measures how each cost grows with one size.
 type slopesCommand struct {
 	Only   string `long:"only" value-name:"NAME" description:"measure only the rows whose names begin with this"`
 	Quick  bool   `long:"quick" description:"measure some rows at small sizes, in less than 10 s"`
@@ -41,6 +41,7 @@
 	return table.Flush()
 }
 
+// targetText formats the target size of a result and the fitted cost at that size.
 func targetText(result slope.Result) string {
 	if result.Target == 0 {
 		return "-\t-"
