--- a/cmd/testbed/bench.go
+++ b/cmd/testbed/bench.go
@@ -71,7 +71,7 @@
 		return trial.Config{}, err
 	}
 	if command.Skew != 0 {
-		deployment.Skew = command.Skew
+		deployment.ZipfExponent = command.Skew
 	}
 	logger, err := logs.NewLogger(logs.Config{Level: command.LogLevel, Text: true, Instance: "bench"})
 	return trial.Config{
--- a/cmd/testbed/demo.go
+++ b/cmd/testbed/demo.go
@@ -50,7 +50,7 @@
 	progress := io.Writer(os.Stderr)
 	result, err := demo.Run(ctx, demo.Config{
 		Deployment: deployment, Network: demo.NewTCPNetwork(), Policy: command.Policy, Entries: command.Entries,
-		Seed: command.Seed, Length: command.For, Logger: logger, Progress: progress,
+		Seed: command.Seed, Duration: command.For, Logger: logger, Progress: progress,
 	})
 	if err != nil {
 		return err
@@ -100,7 +100,7 @@
 		fmt.Sprintf("tokens per engine step\t%.2f\t", measures.TokensPerStep),
 		fmt.Sprintf("worst-served organisation, p95 first token\t%.0f ms\t%s", measures.WorstP95, measures.WorstOrganisation),
 		fmt.Sprintf("wrongful refusals\t%d\tof %d requests, %d completed, %d unknown, errors %v",
-			measures.WrongfulRefusals, measures.Sent, measures.Completed, measures.Unknown, measures.Errors),
+			measures.WrongfulRefusals, measures.Sent, measures.Completed, measures.UnknownEffect, measures.Errors),
 		"", "ORGANISATION\tKIND\tSENT\tDONE\tREFUSED\tFIRST TOKEN p50/p95/p99\tBETWEEN TOKENS p50/p95/p99",
 	}
 	for _, group := range measures.Groups {
--- a/cmd/testbed/overhead.go
+++ b/cmd/testbed/overhead.go
@@ -20,7 +20,7 @@
 // Execute implements flags.Commander.
 func (command *overheadCommand) Execute([]string) error {
 	overhead, err := demo.MeasureOverhead(context.Background(), demo.OverheadConfig{
-		Rate: command.Rate, Length: command.For, Seed: command.Seed,
+		Rate: command.Rate, Duration: command.For, Seed: command.Seed,
 	})
 	if err != nil {
 		return err
--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -20,7 +20,7 @@
 	Policy     string
 	Entries    int
 	Seed       uint64
-	Length     time.Duration
+	Duration   time.Duration
 	TLS        setup.TLS
 	Logger     *zap.Logger
 	// Progress receives one line each second; nil means no output.
@@ -67,8 +67,8 @@
 	})
 	stopProgress := showProgress(config.Progress, generator.Report())
 	finished := make(chan *OperatorActions, 1)
-	go func() { finished <- fleet.RunOperatorActions(ctx, config.Length) }()
-	generator.Run(ctx, config.Length)
+	go func() { finished <- fleet.RunOperatorActions(ctx, config.Duration) }()
+	generator.Run(ctx, config.Duration)
 	actions := <-finished
 	stopProgress()
 	if ctx.Err() != nil {
@@ -76,7 +76,7 @@
 	}
 	report := generator.Report()
 	return Result{
-		Deployment: config.Deployment.Name, Seed: config.Seed, Length: config.Length.String(),
+		Deployment: config.Deployment.Name, Seed: config.Seed, Length: config.Duration.String(),
 		Invariants: fleet.CheckInvariants(report, actions), Measures: fleet.Measure(report), Problems: report.Problems(),
 	}, nil
 }
--- a/internal/bench/demo/demo_test.go
+++ b/internal/bench/demo/demo_test.go
@@ -18,9 +18,9 @@
 	return deployment
 }
 
-// TestPromisesInVirtualTime runs whole deployments with operators' actions and
+// TestInvariantsInVirtualTime runs whole deployments with operators' actions and
 // guards against a violated invariant.
-func TestPromisesInVirtualTime(t *testing.T) {
+func TestInvariantsInVirtualTime(t *testing.T) {
 	tests := []struct {
 		name       string
 		guards     string
@@ -35,7 +35,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				config := Config{
-					Deployment: test.deployment, Network: NewMemoryNetwork(), Policy: "default", Entries: 2, Seed: 1, Length: 10 * time.Second,
+					Deployment: test.deployment, Network: NewMemoryNetwork(), Policy: "default", Entries: 2, Seed: 1, Duration: 10 * time.Second,
 				}
 				if test.tls {
 					config.TLS = issueCertificates(t)
--- a/internal/bench/demo/deployment.go
+++ b/internal/bench/demo/deployment.go
@@ -28,10 +28,10 @@
 	Adapters int
 	// RequestRate is the steady load in requests per second.
 	RequestRate float64
-	Mix         [4]float64
-	// Skew is the exponent of the Zipf distribution of requests over each
+	KindWeights [4]float64
+	// ZipfExponent is the exponent of the Zipf distribution of requests over each
 	// organisation's adapters.
-	Skew float64
+	ZipfExponent float64
 	// OrganisationWeights holds each organisation's fraction of RequestRate.
 	OrganisationWeights []float64
 }
@@ -49,8 +49,8 @@
 		LoadRate:            3,
 		Adapters:            3000,
 		RequestRate:         45,
-		Mix:                 [4]float64{0.4, 0.15, 0.15, 0.3},
-		Skew:                adapterSkew,
+		KindWeights:         [4]float64{0.4, 0.15, 0.15, 0.3},
+		ZipfExponent:        adapterSkew,
 		OrganisationWeights: []float64{0.4, 0.3, 0.15, 0.1, 0.05},
 	}
 }
@@ -68,8 +68,8 @@
 		LoadRate:            2,
 		Adapters:            3000,
 		RequestRate:         32,
-		Mix:                 [4]float64{0.5, 0.1, 0.1, 0.3},
-		Skew:                adapterSkew,
+		KindWeights:         [4]float64{0.5, 0.1, 0.1, 0.3},
+		ZipfExponent:        adapterSkew,
 		OrganisationWeights: []float64{0.4, 0.3, 0.15, 0.1, 0.05},
 	}
 }
@@ -103,10 +103,10 @@
 // modelFraction returns the fraction of requests that run on adapters.
 func (deployment Deployment) modelFraction() float64 {
 	total := 0.0
-	for _, weight := range deployment.Mix {
+	for _, weight := range deployment.KindWeights {
 		total += weight
 	}
-	return (deployment.Mix[reqgen.Letter] + deployment.Mix[reqgen.Chat]) / total
+	return (deployment.KindWeights[reqgen.Letter] + deployment.KindWeights[reqgen.Chat]) / total
 }
 
 // organisations returns the organisations with rates that their steady load does
@@ -136,8 +136,8 @@
 		ModelService:   deployment.ModelService,
 		PlainService:   deployment.PlainService,
 		Organisations:  deployment.organisations(),
-		KindWeights:    deployment.Mix,
-		ZipfExponent:   deployment.Skew,
+		KindWeights:    deployment.KindWeights,
+		ZipfExponent:   deployment.ZipfExponent,
 		PromptTokens:   [2]int{60, 160},
 		MaxTokens:      [2]int{20, 100},
 		RepeatFraction: 0.2,
--- a/internal/bench/demo/measure.go
+++ b/internal/bench/demo/measure.go
@@ -27,14 +27,14 @@
 
 // Group holds the counts and latencies of one organisation's requests of one kind.
 type Group struct {
-	Organisation  string  `json:"organisation"`
-	Kind          string  `json:"kind"`
-	Sent          int64   `json:"sent"`
-	Completed     int64   `json:"completed"`
-	Refused       int64   `json:"refused"`
-	Wrongful      int64   `json:"wrongful"`
-	FirstToken    Latency `json:"first-token"`
-	TokenInterval Latency `json:"between-tokens"`
+	Organisation     string  `json:"organisation"`
+	Kind             string  `json:"kind"`
+	Sent             int64   `json:"sent"`
+	Completed        int64   `json:"completed"`
+	Refused          int64   `json:"refused"`
+	WrongfulRefusals int64   `json:"wrongful"`
+	FirstToken       Latency `json:"first-token"`
+	TokenInterval    Latency `json:"between-tokens"`
 }
 
 // Measures holds the users' four measures (load stall, tokens per engine step,
@@ -65,7 +65,7 @@
 	LogOutageRefusals int64            `json:"refusals-by-design"`
 	Sent              int64            `json:"sent"`
 	Completed         int64            `json:"completed"`
-	Unknown           int64            `json:"unknown"`
+	UnknownEffect     int64            `json:"unknown"`
 	Errors            map[string]int64 `json:"errors"`
 	Groups            []Group          `json:"groups"`
 }
@@ -74,7 +74,7 @@
 func (fleet *Fleet) Measure(report *reqgen.Report) Measures {
 	total := report.Total()
 	measures := Measures{
-		WrongfulRefusals: total.WrongfulRefusals, Sent: total.Sent, Completed: total.Completed, Unknown: total.UnknownEffect, Errors: report.ErrorsByKind(),
+		WrongfulRefusals: total.WrongfulRefusals, Sent: total.Sent, Completed: total.Completed, UnknownEffect: total.UnknownEffect, Errors: report.ErrorsByKind(),
 	}
 	measures.LogOutageRefusals = measures.Errors["log-unavailable"]
 	steps, tokens := 0, 0
@@ -111,9 +111,9 @@
 	return counts
 }
 
-// BeginMeasure starts the measured time: the measures leave out the steps, tokens
+// StartMeasuring starts the measured time: the measures leave out the steps, tokens
 // and loads of the engines before it.
-func (fleet *Fleet) BeginMeasure() {
+func (fleet *Fleet) StartMeasuring() {
 	fleet.baselineCounts = nil
 	for _, engine := range fleet.engines {
 		fleet.baselineCounts = append(fleet.baselineCounts, countsOf(engine.Observed()))
@@ -203,7 +203,7 @@
 	for key, series := range report.Series() {
 		measures.Groups = append(measures.Groups, Group{
 			Organisation: key.Organisation, Kind: key.Kind.String(), Sent: series.Sent, Completed: series.Completed,
-			Refused: series.Refused, Wrongful: series.WrongfulRefusals,
+			Refused: series.Refused, WrongfulRefusals: series.WrongfulRefusals,
 			FirstToken: newLatency(series.FirstToken), TokenInterval: newLatency(series.TokenIntervals),
 		})
 	}
--- a/internal/bench/demo/overhead.go
+++ b/internal/bench/demo/overhead.go
@@ -16,9 +16,9 @@
 type OverheadConfig struct {
 	// Rate is the number of calls per second, direct and through the entry
 	// instance in turn.
-	Rate   float64
-	Length time.Duration
-	Seed   uint64
+	Rate     float64
+	Duration time.Duration
+	Seed     uint64
 }
 
 // Overhead compares calls of the plain service through one entry instance with
@@ -59,7 +59,7 @@
 	})
 	through, throughFailed := fleet.sendCalls(ctx, config, func(int) (string, string) { return entry, key })
 	return Overhead{
-		Rate: config.Rate, Length: config.Length.String(), Direct: newLatency(direct), ThroughEntry: newLatency(through),
+		Rate: config.Rate, Length: config.Duration.String(), Direct: newLatency(direct), ThroughEntry: newLatency(through),
 		Failed:   directFailed + throughFailed,
 		AddedP50: milliseconds(through.Quantile(50) - direct.Quantile(50)),
 		AddedP99: milliseconds(through.Quantile(99) - direct.Quantile(99)),
@@ -74,7 +74,7 @@
 	var mu sync.Mutex
 	failed := 0
 	begin := time.Now()
-	for index := range int(config.Rate * config.Length.Seconds()) {
+	for index := range int(config.Rate * config.Duration.Seconds()) {
 		due := begin.Add(time.Duration(float64(index) / config.Rate * float64(time.Second)))
 		if sleep(ctx, time.Until(due)) != nil {
 			break
--- a/internal/bench/infra/streams.go
+++ b/internal/bench/infra/streams.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// MaxRecord is the maximum size of a log record in bytes.
-	MaxRecord = 1 << 20
+	// MaxRecordBytes is the maximum size of a log record in bytes.
+	MaxRecordBytes = 1 << 20
 	// maxPageBytes bounds the record data in one page, without its last record.
 	maxPageBytes = 3 << 20
 	// maxPageRecords bounds the number of records in one page.
@@ -159,9 +159,9 @@
 		WriteError(writer, http.StatusBadRequest, "stream name %q; write up to 64 of a-z, 0-9 and -", name)
 		return
 	}
-	data, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, MaxRecord))
+	data, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, MaxRecordBytes))
 	if err != nil {
-		WriteError(writer, http.StatusRequestEntityTooLarge, "record: %v; the limit is %d bytes", err, MaxRecord)
+		WriteError(writer, http.StatusRequestEntityTooLarge, "record: %v; the limit is %d bytes", err, MaxRecordBytes)
 		return
 	}
 	if !service.injectFaults(writer, request, name) {
--- a/internal/bench/slope/rows_claims.go
+++ b/internal/bench/slope/rows_claims.go
@@ -51,7 +51,7 @@
 	network, counter := demo.NewMemoryNetwork(), newCounter()
 	deployment := demo.Bonsai()
 	deployment.Engines, deployment.PlainUpstreams, deployment.Adapters = 2, upstreams, 50
-	deployment.RequestRate, deployment.Mix = rate, [4]float64{0, 0, 1, 0}
+	deployment.RequestRate, deployment.KindWeights = rate, [4]float64{0, 0, 1, 0}
 	fleet, err := demo.NewFleet(demo.FleetConfig{
 		Deployment: deployment, Network: countedNetwork{network, counter}, Policy: "default", Entries: 2, Seed: 1,
 	})
--- a/internal/bench/slope/rows_control.go
+++ b/internal/bench/slope/rows_control.go
@@ -39,7 +39,7 @@
 	deployment.PlainUpstreams = upstreams - controlEngines
 	deployment.Adapters = 50
 	deployment.RequestRate = requestRatePerSide * float64(upstreams)
-	deployment.Mix = [4]float64{0.01, 0.01, 0.01, 0.97}
+	deployment.KindWeights = [4]float64{0.01, 0.01, 0.01, 0.97}
 	return deployment
 }
 
--- a/internal/bench/trial/table.go
+++ b/internal/bench/trial/table.go
@@ -49,7 +49,7 @@
 	}
 	for _, group := range result.Measures.Groups {
 		lines = append(lines, fmt.Sprintf("%s\t%s, %s\t%d\t%d\t%d\t%d\t%s\t%s", group.Organisation, group.Kind, requestClass(group.Kind),
-			group.Sent, group.Completed, group.Refused, group.Wrongful, formatLatency(group.FirstToken), formatLatency(group.TokenInterval)))
+			group.Sent, group.Completed, group.Refused, group.WrongfulRefusals, formatLatency(group.FirstToken), formatLatency(group.TokenInterval)))
 	}
 	return lines
 }
--- a/internal/bench/trial/trial.go
+++ b/internal/bench/trial/trial.go
@@ -72,7 +72,7 @@
 	}
 	generator := reqgen.New(reqgen.Config{
 		EntryURLs: fleet.EntryURLs, Client: fleet.Client(), Plan: plan, Seed: config.Seed, ExpectedToken: demo.ExpectedToken,
-		Warmup: config.Warmup, AfterWarmup: fleet.BeginMeasure,
+		Warmup: config.Warmup, AfterWarmup: fleet.StartMeasuring,
 	})
 	stepsDone := make(chan error, 1)
 	go func() { stepsDone <- performSteps(ctx, fleet, scenario, config) }()
--- a/internal/bench/trial/trial_test.go
+++ b/internal/bench/trial/trial_test.go
@@ -16,7 +16,7 @@
 	scale := 4 / float64(deployment.Engines)
 	deployment.LoadRate *= scale
 	deployment.RequestRate *= scale
-	deployment.Engines, deployment.PlainUpstreams, deployment.Adapters, deployment.Skew = 4, 2, 1000, 2.6
+	deployment.Engines, deployment.PlainUpstreams, deployment.Adapters, deployment.ZipfExponent = 4, 2, 1000, 2.6
 	return deployment
 }
 
