--- a/internal/daemon/loader/exchange.go
+++ b/internal/daemon/loader/exchange.go
@@ -59,8 +59,8 @@
 }
 
 // acceptDemand reports whether a demand is for the engine's present
-// incarnation, and records the id that it names. After a restart one address
-// may be listed under several ids.
+// incarnation, and if so records the upstream id in the demand. After a restart
+// one address may be listed under several ids.
 func (loader *Loader) acceptDemand(demand *wirepb.Demand) bool {
 	loader.mutex.Lock()
 	defer loader.mutex.Unlock()
--- a/internal/daemon/loader/loader.go
+++ b/internal/daemon/loader/loader.go
@@ -24,11 +24,10 @@
 )
 
 const (
-	// loadPeriod is how long after the last state one is sent that reports only
-	// a changed load.
+	// loadPeriod is the least time between two states if only the load has
+	// changed.
 	loadPeriod = 100 * time.Millisecond
-	// idlePeriod is how long after the last state one is sent although nothing
-	// has changed.
+	// idlePeriod is the time between two states if nothing has changed.
 	idlePeriod = 500 * time.Millisecond
 	// promptEntries is the number of entry instances up to which each is sent
 	// every state. With each further one, the shortest interval between two
@@ -45,7 +44,7 @@
 	// maxNamedEntries is the number of entry instances that one state names.
 	maxNamedEntries = 16
 	// maxDelay and idlePeriod together are shorter than the time for which
-	// entry instances rely on a state.
+	// entry instances rely on a state, picker.DefaultReportTTL.
 	maxDelay = 700 * time.Millisecond
 )
 
@@ -107,8 +106,9 @@
 	// listedStartedAt is the latest start of the engine that the entry
 	// instances know, in Unix milliseconds.
 	listedStartedAt int64
-	// backoffUntil is the end of the backoff that the engine asked for in its
-	// incarnation with the start backoffStartedAt.
+	// backoffUntil is the end of the last backoff that the engine asked for,
+	// and backoffStartedAt the start, in Unix milliseconds, of the incarnation
+	// that asked for it.
 	backoffUntil     time.Time
 	backoffStartedAt int64
 
--- a/internal/daemon/loader/loader_test.go
+++ b/internal/daemon/loader/loader_test.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// TestManyEntries plays a deployment of 300 instances (scenario sweep-300) in
+// TestManyEntries simulates a deployment of 300 instances (scenario sweep-300) in
 // which each engine's load changes 20 times a second. Sending each change to
 // every entry instance took most of the bytes between failure domains. Only the
 // instance with a waiting request is sent each change, but what the others have
--- a/internal/daemon/relay/notices_test.go
+++ b/internal/daemon/relay/notices_test.go
@@ -19,11 +19,11 @@
 	receiver.picker.SetUpstreams([]fleet.Upstream{{ID: "i-1", Service: "counter", Slots: 4, StartedAt: startedAt}})
 	sender.recordDraining(cordon.Incarnation{ID: "i-1", StartedAt: startedAt}, "")
 	receiver.handleUsage(sender.encodeUsage(sender.limiter.LocalUsage(), nil))
-	if _, avoided := receiver.cordon.Cordoned(cordon.Incarnation{ID: "i-1", StartedAt: startedAt}); !avoided {
-		t.Error("a draining upstream is not avoided")
+	if _, cordoned := receiver.cordon.Cordoned(cordon.Incarnation{ID: "i-1", StartedAt: startedAt}); !cordoned {
+		t.Error("a draining upstream is not cordoned")
 	}
 	receiver.handleUsage(&wirepb.Usage{Leaving: []*wirepb.Leaving{{Id: "i-1", Born: startedAt - 1}}})
-	if _, avoided := receiver.cordon.Cordoned(cordon.Incarnation{ID: "i-1", StartedAt: time.Now().Add(time.Second).UnixMilli()}); avoided {
-		t.Error("a restarted upstream is avoided")
+	if _, cordoned := receiver.cordon.Cordoned(cordon.Incarnation{ID: "i-1", StartedAt: time.Now().Add(time.Second).UnixMilli()}); cordoned {
+		t.Error("a restarted upstream is cordoned")
 	}
 }
--- a/internal/daemon/relay/ports.go
+++ b/internal/daemon/relay/ports.go
@@ -61,7 +61,8 @@
 	ID string
 	// NotRun means that the upstream did not run the request.
 	NotRun bool
-	// Sealed means that the response bears the seal of an upstream.
+	// Sealed means that the response has the header with an upstream's seal. A
+	// response without it is not forwarded.
 	Sealed bool
 	// Load is the number of running and queued requests, or -1 if it is unknown.
 	Load int
--- a/internal/daemon/relay/relay.go
+++ b/internal/daemon/relay/relay.go
@@ -63,8 +63,8 @@
 type Bounds = setup.RelayBounds
 
 const (
-	// configTrustMargin is how long before the end of Bounds.Revoke an instance stops
-	// trusting an unconfirmed configuration.
+	// configTrustMargin is how long before the end of Bounds.RevocationDelay an
+	// instance stops trusting an unconfirmed configuration.
 	configTrustMargin = 200 * time.Millisecond
 	// configPollTime is how long a read of the configuration waits for a change.
 	configPollTime = 1500 * time.Millisecond
@@ -88,7 +88,8 @@
 	// acceptAfterStop is how long a stopping instance accepts connections from callers
 	// that have not learned of the stop yet.
 	acceptAfterStop = 2500 * time.Millisecond
-	// stopMargin is how long before the end of Bounds.Grace a stop must be complete.
+	// stopMargin is how long before the end of Bounds.GracePeriod a stop must be
+	// complete.
 	stopMargin = 500 * time.Millisecond
 )
 
--- a/internal/daemon/relay/reports.go
+++ b/internal/daemon/relay/reports.go
@@ -26,7 +26,7 @@
 	idleReportInterval = 500 * time.Millisecond
 	// idleIntervalPerUpstream and maxIdleInterval lengthen idleReportInterval, by the
 	// number of upstreams, for loaders whose upstreams are not in demand. Loaders
-	// forget an entry instance after lora.DefaultLinger.
+	// forget an entry instance after lora.DefaultDemandTimeout.
 	idleIntervalPerUpstream = 10 * time.Millisecond
 	maxIdleInterval         = time.Second
 	// maxUsageInterval is the longest time between two usage reports to the other entry
--- a/internal/daemon/relay/storeview.go
+++ b/internal/daemon/relay/storeview.go
@@ -107,9 +107,9 @@
 	return watch.New(watch.Config[Listing]{
 		Name: topicInstances, Source: relay.config.InstanceSource, Logger: relay.config.Logger, Interval: listReadInterval,
 		Apply: func(listings []Listing, complete bool) []Listing {
-			stamp := list.Generation()
+			generation := list.Generation()
 			changes := relay.applyListings(listings, complete)
-			if list.Generation() != stamp {
+			if list.Generation() != generation {
 				relay.updateUpstreams()
 			}
 			return changes
@@ -148,7 +148,7 @@
 		return listings
 	}
 	for _, listing := range listings {
-		stamp := list.Generation()
+		generation := list.Generation()
 		changed := list.Lapsed(listing.ID) || listing.Upstream == nil && list.Contains(listing.ID)
 		switch {
 		case listing.Upstream == nil:
@@ -159,7 +159,7 @@
 			relay.config.Logger.Info("fleet: upstream changed", zap.String("upstream", listing.ID),
 				zap.String("address", listing.Upstream.Address), zap.Bool("draining", listing.Upstream.Draining))
 		}
-		if changed || list.Generation() != stamp {
+		if changed || list.Generation() != generation {
 			changes = append(changes, listing)
 		}
 	}
@@ -182,7 +182,7 @@
 	services map[string]*health.Tracker
 }
 
-// Usable implements steer.Health.
+// Usable implements picker.Health.
 func (healthTracker *healthTracker) Usable(service, id string) bool {
 	tracked := healthTracker.service(service)
 	if tracked == nil {
--- a/internal/daemon/watch/watch.go
+++ b/internal/daemon/watch/watch.go
@@ -81,8 +81,8 @@
 	config Config[Record]
 	wake   chan struct{}
 
-	// synced means that a snapshot was read and no records were trimmed since,
-	// and failing that the last call failed.
+	// synced means that a snapshot was read and no records were trimmed since.
+	// failing means that calls have failed since the state was last confirmed.
 	synced  bool
 	failing bool
 	// skippedCall means that a peer update has replaced calls since the last
--- a/internal/daemon/watch/watch_test.go
+++ b/internal/daemon/watch/watch_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// TestWatch plays a store that trims records before they are read and is down
+// TestWatch simulates a store that trims records before they are read and is down
 // for a while. The watcher must end with the newest record, must not confirm
 // what it could not read, and must not flood the store with calls.
 func TestWatch(t *testing.T) {
@@ -167,7 +167,7 @@
 	return Update[string]{Position: Position{Next: next, ChangedNext: changed}}
 }
 
-// TestPeerUpdate plays a process whose failure domain has a store reader. It
+// TestPeerUpdate simulates a process whose failure domain has a store reader. It
 // must not call the store while the reader reports nothing new, must read what
 // is new, and must confirm its state by a call of its own at once when the
 // reader falls silent.
--- a/internal/flow/admit/admit_test.go
+++ b/internal/flow/admit/admit_test.go
@@ -61,7 +61,7 @@
 		if len(waiting) > 0 {
 			t.Fatalf("%d requests were not admitted within 5 s", len(waiting))
 		}
-		const readable = (300 - 3*14) * 19
+		const prefillable = (300 - 3*14) * 19
 		for i := range history {
 			var sum int64
 			for _, later := range history[i:] {
@@ -69,8 +69,8 @@
 					sum += later.tokens
 				}
 			}
-			if sum > readable {
-				t.Errorf("%d prompt tokens within 300 ms from %v, at most %d can be prefilled", sum, history[i].at, readable)
+			if sum > prefillable {
+				t.Errorf("%d prompt tokens within 300 ms from %v, at most %d can be prefilled", sum, history[i].at, prefillable)
 			}
 		}
 		if took := history[len(history)-1].at; took > 1200*time.Millisecond {
@@ -260,7 +260,7 @@
 		interval = 32 * time.Millisecond
 	)
 	engineConfig := EngineConfig{Slots: 32, EventTokens: 6, MaxEventGap: 250 * time.Millisecond}
-	readable := (250 - 32) * rate / 250
+	prefillable := (250 - 32) * rate / 250
 	tests := []struct {
 		name    string
 		guards  string
@@ -271,10 +271,10 @@
 		most    float64
 	}{
 		{name: "unknown", guards: "a slow engine overloaded before its speed is known", least: 9, most: DefaultPrefillRate},
-		{name: "learned", guards: "an engine that is left idle", learn: true, least: 0.85 * readable, most: readable},
+		{name: "learned", guards: "an engine that is left idle", learn: true, least: 0.85 * prefillable, most: prefillable},
 		{
 			name: "typical speed", guards: "a new engine that takes half its load",
-			typical: Speed{PrefillRate: rate, EventInterval: interval}, least: 0.85 * readable, most: readable,
+			typical: Speed{PrefillRate: rate, EventInterval: interval}, least: 0.85 * prefillable, most: prefillable,
 		},
 		{name: "restarted", guards: "the speed of an engine that has ended", learn: true, restart: true, least: 9, most: DefaultPrefillRate},
 	}
--- a/internal/flow/bucket/bucket.go
+++ b/internal/flow/bucket/bucket.go
@@ -127,7 +127,8 @@
 	// that this instance counts on.
 	Level    float64
 	Fraction float64
-	// SilentPeers is the number of instances that are not heard.
+	// SilentPeers is the number of other instances that have not reported within
+	// PeerTimeout.
 	SilentPeers int
 }
 
--- a/internal/flow/bucket/bucket_test.go
+++ b/internal/flow/bucket/bucket_test.go
@@ -12,8 +12,8 @@
 
 var limit = Limit{Rate: 60_000, Burst: 60_000}
 
-// maxAdmitted is what the users allow to run within eight seconds: a tenth over
-// rate and burst, and 11,000 tokens.
+// maxAdmitted is the number of tokens that may run within eight seconds: a tenth
+// over rate and burst, and 11,000 tokens.
 const maxAdmitted = (60_000*8+60_000)*1.1 + 11_000
 
 type admitted struct {
@@ -69,7 +69,7 @@
 	}
 }
 
-// TestBound plays an organisation that sends seven times its rate through all
+// TestBound simulates an organisation that sends seven times its rate through all
 // instances while datagrams are lost, one instance is partitioned and others
 // restart. Within any eight seconds no more than maxAdmitted may run.
 func TestBound(t *testing.T) {
@@ -200,7 +200,7 @@
 	})
 }
 
-// TestOutage plays the restart of all instances while an organisation stays
+// TestOutage simulates the restart of all instances while an organisation stays
 // within its rate and sends most requests to one of them. Once the instances
 // know of each other nothing is refused: the one must not have to serve the
 // organisation from its own grant alone.
--- a/internal/flow/cordon/cordon.go
+++ b/internal/flow/cordon/cordon.go
@@ -18,8 +18,8 @@
 	// after its last use. An entry of the instance list may expire and come
 	// back, but within a shorter time.
 	DefaultDrainRetention = 10 * time.Minute
-	// DefaultListingDelay is how long after a mark was made an incarnation that
-	// the instance list names only later may still be the one that made it.
+	// DefaultListingDelay is how long after a mark was made the instance list
+	// may still name an earlier incarnation than the one that made the mark.
 	DefaultListingDelay = 30 * time.Second
 	// DefaultAnnouncePeriod is how long a mark is passed on to other instances.
 	DefaultAnnouncePeriod = 2 * time.Second
@@ -126,9 +126,9 @@
 	return !mark.backoffUntil.After(now)
 }
 
-// superseded reports whether an incarnation began after the mark was made. For
-// ListingDelay, one that began before, but was listed late, is taken for the one
-// that made the mark.
+// superseded reports whether an incarnation began after the one that made the
+// mark. Until ListingDelay after the mark, an incarnation that began before the
+// mark was made is taken for the one that made it, as it may be listed late.
 func (set *Set) superseded(known *mark, incarnation Incarnation, now time.Time) bool {
 	if known.startedAt == 0 || incarnation.StartedAt <= known.startedAt {
 		return false
@@ -138,7 +138,7 @@
 
 // Cordoned reports whether an upstream must get no requests, and until when; a
 // zero time means for good.
-func (set *Set) Cordoned(incarnation Incarnation) (until time.Time, avoided bool) {
+func (set *Set) Cordoned(incarnation Incarnation) (until time.Time, cordoned bool) {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
 	known, ok := set.marks[incarnation.ID]
@@ -158,7 +158,7 @@
 }
 
 // RecentlyDraining returns the upstreams that were marked as draining within
-// NewsAge, ordered by id.
+// AnnouncePeriod, ordered by id.
 func (set *Set) RecentlyDraining() []Incarnation {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
--- a/internal/flow/cordon/cordon_test.go
+++ b/internal/flow/cordon/cordon_test.go
@@ -22,7 +22,7 @@
 		// 0.
 		startedAfter int64
 		want         bool
-		// left is how long it is still avoided, 0 for good.
+		// left is how long it is still cordoned, 0 for good.
 		left time.Duration
 	}{
 		{name: "never marked", do: func(*Set) {}},
@@ -55,7 +55,7 @@
 				test.do(set)
 				until, got := set.Cordoned(Incarnation{ID: "a", StartedAt: began.UnixMilli() + test.startedAfter})
 				if diff := cmp.Diff(test.want, got); diff != "" {
-					t.Errorf("avoided (-want +got):\n%s", diff)
+					t.Errorf("cordoned (-want +got):\n%s", diff)
 				}
 				var left time.Duration
 				if !until.IsZero() {
@@ -108,13 +108,13 @@
 }), 1, 40)
 
 // TestSchedules guards against any order of messages, restarts and pauses after
-// which an upstream that asked for no requests is not avoided. The model keeps
+// which an upstream that asked for no requests is not cordoned. The model keeps
 // every message of the current incarnation.
 func TestSchedules(t *testing.T) {
 	rapid.Check(t, func(drawn *rapid.T) {
 		schedule := steps.Draw(drawn, "steps")
 		var failure string
-		synctest.Test(t, func(*testing.T) { failure = play(schedule) })
+		synctest.Test(t, func(*testing.T) { failure = runSchedule(schedule) })
 		if failure != "" {
 			drawn.Fatal(failure)
 		}
@@ -127,13 +127,13 @@
 	draining  bool
 	backoffs  []time.Time
 	// late means that an earlier incarnation was heard after this one began,
-	// for which this one may be avoided for a while.
+	// for which this one may be cordoned for a while.
 	late bool
 }
 
-// play runs a schedule on a Set and returns how the first step with a wrong
-// result differs from the model, or "".
-func play(schedule []step) string {
+// runSchedule runs a schedule on a Set and returns how the first step with a
+// wrong result differs from the model, or "".
+func runSchedule(schedule []step) string {
 	set := New(Config{})
 	model := map[string]*upstreamModel{"a": {startedAt: 1000}, "b": {startedAt: 1000}}
 	for number, step := range schedule {
@@ -157,7 +157,7 @@
 		}
 		for id, known := range model {
 			if _, got := set.Cordoned(Incarnation{ID: id, StartedAt: known.startedAt}); got != known.refuses() && (!got || !known.late) {
-				return fmt.Sprintf("after step %d (%+v): %s avoided is %v", number, step, id, got)
+				return fmt.Sprintf("after step %d (%+v): %s cordoned is %v", number, step, id, got)
 			}
 		}
 	}
--- a/internal/flow/dedup/attempts.go
+++ b/internal/flow/dedup/attempts.go
@@ -208,7 +208,7 @@
 }
 
 // storeTombstone stores a tombstone for an attempt that has not arrived. It returns
-// Unknown without storing one if the attempt was sent to another incarnation, which
+// RunUnknown without storing one if the attempt was sent to another incarnation, which
 // may have run it, or if no further record can be stored.
 func (attempts *Attempts) storeTombstone(now time.Time, attempt Attempt, incarnation uint64) fault.Execution {
 	if incarnation != attempts.config.Incarnation {
--- a/internal/flow/dedup/dedup_test.go
+++ b/internal/flow/dedup/dedup_test.go
@@ -141,7 +141,7 @@
 
 // Guards against two claimants that both take a key for theirs, and against a
 // claim that another claimant releases, that is lost, or that never expires.
-func TestClaimFold(t *testing.T) {
+func TestApplyClaims(t *testing.T) {
 	hash := []byte("hash")
 	tests := []struct {
 		name   string
--- a/internal/flow/lora/lora.go
+++ b/internal/flow/lora/lora.go
@@ -120,11 +120,11 @@
 	// reported means that engine holds a report.
 	reported bool
 	demands  map[string]*demand
-	// lastUsed is when a demand last named an adapter, and firstAsked since when
-	// requests have waited for one.
-	lastUsed   map[string]time.Time
-	firstAsked map[Adapter]time.Time
-	cache      *localCache
+	// lastUsed is when a demand last named an adapter, and waitingSince is when
+	// the present wait of requests for an adapter began.
+	lastUsed     map[string]time.Time
+	waitingSince map[Adapter]time.Time
+	cache        *localCache
 }
 
 // demand is a Demand and the time at which it was received.
@@ -140,11 +140,11 @@
 	config.StoreConcurrency = cmp.Or(config.StoreConcurrency, DefaultStoreConcurrency)
 	config.MinIdle = cmp.Or(config.MinIdle, DefaultMinIdle)
 	return &Planner{
-		config:     config,
-		demands:    make(map[string]*demand),
-		lastUsed:   make(map[string]time.Time),
-		firstAsked: make(map[Adapter]time.Time),
-		cache:      newLocalCache(),
+		config:       config,
+		demands:      make(map[string]*demand),
+		lastUsed:     make(map[string]time.Time),
+		waitingSince: make(map[Adapter]time.Time),
+		cache:        newLocalCache(),
 	}
 }
 
@@ -195,8 +195,8 @@
 	planner.demands[request.Entry] = &demand{Demand: request, heardAt: now}
 	for _, use := range request.Uses {
 		planner.lastUsed[use.Adapter.Name] = now
-		if _, ok := planner.firstAsked[use.Adapter]; !ok && use.Waiting > 0 {
-			planner.firstAsked[use.Adapter] = now
+		if _, ok := planner.waitingSince[use.Adapter]; !ok && use.Waiting > 0 {
+			planner.waitingSince[use.Adapter] = now
 		}
 	}
 }
@@ -238,9 +238,9 @@
 			wanted[use.Adapter] = wanted[use.Adapter] || use.Waiting > 0
 		}
 	}
-	for adapter := range planner.firstAsked {
+	for adapter := range planner.waitingSince {
 		if !wanted[adapter] {
-			delete(planner.firstAsked, adapter)
+			delete(planner.waitingSince, adapter)
 		}
 	}
 }
--- a/internal/flow/lora/lora_test.go
+++ b/internal/flow/lora/lora_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// TestOverdue plays the cold start of the scenario scale-1, where more adapters
+// TestOverdue simulates the cold start of the scenario scale-1, where more adapters
 // are needed than the weight store delivers in time. If the oldest went first,
 // all requests would be late, so adapters with requests that can still meet
 // their response-time goal come first.
@@ -195,7 +195,7 @@
 	}
 }
 
-// TestLateOrders plays orders that get no answer and are executed later, as
+// TestLateOrders simulates orders that get no answer and are executed later, as
 // under high load. The engine must never hold more adapters than it has slots,
 // and must go on loading the adapters that requests wait for.
 func TestLateOrders(t *testing.T) {
--- a/internal/flow/lora/plan.go
+++ b/internal/flow/lora/plan.go
@@ -120,7 +120,7 @@
 		return cmp.Or(
 			cmp.Compare(missing[b].onTime, missing[a].onTime),
 			cmp.Compare(missing[b].late, missing[a].late),
-			planner.firstAsked[a].Compare(planner.firstAsked[b]),
+			planner.waitingSince[a].Compare(planner.waitingSince[b]),
 			cmp.Compare(a.Name, b.Name),
 			cmp.Compare(b.Version, a.Version),
 		)
--- a/internal/flow/picker/picker.go
+++ b/internal/flow/picker/picker.go
@@ -59,8 +59,7 @@
 
 // Health tells which upstreams are ejected after failures.
 type Health interface {
-	// Usable reports whether a request may be sent now. It may take the only
-	// probe of an ejected upstream.
+	// Usable reports whether a request may be sent now.
 	Usable(service, id string) bool
 }
 
@@ -68,7 +67,7 @@
 type Cordon interface {
 	// Cordoned reports whether an upstream must get no requests, and until when;
 	// a zero time means for good.
-	Cordoned(incarnation cordon.Incarnation) (until time.Time, avoided bool)
+	Cordoned(incarnation cordon.Incarnation) (until time.Time, cordoned bool)
 }
 
 // Config configures a Picker. Zero values mean the defaults.
--- a/internal/flow/picker/report.go
+++ b/internal/flow/picker/report.go
@@ -37,7 +37,7 @@
 	// Speed is the measured speed of the engine.
 	Speed admit.Speed
 	// CacheCapacity is how many of the adapters evicted last the engine can
-	// reload from its local cache. Dropped names the evicted adapters, the
+	// reload from its local cache. Evicted names the evicted adapters, the
 	// latest last; a loader sends it once.
 	CacheCapacity int
 	Evicted       []lora.Adapter
--- a/internal/flow/picker/usable.go
+++ b/internal/flow/picker/usable.go
@@ -6,9 +6,9 @@
 	"jacinthfront.dev/jacinthfront/internal/flow/cordon"
 )
 
-// avoided reports whether an upstream is draining or in backoff, and until
+// cordoned reports whether an upstream is draining or in backoff, and until
 // when.
-func (picker *Picker) avoided(upstream *upstream) (until time.Time, avoided bool) {
+func (picker *Picker) cordoned(upstream *upstream) (until time.Time, cordoned bool) {
 	if picker.config.Cordon == nil {
 		return time.Time{}, false
 	}
@@ -17,8 +17,8 @@
 
 // usable reports whether requests may be sent to an upstream.
 func (picker *Picker) usable(upstream *upstream) bool {
-	_, avoided := picker.avoided(upstream)
-	return !avoided && !upstream.draining()
+	_, cordoned := picker.cordoned(upstream)
+	return !cordoned && !upstream.draining()
 }
 
 // retryAfter returns the time until the first backoff asked for by an upstream
@@ -26,7 +26,7 @@
 func (picker *Picker) retryAfter(request Request) time.Duration {
 	var shortest time.Duration
 	for _, upstream := range picker.services[request.Service] {
-		until, _ := picker.avoided(upstream)
+		until, _ := picker.cordoned(upstream)
 		if until.IsZero() || upstream.draining() {
 			continue
 		}
--- a/internal/flow/policy/router.go
+++ b/internal/flow/policy/router.go
@@ -78,7 +78,7 @@
 		router.upstreams[index] = upstream{}
 	}
 	state := &router.upstreams[index]
-	state.generation, state.half, state.leaving = router.generation, member.Half, member.Draining
+	state.generation, state.half, state.listedDraining = router.generation, member.Half, member.Draining
 	state.roundTrip = 0
 	if member.FailureDomain != router.config.FailureDomain {
 		state.roundTrip = milliseconds(router.config.DomainRoundTrip(member.FailureDomain))
--- a/internal/flow/policy/router_test.go
+++ b/internal/flow/policy/router_test.go
@@ -67,7 +67,7 @@
 	setup.router.SetMembers(setup.members, 1)
 }
 
-func (setup *setup) leave(position int) {
+func (setup *setup) drain(position int) {
 	setup.change(position, func(member *Member) { member.Draining = true })
 }
 
@@ -109,7 +109,7 @@
 		{name: "draining long ago", setup: func(setup *setup) {
 			setup.router.UpdateLoad(now.Add(-time.Minute), setup.order[0], LoadReport{Draining: true})
 		}, want: 0},
-		{name: "leaving", setup: func(setup *setup) { setup.leave(0) }, want: 1, reason: RingSearch},
+		{name: "leaving", setup: func(setup *setup) { setup.drain(0) }, want: 1, reason: RingSearch},
 		{name: "other half", setup: func(setup *setup) {
 			setup.request.Half = "north"
 			setup.moveSouth(0)
@@ -243,7 +243,7 @@
 	}
 }
 
-// TestRoundRobin guards against a RoundRobin that chooses ejected or leaving
+// TestRoundRobin guards against a RoundRobin that chooses ejected or draining
 // upstreams, or ones of the other half.
 func TestRoundRobin(t *testing.T) {
 	health := ejected{"b": true}
--- a/internal/flow/policy/upstream.go
+++ b/internal/flow/policy/upstream.go
@@ -47,12 +47,12 @@
 	evictionRate float32
 	// sent and sentTokens count this instance's requests and their prompt tokens
 	// since the last report.
-	sent        int32
-	leaving     bool
-	draining    bool
-	nextRecent  uint8
-	loadedCount uint8
-	sentTokens  conf.Tokens
+	sent             int32
+	listedDraining   bool
+	reportedDraining bool
+	nextRecent       uint8
+	loadedCount      uint8
+	sentTokens       conf.Tokens
 	// recentLoads holds the low halves of the hashes of adapters that this
 	// instance's requests made the upstream load, and recentLoadTimes when the
 	// requests were sent, in nanoseconds of Unix time.
@@ -75,7 +75,7 @@
 	upstream.expectedWait = report.ExpectedWait
 	upstream.running, upstream.queued = report.Running, report.Queued
 	upstream.slots, upstream.freeSlots = report.Slots, report.FreeSlots
-	upstream.draining = report.Draining
+	upstream.reportedDraining = report.Draining
 	upstream.loadedCount = uint8(min(len(report.LoadedAdapters), maxLoadedAdapters))
 	for index := range upstream.loadedCount {
 		upstream.loaded[index] = uint32(report.LoadedAdapters[index])
@@ -122,10 +122,10 @@
 }
 
 func (upstream *upstream) usable(now int64, half conf.Half) bool {
-	if upstream.leaving || !upstream.half.CompatibleWith(half) {
+	if upstream.listedDraining || !upstream.half.CompatibleWith(half) {
 		return false
 	}
-	return !upstream.draining || time.Duration(now-upstream.reportedAt) > drainingTimeout
+	return !upstream.reportedDraining || time.Duration(now-upstream.reportedAt) > drainingTimeout
 }
 
 // score returns the weighted expected time to first token in milliseconds, and
--- a/internal/flow/quota/client.go
+++ b/internal/flow/quota/client.go
@@ -76,7 +76,7 @@
 // caller calls Commit directly before it dispatches the request, and Settle when
 // the request has ended. The error is a fault of kind RateExceeded if tokens
 // exceed the burst, WaitExceeded if the deadline of ctx passes, Cancelled if ctx
-// is cancelled, and Leaving if the client is closed.
+// is cancelled, and Draining if the client is closed.
 func (client *Client) Reserve(ctx context.Context, tokens conf.Tokens) (Reservation, error) {
 	reservation, waiter, err := client.reserveOrQueue(tokens)
 	if waiter == nil {
--- a/internal/flow/ring/popularity.go
+++ b/internal/flow/ring/popularity.go
@@ -24,8 +24,8 @@
 	Adapters int
 	// HalfLife is the time in which a request's share of the count halves.
 	HalfLife time.Duration
-	// Start is the time from which entries measure theirs. It must not be later
-	// than any request.
+	// Start is the time from which the times in entries count. It must not be
+	// later than any request.
 	Start time.Time
 }
 
--- a/internal/flow/slots/plan.go
+++ b/internal/flow/slots/plan.go
@@ -135,7 +135,7 @@
 // drainSlot makes the least valuable adapter in use admit no new pins. Otherwise
 // a steady load on the loaded adapters could keep every slot pinned for ever. Only
 // one slot drains at a time: draining up to half of them made the waits for loads
-// half as long again against the engine stand-in.
+// half as long again against the engine simulator.
 func (table *Table) drainSlot(now time.Time, waiting map[AdapterRef]bool) {
 	for _, slot := range table.slots {
 		if slot.draining {
--- a/internal/flow/slots/slots.go
+++ b/internal/flow/slots/slots.go
@@ -46,7 +46,7 @@
 	// overloaded.
 	defaultTargetLoadTime     = 250 * time.Millisecond
 	defaultMaxConcurrentLoads = 8
-	// defaultMaxLoadDeferral is one load time. Against the engine stand-in with 4
+	// defaultMaxLoadDeferral is one load time. Against the engine simulator with 4
 	// slots and 12 adapters, 100 ms answered 4% fewer requests in time, and
 	// 500 ms about as many.
 	defaultMaxLoadDeferral = 250 * time.Millisecond
