--- a/internal/daemon/start/docs_test.go
+++ b/internal/daemon/start/docs_test.go
@@ -19,8 +19,8 @@
 		}
 		page = append(page, text...)
 	}
-	counted := regexp.MustCompile(`(?:[Cc]ounters\.(?:Add|Set)|\.count|\.drop|metrics\.Add)\("([a-z-]+)"`)
-	gauged := regexp.MustCompile(`telem\.Gauge\("([a-z]+)", "([a-z-]+)"`)
+	counted := regexp.MustCompile(`(?:[Cc]ounters\.(?:Add|Set)|\.count|\.increment|\.drop|metrics\.Add)\("([a-z-]+)"`)
+	gauged := regexp.MustCompile(`metric\.SetGauge\("([a-z]+)", "([a-z-]+)"`)
 	files, err := filepath.Glob("../*/*.go")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%d files, %v", len(files), err)
