--- a/internal/base/logs/async.go
+++ b/internal/base/logs/async.go
@@ -38,9 +38,9 @@
 	RoutineRate float64
 	// MaxBufferedLines is the largest number of lines that wait to be written.
 	MaxBufferedLines int
-	// IsRoutine reports whether a message is a routine one. Routine messages have
-	// a limit of their own, so that they do not displace others, such as refusals
-	// and failures.
+	// IsRoutine reports whether a message is a routine one. Lines with
+	// routine messages must stay within both RoutineRate and LineRate, so that
+	// they are dropped before others, such as those about refusals and failures.
 	IsRoutine func(message string) bool
 }
 
--- a/internal/daemon/admin/json.go
+++ b/internal/daemon/admin/json.go
@@ -12,7 +12,7 @@
 	"jacinthfront.dev/jacinthfront/internal/state/patch"
 )
 
-// PatchReport is the result of a patch.
+// PatchReport is the JSON form of a syncer.PublishReport.
 type PatchReport struct {
 	ID      string           `json:"id"`
 	Result  patch.ResultKind `json:"result"`
@@ -23,7 +23,7 @@
 	Advice  string           `json:"advice,omitempty"`
 }
 
-// AcceptedPatch is an accepted patch.
+// AcceptedPatch is the JSON form of a syncer.Change.
 type AcceptedPatch struct {
 	Version  uint64   `json:"version"`
 	ID       string   `json:"id"`
--- a/internal/daemon/entry/attempt.go
+++ b/internal/daemon/entry/attempt.go
@@ -170,14 +170,14 @@
 
 func (attempt *attempt) handleFailed(event *wirepb.Failed) result {
 	err := fault.New(fault.Kind(event.GetKind()), ranFromWire(event.GetRan()), "%s", event.GetMessage())
-	result := result{outcome: failed, tryElsewhere: mayPassElsewhere(err.Kind()), fault: err}
+	result := result{outcome: failed, tryElsewhere: mayTryElsewhere(err.Kind()), fault: err}
 	result.unhealthy = err.Kind() == fault.UpstreamFailed || err.Kind() == fault.Internal
 	return result
 }
 
-// mayPassElsewhere reports whether a request that failed with this kind may
+// mayTryElsewhere reports whether a request that failed with this kind may
 // succeed at another upstream.
-func mayPassElsewhere(kind fault.Kind) bool {
+func mayTryElsewhere(kind fault.Kind) bool {
 	switch kind {
 	case fault.UpstreamFailed, fault.LoadFailed, fault.Internal, fault.Draining, fault.Overloaded, fault.NoUpstream:
 		return true
--- a/internal/daemon/entry/liveness.go
+++ b/internal/daemon/entry/liveness.go
@@ -11,7 +11,7 @@
 var errUnresponsive = fault.New(fault.UpstreamFailed, fault.RunUnknown, "the side process does not respond; try again")
 
 // probeLiveness probes the side process whenever the attempt has had no event for
-// ProbeAfter, and ends the attempt if the probe is not answered. A paused process
+// LivenessInterval, and ends the attempt if the probe is not answered. A paused process
 // keeps its connections open, so that nothing else would show the pause before
 // the deadline.
 //
--- a/internal/daemon/side/checks_test.go
+++ b/internal/daemon/side/checks_test.go
@@ -32,7 +32,7 @@
 		_, _ = harness.Cancel(harness.ctx, &wirepb.CancelRequest{RequestId: request.GetRequestId(), Attempt: 1, Incarnation: 77})
 	}, "cancelled"},
 	{"withdrawals of keys cannot arrive", func(harness *harness, _ *wirepb.RunRequest) { harness.configs.isolated.Store(true) }, "stale"},
-	{"upstream draining", func(harness *harness, _ *wirepb.RunRequest) { harness.roster.draining.Store(true) }, "leaving"},
+	{"upstream draining", func(harness *harness, _ *wirepb.RunRequest) { harness.drainStatus.draining.Store(true) }, "leaving"},
 	{"key withdrawn", edited(func(editor *conf.Editor) { editor.WithdrawKey("oak-key") }), "key-withdrawn"},
 	{"key moved to another organisation", edited(func(editor *conf.Editor) {
 		editor.PutKey(conf.KeySpec{ID: "oak-key", Organisation: "ash"})
--- a/internal/daemon/side/fakes_test.go
+++ b/internal/daemon/side/fakes_test.go
@@ -96,13 +96,13 @@
 
 // fakeEngine is an engine and a plain service with configurable behaviour.
 type fakeEngine struct {
-	mu      sync.Mutex
-	epoch   string
-	slots   int
-	fence   uint64
-	loaded  map[slots.AdapterRef]bool
-	inUse   map[slots.AdapterRef]int
-	running int
+	mu           sync.Mutex
+	incarnation  string
+	slots        int
+	fencingToken uint64
+	loaded       map[slots.AdapterRef]bool
+	inUse        map[slots.AdapterRef]int
+	running      int
 	// reports are the counts of running requests over time, of which State
 	// reports an older one.
 	reports      []report
@@ -143,7 +143,7 @@
 
 func newFakeEngine() *fakeEngine {
 	return &fakeEngine{
-		epoch: "e1", slots: 2, loaded: map[slots.AdapterRef]bool{}, inUse: map[slots.AdapterRef]int{},
+		incarnation: "e1", slots: 2, loaded: map[slots.AdapterRef]bool{}, inUse: map[slots.AdapterRef]int{},
 		loadTime: 100 * time.Millisecond, cancelDelay: 300 * time.Millisecond, tokens: 3, tokenInterval: 10 * time.Millisecond,
 	}
 }
@@ -174,7 +174,7 @@
 
 func (engine *fakeEngine) restart() {
 	engine.set(func() {
-		engine.epoch += "+"
+		engine.incarnation += "+"
 		clear(engine.loaded)
 		clear(engine.inUse)
 		engine.changeRunning(-engine.running)
@@ -187,7 +187,7 @@
 	if engine.unresponsive {
 		return EngineState{}, errCut
 	}
-	state := EngineState{Incarnation: engine.epoch, Slots: engine.slots, FencingToken: engine.fence, Loaded: slices.Collect(maps.Keys(engine.loaded))}
+	state := EngineState{Incarnation: engine.incarnation, Slots: engine.slots, FencingToken: engine.fencingToken, Loaded: slices.Collect(maps.Keys(engine.loaded))}
 	for _, report := range engine.reports {
 		if time.Since(report.at) >= fakeReportLag {
 			state.Running = report.running
@@ -413,23 +413,23 @@
 	return LogPage{Records: records[from:], NextOffset: uint64(len(records))}, nil
 }
 
-// fakeRoster says whether the upstream is draining.
-type fakeRoster struct{ draining atomic.Bool }
+// fakeDrainStatus says whether the upstream is draining.
+type fakeDrainStatus struct{ draining atomic.Bool }
 
-func (roster *fakeRoster) Draining(string) bool { return roster.draining.Load() }
+func (fakeDrainStatus *fakeDrainStatus) Draining(string) bool { return fakeDrainStatus.draining.Load() }
 
 // harness is a Server with its fakes, served over net.Pipe.
 type harness struct {
 	*Server
-	t          testing.TB
-	ctx        context.Context
-	configs    *fakeConfigSource
-	fakeEngine *fakeEngine
-	limiter    *fakeLimiter
-	log        *fakeLog
-	roster     *fakeRoster
-	metrics    *expvar.Map
-	serial     int
+	t           testing.TB
+	ctx         context.Context
+	configs     *fakeConfigSource
+	fakeEngine  *fakeEngine
+	limiter     *fakeLimiter
+	log         *fakeLog
+	drainStatus *fakeDrainStatus
+	metrics     *expvar.Map
+	serial      int
 }
 
 // withHarness runs a test in virtual time. It checks that the server handles no
@@ -460,13 +460,13 @@
 func newHarness(t testing.TB, change func(*Config)) *harness {
 	t.Helper()
 	harness := &harness{
-		t: t, configs: newFakeConfigSource(), fakeEngine: newFakeEngine(), log: &fakeLog{records: map[string][]LogRecord{}}, roster: &fakeRoster{},
+		t: t, configs: newFakeConfigSource(), fakeEngine: newFakeEngine(), log: &fakeLog{records: map[string][]LogRecord{}}, drainStatus: &fakeDrainStatus{},
 		limiter: &fakeLimiter{level: map[string]conf.Tokens{"oak": 1e6, "ash": 1e6}},
 		metrics: new(expvar.Map).Init(),
 	}
 	config := Config{
 		UpstreamID: "up", ConfigSource: harness.configs, UpstreamClient: harness.fakeEngine, Limiter: harness.limiter, Log: harness.log,
-		DrainStatus: harness.roster, Metrics: harness.metrics, Incarnation: 77,
+		DrainStatus: harness.drainStatus, Metrics: harness.metrics, Incarnation: 77,
 	}
 	if change != nil {
 		change(&config)
--- a/internal/daemon/side/loads.go
+++ b/internal/daemon/side/loads.go
@@ -13,7 +13,7 @@
 )
 
 // errEngineRestarted is the error of an order that was planned for an earlier
-// epoch of the engine.
+// incarnation of the engine.
 var errEngineRestarted = errors.New("the engine restarted")
 
 // errNotEvicted is the error of an order whose eviction the engine did not
@@ -45,7 +45,7 @@
 	} else {
 		refuseWaiting = server.table.LoadFinished(now, order.Load, err)
 	}
-	if engineState != nil && engineState.Incarnation == server.engine.epoch {
+	if engineState != nil && engineState.Incarnation == server.engine.incarnation {
 		server.table.Reconcile(now, engineState.Loaded)
 	}
 	if refuseWaiting && !server.table.Ready(order.Load) {
--- a/internal/daemon/side/permits.go
+++ b/internal/daemon/side/permits.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// permitLifetime is how long a permit that no load used is kept. The store
-	// counts loads in flight, so permits must not be accumulated.
+	// permitLifetime is how long a permit that no load used is kept. The weight
+	// store takes longer for each load when many are in flight, so permits must
+	// not be accumulated.
 	permitLifetime = 500 * time.Millisecond
 	// permitBackoff is the pause after a permit could not be acquired.
 	permitBackoff = 250 * time.Millisecond
--- a/internal/daemon/side/ports.go
+++ b/internal/daemon/side/ports.go
@@ -85,7 +85,7 @@
 	Draining(upstream string) bool
 }
 
-// neverDraining is the default Roster.
+// neverDraining is the default DrainStatus.
 type neverDraining struct{}
 
 func (neverDraining) Draining(string) bool { return false }
--- a/internal/daemon/side/schedule.go
+++ b/internal/daemon/side/schedule.go
@@ -10,9 +10,9 @@
 
 // engineView is what this process knows of its engine.
 type engineView struct {
-	epoch string
-	// generation counts the epochs seen. Pins and loads of earlier generations
-	// are void.
+	incarnation string
+	// generation counts the engine's incarnations that were seen. Pins and loads
+	// of earlier generations are void.
 	generation uint64
 	known      bool
 	// reportedAt is when the last state that the engine reported was requested.
--- a/internal/daemon/side/serve.go
+++ b/internal/daemon/side/serve.go
@@ -82,7 +82,7 @@
 	defer server.mu.Unlock()
 	server.engine.reportedAt = askedAt
 	server.updateFencingToken(state)
-	if !server.engine.known || state.Incarnation != server.engine.epoch {
+	if !server.engine.known || state.Incarnation != server.engine.incarnation {
 		server.resetEngine(state)
 	}
 	server.table.Resize(state.Slots)
@@ -90,12 +90,13 @@
 	server.schedule()
 }
 
-// resetEngine adopts the state of an engine in a new epoch. In the first epoch
-// that this process sees, requests of an earlier process may still run.
+// resetEngine resets the slot table to the state of a new incarnation of the
+// engine. In the first incarnation that this process sees, requests of an
+// earlier side process may still run.
 func (server *Server) resetEngine(state EngineState) {
 	first := !server.engine.known
 	server.engine.generation++
-	server.engine.epoch, server.engine.known = state.Incarnation, true
+	server.engine.incarnation, server.engine.known = state.Incarnation, true
 	server.unconfirmed = nil
 	now := time.Now()
 	server.table.Reset(now, state.Slots, state.Loaded)
--- a/internal/daemon/side/side.go
+++ b/internal/daemon/side/side.go
@@ -36,8 +36,8 @@
 	Metrics  Metrics
 	Logger   *zap.Logger
 
-	// Incarnation is the start time in Unix milliseconds. It is also the first
-	// fencing token.
+	// Incarnation is the start time of this process in Unix milliseconds. It is
+	// also the first fencing token.
 	Incarnation uint64
 	Queue       fairq.Config
 	Slots       slots.Config
--- a/internal/daemon/side/superseded.go
+++ b/internal/daemon/side/superseded.go
@@ -11,8 +11,9 @@
 // updateFencingToken compares the engine's fencing token with that of this
 // process. At the engine's first report only, the process takes a token above
 // those of earlier processes. A higher token in a later report belongs to a
-// process that started later. So of two processes at one engine, the one that
-// started last keeps it, even if the other one was paused meanwhile.
+// process that started later. So of two processes that serve one engine, only
+// the one that started last continues, even if the other one was paused
+// meanwhile.
 func (server *Server) updateFencingToken(state EngineState) {
 	switch {
 	case state.FencingToken <= server.fencingToken:
--- a/internal/daemon/side/superseded_test.go
+++ b/internal/daemon/side/superseded_test.go
@@ -18,7 +18,7 @@
 	newer := uint64(0)
 	withHarness(t, func(config *Config) {
 		newer = config.Incarnation + 90
-		config.UpstreamClient.(*fakeEngine).fence = newer
+		config.UpstreamClient.(*fakeEngine).fencingToken = newer
 	}, func(harness *harness) {
 		if got := harness.do(harness.ctx, harness.request()); !got.Done {
 			t.Errorf("after a predecessor with a newer token: %+v", got)
@@ -26,7 +26,7 @@
 		if diff := cmp.Diff(newer+1, harness.FencingToken()); diff != "" {
 			t.Errorf("token above the predecessor's: %s", diff)
 		}
-		harness.fakeEngine.set(func() { harness.fakeEngine.fence = newer + 50 })
+		harness.fakeEngine.set(func() { harness.fakeEngine.fencingToken = newer + 50 })
 		time.Sleep(pollInterval + time.Millisecond)
 		select {
 		case <-harness.Superseded():
--- a/internal/daemon/start/health.go
+++ b/internal/daemon/start/health.go
@@ -5,7 +5,7 @@
 	"jacinthfront.dev/jacinthfront/internal/flow/health"
 )
 
-// serviceHealth implements entry.Health.
+// serviceHealth implements entry.HealthTracker.
 type serviceHealth struct{ *health.Tracker }
 
 func newHealth(string) entry.HealthTracker {
--- a/internal/daemon/start/limiter.go
+++ b/internal/daemon/start/limiter.go
@@ -14,9 +14,9 @@
 	"jacinthfront.dev/jacinthfront/internal/wire/wirepb"
 )
 
-// limiter implements side.Limiter, side.Estimator and side.Permits with one quota
-// client for each organisation. The clients draw tokens from the shards, which the
-// side processes host.
+// limiter implements side.Limiter, side.WaitEstimator and side.Permits with one
+// quota client for each organisation. The clients draw tokens from the shards,
+// which the side processes host.
 type limiter struct {
 	components *components
 	upstreamID string
--- a/internal/daemon/start/side.go
+++ b/internal/daemon/start/side.go
@@ -50,7 +50,7 @@
 		Limiter:         limiter,
 		Permits:         limiter,
 		Log:             claimLog{components.log},
-		DrainStatus:     sideRoster{components},
+		DrainStatus:     drainStatus{components},
 		NewShard:        newShard,
 		Metrics:         metric.Map("side"),
 		Logger:          components.logger,
--- a/internal/link/roster/roster_test.go
+++ b/internal/link/roster/roster_test.go
@@ -42,9 +42,9 @@
 	return infra.Instance{ID: id, Role: RoleSide, Upstream: upstream, Address: id + ":80"}
 }
 
-// TestLeavingIsSeen guards against a draining upstream that is seen only after
+// TestDrainingIsSeen guards against a draining upstream that is seen only after
 // more than 3 s, and against losing the list in an outage.
-func TestLeavingIsSeen(t *testing.T) {
+func TestDrainingIsSeen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := newPlatform(t)
 		serve(t, platform, func(roster *Roster) {
--- a/internal/link/roster/view.go
+++ b/internal/link/roster/view.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// stateLeaving is the list's state of an instance that is draining.
-const stateLeaving = "leaving"
+// stateDraining is the list's state of an instance that is draining.
+const stateDraining = "leaving"
 
 // Instance is an entry of the instance list.
 type Instance struct {
@@ -88,7 +88,7 @@
 	for _, changed := range update.Instances {
 		byID[changed.ID] = Instance{
 			ID: changed.ID, Role: changed.Role, Upstream: changed.Upstream, Address: changed.Address,
-			FailureDomain: changed.FailureDomain, Draining: changed.State == stateLeaving, AnnouncedAt: changed.Announced,
+			FailureDomain: changed.FailureDomain, Draining: changed.State == stateDraining, AnnouncedAt: changed.Announced,
 		}
 	}
 	updated.index(byID)
--- a/internal/state/routes/routes.go
+++ b/internal/state/routes/routes.go
@@ -199,7 +199,7 @@
 		if route.EventGapGoal <= 0 || shortest > 0 && route.EventGapGoal >= shortest {
 			continue
 		}
-		if slices.ContainsFunc(route.Services, func(share WeightedService) bool { return share.Service == service }) {
+		if slices.ContainsFunc(route.Services, func(weighted WeightedService) bool { return weighted.Service == service }) {
 			shortest = route.EventGapGoal
 		}
 	}
@@ -211,14 +211,14 @@
 // its weight.
 func (route *Route) PickService(point float64) string {
 	var total float64
-	for _, share := range route.Services {
-		total += share.Weight
+	for _, weighted := range route.Services {
+		total += weighted.Weight
 	}
 	remaining := point * total
-	for _, share := range route.Services {
-		remaining -= share.Weight
+	for _, weighted := range route.Services {
+		remaining -= weighted.Weight
 		if remaining < 0 {
-			return share.Service
+			return weighted.Service
 		}
 	}
 	if len(route.Services) == 0 {
--- a/internal/state/routes/routes_test.go
+++ b/internal/state/routes/routes_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestPick(t *testing.T) {
+func TestPickService(t *testing.T) {
 	route, _ := newTable().Match("a.example", "/x/y/")
 	got := map[string]int{}
 	for i := range 100 {
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestTargetGap(t *testing.T) {
+func TestShortestEventGapGoal(t *testing.T) {
 	table := newTable()
 	got := []time.Duration{table.ShortestEventGapGoal("advisor"), table.ShortestEventGapGoal("counter")}
 	if diff := cmp.Diff([]time.Duration{300 * time.Millisecond, 0}, got); diff != "" {
--- a/internal/wire/codec/state.go
+++ b/internal/wire/codec/state.go
@@ -142,26 +142,27 @@
 	editor := decoder.editor
 	switch field {
 	case stateOrganisations:
-		return entry(content, &wirepb.Organisation{}, organisationFromWire, editor.PutOrganisation)
+		return decodeAndPut(content, &wirepb.Organisation{}, organisationFromWire, editor.PutOrganisation)
 	case stateKeys:
-		return entry(content, &wirepb.Key{}, keyFromWire, editor.PutKey)
+		return decodeAndPut(content, &wirepb.Key{}, keyFromWire, editor.PutKey)
 	case stateRoutes:
-		return entry(content, &wirepb.Route{}, routeFromWire, editor.PutRoute)
+		return decodeAndPut(content, &wirepb.Route{}, routeFromWire, editor.PutRoute)
 	case stateAdapters:
 		// The message is reused to save memory, since there are many adapters. The
 		// editor keeps no reference to it.
-		return entry(content, &decoder.adapter, adapterFromWire, editor.PutAdapter)
+		return decodeAndPut(content, &decoder.adapter, adapterFromWire, editor.PutAdapter)
 	case stateUpstreams:
-		return entry(content, &wirepb.Upstream{}, upstreamFromWire, editor.PutUpstream)
+		return decodeAndPut(content, &wirepb.Upstream{}, upstreamFromWire, editor.PutUpstream)
 	case stateFleet:
-		return entry(content, &wirepb.Fleet{}, fleetFromWire, editor.PutFleet)
+		return decodeAndPut(content, &wirepb.Fleet{}, fleetFromWire, editor.PutFleet)
 	case stateAccepted:
 		decoder.accepted = append(decoder.accepted, string(content))
 	}
 	return nil
 }
 
-func entry[W proto.Message, T any](content []byte, wire W, convert func(W) T, put func(T)) error {
+// decodeAndPut decodes one entry of a state and passes it to put.
+func decodeAndPut[W proto.Message, T any](content []byte, wire W, convert func(W) T, put func(T)) error {
 	if err := proto.Unmarshal(content, wire); err != nil {
 		return Class.Wrap(err)
 	}
--- a/internal/wire/conns/conns_test.go
+++ b/internal/wire/conns/conns_test.go
@@ -106,7 +106,7 @@
 }
 
 // TestNothingSent guards against a failed dial that is reported like a lost
-// response. Requests that are not idempotent then ended with an unknown outcome
+// response: requests that are not idempotent would end with an unknown outcome
 // instead of being sent again.
 func TestNothingSent(t *testing.T) {
 	pool := conns.New(conns.Config{Dial: func(context.Context, string) (net.Conn, error) {
