--- a/cmd/testbed/bench.go
+++ b/cmd/testbed/bench.go
@@ -15,7 +15,7 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/trial"
 )
 
-// benchCommand measures policies on loopback.
+// benchCommand measures and compares routing policies on TCP loopback.
 type benchCommand struct {
 	Deployment string        `long:"deployment" choice:"bonsai" choice:"gourd" default:"bonsai" description:"deployment to run"`
 	Policy     string        `long:"policy" choice:"naive" choice:"default" choice:"all" default:"all" description:"policy to measure; all compares them"`
@@ -30,7 +30,7 @@
 	LogLevel   string        `long:"log-level" default:"error" description:"level of the daemons' log lines"`
 }
 
-// benchResult is the JSON form of a run.
+// benchResult is the JSON output of the bench command.
 type benchResult struct {
 	Results     []trial.Result     `json:"results"`
 	Comparisons []trial.Comparison `json:"comparisons"`
@@ -52,41 +52,43 @@
 		return err
 	}
 	if command.Plot != "" {
-		if err := trial.Plot(results, command.Plot); err != nil {
+		if err := trial.WritePlot(results, command.Plot); err != nil {
 			return err
 		}
 	}
 	for index := range results {
-		if !results[index].Held() {
-			return errBroken
+		if !results[index].InvariantsHeld() {
+			return errInvariantViolated
 		}
 	}
 	return nil
 }
 
+// config returns the configuration of the trials.
 func (command *benchCommand) config() (trial.Config, error) {
 	deployment, err := demo.ByName(command.Deployment)
 	if err != nil {
 		return trial.Config{}, err
 	}
 	if command.Skew != 0 {
-		deployment.Skew = command.Skew
+		deployment.ZipfExponent = command.Skew
 	}
 	logger, err := logs.NewLogger(logs.Config{Level: command.LogLevel, Text: true, Instance: "bench"})
 	return trial.Config{
-		Deployment: deployment, Network: func() demo.Network { return demo.NewTCP() }, Seed: command.Seed,
-		Warmup: command.Warmup, Length: command.For, Entries: command.Entries, Logger: logger,
+		Deployment: deployment, NewNetwork: func() demo.Network { return demo.NewTCPNetwork() }, Seed: command.Seed,
+		Warmup: command.Warmup, Duration: command.For, EntryCount: command.Entries, Logger: logger,
 	}, err
 }
 
+// run runs the chosen scenarios with each chosen policy.
 func (command *benchCommand) run(ctx context.Context, config trial.Config) ([]trial.Result, error) {
-	scenarios, err := trial.ByName(command.Scenario)
+	scenarios, err := trial.SelectScenarios(command.Scenario)
 	if err != nil {
 		return nil, err
 	}
 	policies := []string{command.Policy}
 	if command.Policy == "all" {
-		policies = []string{trial.Naive, trial.Default}
+		policies = []string{trial.NaivePolicy, trial.DefaultPolicy}
 	}
 	var results []trial.Result
 	for _, scenario := range scenarios {
@@ -109,7 +111,7 @@
 		return encoder.Encode(benchResult{results, trial.Compare(results)})
 	}
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	for _, line := range trial.Lines(results) {
+	for _, line := range trial.FormatTables(results) {
 		if _, err := fmt.Fprintln(table, line); err != nil {
 			return err
 		}
--- a/cmd/testbed/demo.go
+++ b/cmd/testbed/demo.go
@@ -18,10 +18,10 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/demo"
 )
 
-// errBroken reports that a promise was broken.
-var errBroken = errors.New("a promise was broken; see the table")
+// errInvariantViolated reports that a required invariant did not hold.
+var errInvariantViolated = errors.New("a promise was broken; see the table")
 
-// demoCommand runs a deployment on loopback and checks the promises.
+// demoCommand runs a deployment on TCP loopback and checks the invariants.
 type demoCommand struct {
 	Deployment string        `long:"deployment" choice:"bonsai" choice:"gourd" default:"bonsai" description:"deployment to run"`
 	For        time.Duration `long:"for" description:"length of the load; without it the deployment stays up"`
@@ -45,12 +45,12 @@
 		return err
 	}
 	if command.For == 0 {
-		return command.stay(ctx, deployment, logger)
+		return command.runUntilStopped(ctx, deployment, logger)
 	}
 	progress := io.Writer(os.Stderr)
 	result, err := demo.Run(ctx, demo.Config{
-		Deployment: deployment, Network: demo.NewTCP(), Policy: command.Policy, Entries: command.Entries,
-		Seed: command.Seed, Length: command.For, Logger: logger, Progress: progress,
+		Deployment: deployment, Network: demo.NewTCPNetwork(), Policy: command.Policy, Entries: command.Entries,
+		Seed: command.Seed, Duration: command.For, Logger: logger, Progress: progress,
 	})
 	if err != nil {
 		return err
@@ -59,7 +59,7 @@
 		return err
 	}
 	if !result.Held() {
-		return errBroken
+		return errInvariantViolated
 	}
 	return nil
 }
@@ -79,11 +79,11 @@
 	return table.Flush()
 }
 
-// resultLines returns the result as lines with tab-separated columns.
+// resultLines formats a result as lines with tab-separated columns.
 func resultLines(result demo.Result) []string {
 	lines := []string{"", "PROMISE\tHELD\tSEEN"}
-	for _, promise := range result.Promises {
-		lines = append(lines, fmt.Sprintf("%s\t%s\t%s", promise.Name, yes(promise.Held), promise.Seen))
+	for _, invariant := range result.Invariants {
+		lines = append(lines, fmt.Sprintf("%s\t%s\t%s", invariant.Name, yesOrNo(invariant.Held), invariant.Observed))
 	}
 	lines = append(lines, measureLines(result.Measures)...)
 	for _, problem := range result.Problems {
@@ -92,19 +92,20 @@
 	return lines
 }
 
+// measureLines formats the measures as lines with tab-separated columns.
 func measureLines(measures demo.Measures) []string {
 	lines := []string{
 		"", "MEASURE\tVALUE\t",
-		fmt.Sprintf("load stall per model request\t%.1f ms\t%.1f%% of requests stalled, %d loads", measures.LoadStall, 100*measures.Stalled, measures.Loads),
+		fmt.Sprintf("load stall per model request\t%.1f ms\t%.1f%% of requests stalled, %d loads", measures.LoadStall, 100*measures.StalledFraction, measures.Loads),
 		fmt.Sprintf("tokens per engine step\t%.2f\t", measures.TokensPerStep),
-		fmt.Sprintf("worst-served organisation, p95 first token\t%.0f ms\t%s", measures.Worst, measures.WorstOrganisation),
+		fmt.Sprintf("worst-served organisation, p95 first token\t%.0f ms\t%s", measures.WorstP95, measures.WorstOrganisation),
 		fmt.Sprintf("wrongful refusals\t%d\tof %d requests, %d completed, %d unknown, errors %v",
-			measures.Wrongful, measures.Sent, measures.Completed, measures.Unknown, measures.Errors),
+			measures.WrongfulRefusals, measures.Sent, measures.Completed, measures.UnknownEffect, measures.Errors),
 		"", "ORGANISATION\tKIND\tSENT\tDONE\tREFUSED\tFIRST TOKEN p50/p95/p99\tBETWEEN TOKENS p50/p95/p99",
 	}
 	for _, group := range measures.Groups {
 		lines = append(lines, fmt.Sprintf("%s\t%s\t%d\t%d\t%d\t%s\t%s", group.Organisation, group.Kind,
-			group.Sent, group.Completed, group.Refused, latencyText(group.FirstToken), latencyText(group.Gap)))
+			group.Sent, group.Completed, group.Refused, latencyText(group.FirstToken), latencyText(group.TokenInterval)))
 	}
 	return lines
 }
@@ -113,17 +114,18 @@
 	return fmt.Sprintf("%.0f/%.0f/%.0f ms", latency.P50, latency.P95, latency.P99)
 }
 
-func yes(held bool) string {
+func yesOrNo(held bool) string {
 	if held {
 		return "yes"
 	}
 	return "NO"
 }
 
-// stay keeps a deployment up and prints commands that work against it.
-func (command *demoCommand) stay(ctx context.Context, deployment demo.Deployment, logger *zap.Logger) error {
+// runUntilStopped runs a deployment until a signal arrives, and prints shell
+// commands for trying it out.
+func (command *demoCommand) runUntilStopped(ctx context.Context, deployment demo.Deployment, logger *zap.Logger) error {
 	fleet, err := demo.NewFleet(demo.FleetConfig{
-		Deployment: deployment, Network: demo.NewTCP(), Policy: command.Policy, Entries: command.Entries, Seed: command.Seed, Logger: logger,
+		Deployment: deployment, Network: demo.NewTCPNetwork(), Policy: command.Policy, Entries: command.Entries, Seed: command.Seed, Logger: logger,
 	})
 	if err != nil {
 		return err
@@ -132,7 +134,7 @@
 	if err := fleet.Start(ctx); err != nil {
 		return err
 	}
-	for _, line := range fleet.Examples() {
+	for _, line := range fleet.ExampleCommands() {
 		fmt.Println(line)
 	}
 	<-ctx.Done()
--- a/cmd/testbed/slopes.go
+++ b/cmd/testbed/slopes.go
@@ -12,7 +12,7 @@
 	"jacinthfront.dev/jacinthfront/internal/bench/slope"
 )
 
-// slopesCommand measures how costs grow.
+// slopesCommand measures how each cost grows with one size.
 type slopesCommand struct {
 	Only   string `long:"only" value-name:"NAME" description:"measure only the rows whose names begin with this"`
 	Quick  bool   `long:"quick" description:"measure some rows at small sizes, in less than 10 s"`
@@ -23,7 +23,7 @@
 func (command *slopesCommand) Execute([]string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	results, err := slope.Run(ctx, slope.Config{Only: command.Only, Quick: command.Quick, Progress: os.Stderr})
+	results, err := slope.Run(ctx, slope.Config{NamePrefix: command.Only, Quick: command.Quick, Progress: os.Stderr})
 	if err != nil {
 		return err
 	}
@@ -35,12 +35,13 @@
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "ROW\tUNIT\tPER\tSLOPE\tINTERCEPT\tSPREAD\tTARGET\tAT TARGET")
 	for _, result := range results {
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%.4g\t%.4g\t%.3g\t%s\n", result.Name, result.Unit, result.Size,
-			result.Line.Slope, result.Line.Intercept, result.Line.Spread, targetText(result))
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%.4g\t%.4g\t%.3g\t%s\n", result.Name, result.Unit, result.SizeName,
+			result.Line.Slope, result.Line.Intercept, result.Line.ResidualStdDev, targetText(result))
 	}
 	return table.Flush()
 }
 
+// targetText formats the target size of a result and the fitted cost at that size.
 func targetText(result slope.Result) string {
 	if result.Target == 0 {
 		return "-\t-"
--- a/internal/bench/proof/proof_test.go
+++ b/internal/bench/chaos/chaos_test.go
@@ -1,4 +1,4 @@
-package proof
+package chaos
 
 import (
 	"flag"
@@ -8,24 +8,24 @@
 	"testing"
 	"testing/synctest"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/known"
+	"jacinthfront.dev/jacinthfront/internal/bench/xfail"
 )
 
 var (
-	seeds = flag.Uint64("seeds", 1000, "number of schedules")
-	from  = flag.Uint64("from", 1, "first seed")
+	seeds     = flag.Uint64("seeds", 1000, "number of schedules")
+	firstSeed = flag.Uint64("from", 1, "first seed")
 )
 
-// TestSchedules guards against every broken invariant that two failures at a
-// time can bring about.
+// TestSchedules checks the invariants under combinations of two failures, one
+// schedule per seed.
 func TestSchedules(t *testing.T) {
 	var mutex sync.Mutex
 	var totals Totals
 	t.Run("seed", func(t *testing.T) {
-		for seed := *from; seed < *from+*seeds; seed++ {
+		for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				known.Skip(t)
+				xfail.SkipIfListed(t)
 				synctest.Test(t, func(t *testing.T) {
 					report, err := Run(t.Context(), Generate(seed))
 					if err != nil {
--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -9,46 +9,47 @@
 	"go.uber.org/zap"
 
 	"jacinthfront.dev/jacinthfront/internal/base/setup"
-	"jacinthfront.dev/jacinthfront/internal/bench/load"
-	"jacinthfront.dev/jacinthfront/internal/bench/model"
+	"jacinthfront.dev/jacinthfront/internal/bench/engsim"
+	"jacinthfront.dev/jacinthfront/internal/bench/reqgen"
 )
 
-// Config configures a demo run.
+// Config configures a run of a deployment.
 type Config struct {
 	Deployment Deployment
 	Network    Network
 	Policy     string
 	Entries    int
 	Seed       uint64
-	Length     time.Duration
+	Duration   time.Duration
 	TLS        setup.TLS
 	Logger     *zap.Logger
-	// Progress receives one line a second; nil means none.
+	// Progress receives one line each second; nil means no output.
 	Progress io.Writer
 }
 
-// Result is the outcome of a demo run.
+// Result is the outcome of a run.
 type Result struct {
-	Deployment string    `json:"deployment"`
-	Seed       uint64    `json:"seed"`
-	Length     string    `json:"length"`
-	Promises   []Promise `json:"promises"`
-	Measures   Measures  `json:"measures"`
-	Problems   []string  `json:"problems"`
+	Deployment string      `json:"deployment"`
+	Seed       uint64      `json:"seed"`
+	Length     string      `json:"length"`
+	Invariants []Invariant `json:"promises"`
+	Measures   Measures    `json:"measures"`
+	Problems   []string    `json:"problems"`
 }
 
-// Held reports whether all promises held.
+// Held reports whether all invariants held.
 func (result Result) Held() bool {
-	for _, promise := range result.Promises {
-		if !promise.Held {
+	for _, invariant := range result.Invariants {
+		if !invariant.Held {
 			return false
 		}
 	}
 	return true
 }
 
-// Run runs a deployment under load, with operators' actions, and checks the
-// promises.
+// Run runs a deployment under load and operators' actions, checks the invariants
+// and computes the measures. It returns an error if the deployment does not start
+// or ctx ends early.
 func Run(ctx context.Context, config Config) (Result, error) {
 	fleet, err := NewFleet(FleetConfig{
 		Deployment: config.Deployment, Network: config.Network, Policy: config.Policy,
@@ -61,32 +62,33 @@
 	if err := fleet.Start(ctx); err != nil {
 		return Result{}, err
 	}
-	generator := load.New(load.Config{
-		Entries: fleet.Entries, Client: fleet.client, Plan: fleet.plan, Seed: config.Seed, Expect: Expect,
+	generator := reqgen.New(reqgen.Config{
+		EntryURLs: fleet.EntryURLs, Client: fleet.client, Plan: fleet.plan, Seed: config.Seed, ExpectedToken: ExpectedToken,
 	})
 	stopProgress := showProgress(config.Progress, generator.Report())
-	acted := make(chan *Events, 1)
-	go func() { acted <- fleet.RunEvents(ctx, config.Length) }()
-	generator.Run(ctx, config.Length)
-	events := <-acted
+	finished := make(chan *OperatorActions, 1)
+	go func() { finished <- fleet.RunOperatorActions(ctx, config.Duration) }()
+	generator.Run(ctx, config.Duration)
+	actions := <-finished
 	stopProgress()
 	if ctx.Err() != nil {
 		return Result{}, ctx.Err()
 	}
 	report := generator.Report()
 	return Result{
-		Deployment: config.Deployment.Name, Seed: config.Seed, Length: config.Length.String(),
-		Promises: fleet.Check(report, events), Measures: fleet.Measure(report), Problems: report.Problems(),
+		Deployment: config.Deployment.Name, Seed: config.Seed, Length: config.Duration.String(),
+		Invariants: fleet.CheckInvariants(report, actions), Measures: fleet.Measure(report), Problems: report.Problems(),
 	}, nil
 }
 
-// Expect returns the text of a token as the engine stand-in generates it.
-func Expect(adapter string, version uint32, prompt string, index int) string {
-	return model.Token(adapter, version, prompt, int64(index))
+// ExpectedToken returns the text of a token as the engine simulator generates it.
+func ExpectedToken(adapter string, version uint32, prompt string, index int) string {
+	return engsim.TokenText(adapter, version, prompt, int64(index))
 }
 
-// showProgress writes a line a second until the returned function is called.
-func showProgress(writer io.Writer, report *load.Report) func() {
+// showProgress writes the request counts each second until the returned function
+// is called.
+func showProgress(writer io.Writer, report *reqgen.Report) func() {
 	if writer == nil {
 		return func() {}
 	}
@@ -103,7 +105,7 @@
 			case <-ticker.C:
 				total := report.Total()
 				_, _ = fmt.Fprintf(writer, "%3d s: %d answered, %d completed, %d refused, %d unknown, %d cut, %d wrong\n",
-					second, total.Sent, total.Completed, total.Refused, total.Unknown, total.Broken, total.Wrong)
+					second, total.Sent, total.Completed, total.Refused, total.UnknownEffect, total.Incomplete, total.WrongText)
 			}
 		}
 	}()
@@ -113,14 +115,14 @@
 	}
 }
 
-// Examples returns shell commands that work against the running deployment.
-func (fleet *Fleet) Examples() []string {
+// ExampleCommands returns shell commands for trying out the running deployment.
+func (fleet *Fleet) ExampleCommands() []string {
 	organisation := fleet.plan.Organisations[0]
-	base := fleet.Entries()[0]
+	base := fleet.EntryURLs()[0]
 	header := fmt.Sprintf("-H 'Authorization: Bearer %s' -H 'Content-Type: application/json'", organisation.Key)
-	adapter := load.AdapterName(organisation.Name, 0)
+	adapter := reqgen.AdapterName(organisation.Name, 0)
 	fleet.mu.Lock()
-	operators := fleet.entries[0].operators
+	operators := fleet.entries[0].operatorURL
 	fleet.mu.Unlock()
 	return []string{
 		fmt.Sprintf("curl -s %s %s/v1/models | head -c 400", header, base),
--- a/internal/bench/demo/deployment.go
+++ b/internal/bench/demo/deployment.go
@@ -1,77 +1,80 @@
-// Package demo runs a whole deployment on stand-ins: entry instances, side
-// processes, engines, plain services and the platform, with a seeded load.
+// Package demo runs a whole deployment in one process: entry instances and side
+// processes against simulators of the engines, the plain services and the platform,
+// under a seeded load. It checks invariants and computes measures from what the
+// simulators and the callers observe.
 package demo
 
 import (
 	"fmt"
 	"time"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/load"
+	"jacinthfront.dev/jacinthfront/internal/bench/reqgen"
 	"jacinthfront.dev/jacinthfront/internal/state/conf"
 )
 
-// Deployment describes one of the users' deployments.
+// Deployment describes the size and the load of a user's deployment.
 type Deployment struct {
 	Name           string
 	FailureDomains []string
 	// DomainDelay is the one-way delay between failure domains.
-	DomainDelay  time.Duration
-	ModelService string
-	Runners      int
-	PlainService string
-	Plains       int
-	// LoadRate is the weight store's loads per second.
+	DomainDelay    time.Duration
+	ModelService   string
+	Engines        int
+	PlainService   string
+	PlainUpstreams int
+	// LoadRate is the number of adapter loads per second that the weight store
+	// starts.
 	LoadRate float64
 	Adapters int
-	// Requests is the steady load in requests per second.
-	Requests float64
-	Mix      [4]float64
-	// Skew is the exponent of the Zipf distribution of each organisation's
-	// adapters.
-	Skew float64
-	// Weights splits the load among the organisations.
-	Weights []float64
+	// RequestRate is the steady load in requests per second.
+	RequestRate float64
+	KindWeights [4]float64
+	// ZipfExponent is the exponent of the Zipf distribution of requests over each
+	// organisation's adapters.
+	ZipfExponent float64
+	// OrganisationWeights holds each organisation's fraction of RequestRate.
+	OrganisationWeights []float64
 }
 
 // Bonsai returns the deployment of Tatranská Dielňa Stolov.
 func Bonsai() Deployment {
 	return Deployment{
-		Name:           "bonsai",
-		FailureDomains: []string{"zilina-a", "zilina-b", "zilina-c", "zilina-d"},
-		DomainDelay:    time.Millisecond,
-		ModelService:   "advisor",
-		Runners:        12,
-		PlainService:   "counter",
-		Plains:         4,
-		LoadRate:       3,
-		Adapters:       3000,
-		Requests:       45,
-		Mix:            [4]float64{0.4, 0.15, 0.15, 0.3},
-		Skew:           skew,
-		Weights:        []float64{0.4, 0.3, 0.15, 0.1, 0.05},
+		Name:                "bonsai",
+		FailureDomains:      []string{"zilina-a", "zilina-b", "zilina-c", "zilina-d"},
+		DomainDelay:         time.Millisecond,
+		ModelService:        "advisor",
+		Engines:             12,
+		PlainService:        "counter",
+		PlainUpstreams:      4,
+		LoadRate:            3,
+		Adapters:            3000,
+		RequestRate:         45,
+		KindWeights:         [4]float64{0.4, 0.15, 0.15, 0.3},
+		ZipfExponent:        adapterSkew,
+		OrganisationWeights: []float64{0.4, 0.3, 0.15, 0.1, 0.05},
 	}
 }
 
 // Gourd returns the deployment of Kalamaki Gourd Works.
 func Gourd() Deployment {
 	return Deployment{
-		Name:           "gourd",
-		FailureDomains: []string{"attica-a", "attica-b", "attica-c"},
-		DomainDelay:    500 * time.Microsecond,
-		ModelService:   "scribe-models",
-		Runners:        9,
-		PlainService:   "ledger-app",
-		Plains:         3,
-		LoadRate:       2,
-		Adapters:       3000,
-		Requests:       32,
-		Mix:            [4]float64{0.5, 0.1, 0.1, 0.3},
-		Skew:           skew,
-		Weights:        []float64{0.4, 0.3, 0.15, 0.1, 0.05},
+		Name:                "gourd",
+		FailureDomains:      []string{"attica-a", "attica-b", "attica-c"},
+		DomainDelay:         500 * time.Microsecond,
+		ModelService:        "scribe-models",
+		Engines:             9,
+		PlainService:        "ledger-app",
+		PlainUpstreams:      3,
+		LoadRate:            2,
+		Adapters:            3000,
+		RequestRate:         32,
+		KindWeights:         [4]float64{0.5, 0.1, 0.1, 0.3},
+		ZipfExponent:        adapterSkew,
+		OrganisationWeights: []float64{0.4, 0.3, 0.15, 0.1, 0.05},
 	}
 }
 
-// ByName returns a deployment by its name.
+// ByName returns the deployment with a name, or an error if there is none.
 func ByName(name string) (Deployment, error) {
 	for _, deployment := range []Deployment{Bonsai(), Gourd()} {
 		if deployment.Name == name {
@@ -82,58 +85,61 @@
 }
 
 const (
-	// skew makes the steady load one that the weight store can serve: with the
-	// most popular adapters in all slots, the others need about half of the
-	// store's loads. At 1.4, they need one and a half times all of them, and the
-	// queues grow under any policy.
-	skew = 1.8
-	// meanCost is the mean reservation of a model request in tokens.
-	meanCost  = 170
-	plainCost = 10
-	// headroom is the ratio of an organisation's rate to its steady load.
-	headroom = 1.6
-	// burstTime is the burst in seconds of the rate.
-	burstTime  = 5
-	leastBurst = 4000
+	// adapterSkew is an exponent at which the weight store can sustain the steady
+	// load: while all slots hold the most popular adapters, the others need about
+	// half of the store's load rate. At 1.4 they need one and a half times the
+	// load rate, and the queues grow under any policy.
+	adapterSkew = 1.8
+	// meanModelCost is the mean reservation of a model request in tokens.
+	meanModelCost = 170
+	plainCost     = 10
+	// rateHeadroom is the ratio of an organisation's token rate to its steady load.
+	rateHeadroom = 1.6
+	// burstSeconds is the burst as a multiple of the tokens of one second.
+	burstSeconds = 5
+	minBurst     = 4000
 )
 
-// modelShare returns the part of the load that runs on adapters.
-func (deployment Deployment) modelShare() float64 {
+// modelFraction returns the fraction of requests that run on adapters.
+func (deployment Deployment) modelFraction() float64 {
 	total := 0.0
-	for _, weight := range deployment.Mix {
+	for _, weight := range deployment.KindWeights {
 		total += weight
 	}
-	return (deployment.Mix[load.Letter] + deployment.Mix[load.Chat]) / total
+	return (deployment.KindWeights[reqgen.Letter] + deployment.KindWeights[reqgen.Chat]) / total
 }
 
-func (deployment Deployment) organisations() []load.Organisation {
-	var organisations []load.Organisation
-	for index, weight := range deployment.Weights {
-		requests := deployment.Requests * weight
-		share := deployment.modelShare()
-		tokens := requests * (share*meanCost + (1-share)*plainCost)
-		rate := conf.Tokens(tokens*headroom) + 1
-		organisations = append(organisations, load.Organisation{
-			Name:     fmt.Sprintf("organisation-%d", index+1),
-			Rate:     rate,
-			Burst:    max(rate*burstTime, leastBurst),
-			Requests: requests,
-			Adapters: deployment.Adapters / len(deployment.Weights),
+// organisations returns the organisations with rates that their steady load does
+// not exceed.
+func (deployment Deployment) organisations() []reqgen.Organisation {
+	var organisations []reqgen.Organisation
+	for index, weight := range deployment.OrganisationWeights {
+		requests := deployment.RequestRate * weight
+		fraction := deployment.modelFraction()
+		tokens := requests * (fraction*meanModelCost + (1-fraction)*plainCost)
+		rate := conf.Tokens(tokens*rateHeadroom) + 1
+		organisations = append(organisations, reqgen.Organisation{
+			Name:         fmt.Sprintf("organisation-%d", index+1),
+			Rate:         rate,
+			Burst:        max(rate*burstSeconds, minBurst),
+			RequestRate:  requests,
+			AdapterCount: deployment.Adapters / len(deployment.OrganisationWeights),
 		})
 	}
 	return organisations
 }
 
-// Plan returns the steady load of the deployment. The keys are still empty.
-func (deployment Deployment) Plan() load.Plan {
-	return load.Plan{
+// Plan returns the steady load of the deployment. The organisations' keys are
+// empty until initialPatches sets them.
+func (deployment Deployment) Plan() reqgen.Plan {
+	return reqgen.Plan{
 		ModelService:   deployment.ModelService,
 		PlainService:   deployment.PlainService,
 		Organisations:  deployment.organisations(),
-		Mix:            deployment.Mix,
-		Skew:           deployment.Skew,
+		KindWeights:    deployment.KindWeights,
+		ZipfExponent:   deployment.ZipfExponent,
 		PromptTokens:   [2]int{60, 160},
 		MaxTokens:      [2]int{20, 100},
-		RepeatBookings: 0.2,
+		RepeatFraction: 0.2,
 	}
 }
--- a/internal/bench/demo/network.go
+++ b/internal/bench/demo/network.go
@@ -7,37 +7,38 @@
 	"net/http"
 	"sync"
 
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
 // Network connects the processes of a deployment.
 type Network interface {
-	// Reserve returns a new address that Listen can be called with.
-	Reserve() (string, error)
+	// ReserveAddress returns an unused address for a later call of Listen.
+	ReserveAddress() (string, error)
 	Listen(address string) (net.Listener, error)
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// client returns an HTTP client of the network.
-func client(network Network) *http.Client {
+// newClient returns an HTTP client that connects through a network.
+func newClient(network Network) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext: network.DialContext, DisableCompression: true, MaxIdleConnsPerHost: 256,
 	}}
 }
 
-// TCP is the real loopback network.
-type TCP struct {
+// TCPNetwork is the loopback interface of the host.
+type TCPNetwork struct {
 	net.Dialer
 
 	mu       sync.Mutex
 	reserved map[string]net.Listener
 }
 
-// NewTCP returns a TCP network.
-func NewTCP() *TCP { return &TCP{reserved: map[string]net.Listener{}} }
+// NewTCPNetwork returns a TCPNetwork without reserved addresses.
+func NewTCPNetwork() *TCPNetwork { return &TCPNetwork{reserved: map[string]net.Listener{}} }
 
-// Reserve binds a free port, so that no other process takes it.
-func (network *TCP) Reserve() (string, error) {
+// ReserveAddress binds a free port, so that no other process can take it before Listen
+// is called.
+func (network *TCPNetwork) ReserveAddress() (string, error) {
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -50,7 +51,7 @@
 }
 
 // Listen returns the reserved listener of an address.
-func (network *TCP) Listen(address string) (net.Listener, error) {
+func (network *TCPNetwork) Listen(address string) (net.Listener, error) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	listener, ok := network.reserved[address]
@@ -61,19 +62,19 @@
 	return listener, nil
 }
 
-// Memory is a network for virtual time.
-type Memory struct {
-	*plat.Loopback
+// MemoryNetwork is an in-memory network for tests in virtual time.
+type MemoryNetwork struct {
+	*infra.PipeNetwork
 
 	mu   sync.Mutex
 	next int
 }
 
-// NewMemory returns an in-memory network.
-func NewMemory() *Memory { return &Memory{Loopback: plat.NewLoopback()} }
+// NewMemoryNetwork returns a MemoryNetwork without listeners.
+func NewMemoryNetwork() *MemoryNetwork { return &MemoryNetwork{PipeNetwork: infra.NewPipeNetwork()} }
 
-// Reserve returns an unused address.
-func (network *Memory) Reserve() (string, error) {
+// ReserveAddress returns an unused address.
+func (network *MemoryNetwork) ReserveAddress() (string, error) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	network.next++
--- a/internal/daemon/side/ports.go
+++ b/internal/daemon/side/ports.go
@@ -79,13 +79,13 @@
 	Read(ctx context.Context, stream string, from uint64, wait time.Duration) (LogPage, error)
 }
 
-// Roster tells which instances are draining.
-type Roster interface {
+// DrainStatus tells which instances are draining.
+type DrainStatus interface {
 	// Draining reports whether the instance of an upstream is draining.
 	Draining(upstream string) bool
 }
 
-// neverDraining is the default Roster.
+// neverDraining is the default DrainStatus.
 type neverDraining struct{}
 
 func (neverDraining) Draining(string) bool { return false }
--- a/internal/daemon/start/health.go
+++ b/internal/daemon/start/health.go
@@ -5,10 +5,10 @@
 	"jacinthfront.dev/jacinthfront/internal/flow/health"
 )
 
-// serviceHealth implements entry.Health.
+// serviceHealth implements entry.HealthTracker.
 type serviceHealth struct{ *health.Tracker }
 
-func newHealth(string) entry.Health {
+func newHealth(string) entry.HealthTracker {
 	// The error is always nil: the defaults are valid.
 	tracker, _ := health.New(health.Config{})
 	return serviceHealth{tracker}
--- a/internal/link/engine/random_test.go
+++ b/internal/link/engine/random_test.go
@@ -11,18 +11,18 @@
 	"time"
 
 	"jacinthfront.dev/jacinthfront/internal/base/fault"
-	"jacinthfront.dev/jacinthfront/internal/bench/model"
-	"jacinthfront.dev/jacinthfront/internal/bench/plat"
+	"jacinthfront.dev/jacinthfront/internal/bench/engsim"
+	"jacinthfront.dev/jacinthfront/internal/bench/infra"
 )
 
-// TestRandomDisturbances compares each answer with the expected one while
-// streams break and the engine freezes and restarts. It guards against answers
-// that are mixed up, and against tokens that are repeated or lost by a resume.
+// TestRandomDisturbances compares each response with the expected one while
+// streams break and the engine freezes and restarts. It guards against mixed-up
+// responses and against tokens that are repeated or lost when a stream resumes.
 func TestRandomDisturbances(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				serveEngine(t, nil, func(client *Client, engine *model.Engine) {
+				serveEngine(t, nil, func(client *Client, engine *engsim.Engine) {
 					random := rand.New(rand.NewPCG(seed, 1))
 					var group sync.WaitGroup
 					for index := range 60 {
@@ -33,17 +33,17 @@
 						pause := time.Duration(random.IntN(5000)) * time.Millisecond
 						group.Go(func() {
 							time.Sleep(pause)
-							insist(t, client, request)
+							generateUntilComplete(t, client, request)
 						})
 					}
 					for range 20 {
 						time.Sleep(time.Duration(random.IntN(1000)) * time.Millisecond)
-						control(t, engine, []model.Control{
-							{Break: true},
-							{Freeze: plat.Duration(500 * time.Millisecond)},
-							{Restart: &model.Restart{DownFor: plat.Duration(300 * time.Millisecond)}},
-							{Calls: &plat.Fault{Mode: model.ModeCutStream, After: 3, Count: 2}},
-							{Loads: &plat.Fault{Mode: model.ModeFailing, Count: 2}},
+						setControl(t, engine, []engsim.ControlRequest{
+							{BreakStreams: true},
+							{Freeze: infra.Duration(500 * time.Millisecond)},
+							{Restart: &engsim.Restart{DownFor: infra.Duration(300 * time.Millisecond)}},
+							{CompletionFault: &infra.Fault{Mode: engsim.ModeCutStream, AfterTokens: 3, Count: 2}},
+							{LoadFault: &infra.Fault{Mode: engsim.ModeFailing, Count: 2}},
 						}[random.IntN(5)])
 					}
 					group.Wait()
@@ -53,9 +53,9 @@
 	}
 }
 
-// insist sends a request until its answer is complete, and resumes it while the
-// engine allows it.
-func insist(t *testing.T, client *Client, request Request) {
+// generateUntilComplete sends a request until its response is complete. It
+// resumes the stream as long as the engine still knows the request.
+func generateUntilComplete(t *testing.T, client *Client, request Request) {
 	var text string
 	for attempt := 0; attempt < 200; attempt++ {
 		stream, err := client.Generate(t.Context(), request)
@@ -67,8 +67,8 @@
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			if want := model.Answer(request.Adapter, request.Version, request.Prompt, request.MaxTokens); text != want {
-				t.Errorf("request %s: answer %q, want %q", request.RequestID, text, want)
+			if want := engsim.AnswerText(request.Adapter, request.Version, request.Prompt, request.MaxTokens); text != want {
+				t.Errorf("request %s: response %q, want %q", request.RequestID, text, want)
 			}
 			return
 		}
@@ -81,5 +81,5 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 	}
-	t.Errorf("request %s: no complete answer in 200 attempts", request.RequestID)
+	t.Errorf("request %s: no complete response in 200 attempts", request.RequestID)
 }
